--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -51,7 +51,7 @@
 	limits         *tokenlimit.Limiter
 	endpointLimits *endpointlimit.Limiter
 	desk           *places.Desk
-	suspects       *quarantine.Board
+	suspects       *quarantine.Tracker
 	endpoints      *exchange.Client
 	gateway        *gateway.Gateway
 	callers        *http.Server
@@ -92,7 +92,7 @@
 	n.desk = places.New(places.Options{
 		Node: s.Node, DataCentre: s.DataCentre, CacheTokens: n.cacheTokens, Limits: n.endpointLimits, Log: log,
 	}, n.directory, n.mesh.Fleet, n.metrics)
-	n.suspects = quarantine.NewBoard(log)
+	n.suspects = quarantine.NewTracker(log)
 	n.endpoints = exchange.New(exchange.Options{Connections: s.Host.endpointConnections(), Idle: n.idleAt}, n.metrics)
 	n.gateway = gateway.New(gateway.Parts{
 		Protocol:       adapters.Protocol,
@@ -203,7 +203,7 @@
 	report.Endpoints = uint64(last)
 	report.Changes, report.PassesOn = n.follower.PassOn()
 	n.desk.Fill(report)
-	report.Broken = n.suspects.News()
+	report.Broken = n.suspects.RecentEvidence()
 	n.limits.Fill(report)
 	n.endpointLimits.Fill(report)
 }
@@ -211,7 +211,7 @@
 // heard takes another node's report.
 func (n *Node) heard(report *gossip.Report, sent boottime.Instant) {
 	n.desk.Heard(report)
-	n.suspects.Heard(report.Broken)
+	n.suspects.MergeEvidence(report.Broken)
 	n.limits.Heard(report)
 	n.endpointLimits.Heard(report)
 	word := follow.Word{
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -214,7 +214,7 @@
 	cause := d.cause(err)
 	d.release(capacity.Result{Unreachable: d.blames(cause)})
 	if d.blames(cause) && errors.Is(cause, endpoint.ErrBroken) {
-		t.gateway.parts.Quarantine.Broke(d.place.Endpoint.Incarnation(), t.content)
+		t.gateway.parts.Quarantine.RecordFailure(d.place.Endpoint.Incarnation(), t.content)
 	}
 	if t.request.Context().Err() != nil {
 		return step{done: true, abort: true, err: errCallerGone}
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -147,7 +147,7 @@
 		Limits:         limits,
 		EndpointLimits: f.endpointLimits,
 		Retries:        retrybudget.New(f.retries, f.now, one),
-		Quarantine:     quarantine.NewBoard(zerolog.Nop()),
+		Quarantine:     quarantine.NewTracker(zerolog.Nop()),
 		Places:         places.New(places.Options{Limits: f.endpointLimits}, f.directory, alone, set),
 		Endpoints:      exchange.New(exchange.Options{}, set),
 		Clock:          f.now,
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -51,7 +51,7 @@
 	Retries        *retrybudget.Budget
 	Places         *places.Desk
 	// Quarantine knows the contents that crash the endpoints that run them.
-	Quarantine *quarantine.Board
+	Quarantine *quarantine.Tracker
 	Endpoints  *exchange.Client
 	Clock      boottime.Clock
 	Log        zerolog.Logger
--- a/places/options.go
+++ b/places/options.go
@@ -94,9 +94,9 @@
 	// The endpoint's places bound its batch.
 	o.TokenInterval = -1
 	// Progress is seen with each event, so silence shows soon.
-	o.Silence = time.Second
-	o.EjectFirst = 500 * time.Millisecond
-	o.EjectMost = 4 * time.Second
+	o.StallTimeout = time.Second
+	o.InitialEjection = 500 * time.Millisecond
+	o.MaxEjection = 4 * time.Second
 	o.ProbeTimeout = 2 * time.Second
 	return o
 }
--- a/routing/trust.go
+++ b/routing/cachetrust.go
@@ -8,14 +8,14 @@
 	trustLeast = 0.3
 )
 
-// Trust is the part of the predicted cached tokens that results have confirmed:
+// CacheTrust is the part of the predicted cached tokens that results have confirmed:
 // cache events have gaps, so the endpoint holds less than is thought.
-type Trust struct {
+type CacheTrust struct {
 	distrust float64
 }
 
 // Observe takes a prediction and what the endpoint reported.
-func (t *Trust) Observe(predicted, reported float64) {
+func (t *CacheTrust) Observe(predicted, reported float64) {
 	if predicted <= 0 {
 		return
 	}
@@ -24,4 +24,4 @@
 }
 
 // Part returns the part between trustLeast and 1.
-func (t *Trust) Part() float64 { return max(1-t.distrust, trustLeast) }
+func (t *CacheTrust) Fraction() float64 { return max(1-t.distrust, trustLeast) }
--- a/routing/dump.go
+++ b/routing/dump.go
@@ -19,8 +19,8 @@
 	Health    string  `json:"health"`
 	Failures  int     `json:"failures"`
 	// CacheTrust is the part of predicted cached tokens that results confirm.
-	CacheTrust float64 `json:"cache_trust"`
-	Blocks     int     `json:"prefix_blocks"`
+	CacheTrust   float64 `json:"cache_trust"`
+	PrefixBlocks int     `json:"prefix_blocks"`
 }
 
 // State returns what has been learned of the endpoints, by name.
@@ -37,15 +37,15 @@
 
 func (rt *Router) dump(e *Endpoint) EndpointDump {
 	return EndpointDump{
-		Endpoint:   e.id,
-		Generation: e.generationName,
-		Speed:      *e.Speed(),
-		Samples:    e.profile.Samples(),
-		Ratio:      e.straggler.Ratio(),
-		Straggler:  e.straggler.Slow(rt.options.StragglerRatio),
-		Health:     e.ejector.Health(e.seenAt).String(),
-		Failures:   e.ejector.failures,
-		CacheTrust: e.trust.Part(),
-		Blocks:     e.prefixes.Len(),
+		Endpoint:     e.id,
+		Generation:   e.generationName,
+		Speed:        *e.Speed(),
+		Samples:      e.profile.Samples(),
+		Ratio:        e.straggler.Ratio(),
+		Straggler:    e.straggler.IsStraggler(rt.options.StragglerRatio),
+		Health:       e.ejector.Health(e.seenAt).String(),
+		Failures:     e.ejector.failures,
+		CacheTrust:   e.trust.Fraction(),
+		PrefixBlocks: e.prefixes.Len(),
 	}
 }
--- a/routing/ejector.go
+++ b/routing/ejector.go
@@ -31,7 +31,7 @@
 // Fail counts a failure of a request placed at an instant, and reports whether it
 // is a new one: requests that were placed before the last failure tell of the same
 // one, as does whatever happens until its time has ended.
-func (e *Ejector) Fail(now, placed time.Time, first, most time.Duration) bool {
+func (e *Ejector) RecordFailure(now, placed time.Time, first, most time.Duration) bool {
 	if e.failures > 0 && (now.Before(e.until) || !placed.After(e.failedAt)) {
 		return false
 	}
@@ -50,29 +50,29 @@
 }
 
 // Succeed puts the endpoint back into service.
-func (e *Ejector) Succeed() { *e = Ejector{} }
+func (e *Ejector) RecordSuccess() { *e = Ejector{} }
 
 // Probe notes that a single request tries the endpoint. Prompt tells whether it has
 // one, so that the owner will know of its first token.
-func (e *Ejector) Probe(now time.Time, prompt bool) {
+func (e *Ejector) StartProbe(now time.Time, prompt bool) {
 	e.probing = true
 	e.probePrompt = prompt
 	e.probeSince = now
 }
 
 // Unprobe notes that the request ended and told nothing.
-func (e *Ejector) Unprobe() { e.probing = false }
+func (e *Ejector) EndProbe() { e.probing = false }
 
 // FirstTokenSeen tells that no prompt waits at the endpoint any more, which the
 // probe's did.
 func (e *Ejector) FirstTokenSeen(now time.Time) {
 	if e.probing && e.probePrompt && now.After(e.probeSince) {
-		e.Succeed()
+		e.RecordSuccess()
 	}
 }
 
 // Probing reports whether a request is out that may still tell.
-func (e *Ejector) Probing(now time.Time, timeout time.Duration) bool {
+func (e *Ejector) ProbePending(now time.Time, timeout time.Duration) bool {
 	return e.probing && now.Sub(e.probeSince) < timeout
 }
 
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -24,13 +24,13 @@
 	generation     *Generation
 	prefixes       *PrefixTable
 	speed          Speed
-	trust          Trust
+	trust          CacheTrust
 	suspects       int
 	listed         bool // while the Router counts it
 	// promptTokens and uncachedTokens sum the flights.
 	promptTokens   float64
 	uncachedTokens float64
-	straggler      Straggler
+	straggler      StragglerDetector
 	ejector        Ejector
 	heard          progress
 	report         loadReport
@@ -75,7 +75,7 @@
 // join makes the endpoint one of a generation, of which it has its speed.
 func (e *Endpoint) join(name string, generation *Generation) {
 	e.generationName, e.generation = name, generation
-	e.straggler = Straggler{}
+	e.straggler = StragglerDetector{}
 	e.unlearn()
 }
 
--- a/routing/estimate.go
+++ b/routing/estimate.go
@@ -8,7 +8,7 @@
 	// included.
 	Work float64
 	// Own is the part of Work that is the ask's own.
-	Own float64
+	OwnWork float64
 	// Batch is the mean number of requests while the ask runs, itself included.
 	Batch float64
 	// FirstToken and Total are from dispatch.
@@ -20,9 +20,9 @@
 
 // predict sets the times that follow from work, batch and a speed.
 func (e *Estimate) predict(speed *Speed, answerTokens int, prefillWeight float64) {
-	e.FirstToken = speed.First.At(e.Work)
+	e.FirstToken = speed.FirstToken.At(e.Work)
 	e.Total = e.FirstToken + float64(answerTokens)*speed.Interval.At(e.Batch)
-	e.Cost = e.Total + prefillWeight*e.Own*speed.First.Slope
+	e.Cost = e.Total + prefillWeight*e.OwnWork*speed.FirstToken.Slope
 }
 
 // add lengthens the estimate by seconds before the first token.
--- a/routing/estimator.go
+++ b/routing/estimator.go
@@ -31,9 +31,9 @@
 	e.xy += part * (amount*seconds - e.xy)
 }
 
-// Line returns the line through the samples and the prior. Spread is the scale of
+// LinearModel returns the line through the samples and the prior. Spread is the scale of
 // differences between amounts, for which the prior's slope is given up.
-func (e *Estimator) Line(prior Line, spread float64) Line {
+func (e *Estimator) Fit(prior LinearModel, spread float64) LinearModel {
 	if e.samples == 0 {
 		return prior
 	}
@@ -44,7 +44,7 @@
 	mean := (1-left)*e.y + left*prior.At(e.x)
 	base := mean - slope*e.x
 	if base < 0 {
-		return Line{Slope: mean / e.x}
+		return LinearModel{Slope: mean / e.x}
 	}
-	return Line{Base: base, Slope: slope}
+	return LinearModel{Base: base, Slope: slope}
 }
--- a/routing/filter_ejected.go
+++ b/routing/filter_ejected.go
@@ -15,7 +15,7 @@
 	case HealthInService:
 		return true
 	case HealthProbation:
-		return !c.Learned.ejector.Probing(r.Now, f.ProbeTimeout)
+		return !c.Learned.ejector.ProbePending(r.Now, f.ProbeTimeout)
 	default:
 		return false
 	}
--- a/routing/holdback.go
+++ b/routing/holdback.go
@@ -25,7 +25,7 @@
 	wait := 2 * left * interval / float64(n+1)
 	cached := prefixTokens(r.Ask, e.prefixes.Depth(r.Ask.Blocks, 0))
 	prompt := max(r.Ask.PromptTokens-cached, 0)
-	return wait + speed.First.At(float64(prompt)) + float64(r.Ask.AnswerTokens)*interval
+	return wait + speed.FirstToken.At(float64(prompt)) + float64(r.Ask.AnswerTokens)*interval
 }
 
 // full returns the healthy endpoints of the ask's pool that are not among the
@@ -46,7 +46,7 @@
 		e.load.requests > 0 &&
 		!e.load.leaving &&
 		e.ejector.Health(r.Now) == HealthInService &&
-		!e.straggler.Slow(o.StragglerRatio) &&
+		!e.straggler.IsStraggler(o.StragglerRatio) &&
 		r.Now.Sub(e.seenAt) < o.ProbeTimeout
 }
 
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -37,9 +37,9 @@
 		rt.completed(now, e, f, ask, state, result)
 	case result.Dispatched && result.FirstToken > 0:
 		rt.learn(now, e, f, state, result)
-		e.ejector.Succeed()
+		e.ejector.RecordSuccess()
 	default:
-		e.ejector.Unprobe()
+		e.ejector.EndProbe()
 	}
 	e.look(now, state)
 }
@@ -48,14 +48,14 @@
 func (rt *Router) unknownFlight(now time.Time, state *capacity.EndpointState, ask *capacity.Ask) flight {
 	return flight{
 		placed: now,
-		work:   float64(ask.PromptTokens + rt.options.RequestTokens*state.Requests),
+		work:   float64(ask.PromptTokens + rt.options.RequestOverheadTokens*state.Requests),
 		batch:  float64(state.Requests + 1),
 		prompt: float64(ask.PromptTokens),
 	}
 }
 
 func (rt *Router) completed(now time.Time, e *Endpoint, f flight, ask *capacity.Ask, state *capacity.EndpointState, result capacity.Result) {
-	e.ejector.Succeed()
+	e.ejector.RecordSuccess()
 	rt.options.Quarantine.Completed(ask.Fingerprint)
 	e.trust.Observe(f.cached, float64(result.CachedTokens))
 	rt.counters.reported.Add(result.CachedTokens)
@@ -67,9 +67,9 @@
 // samples by which it was found out are in the old one.
 func (rt *Router) learn(now time.Time, e *Endpoint, f flight, state *capacity.EndpointState, result capacity.Result) {
 	s := sampleOf(f, state.Requests+1, result)
-	wasSlow := e.straggler.Slow(rt.options.StragglerRatio)
+	wasSlow := e.straggler.IsStraggler(rt.options.StragglerRatio)
 	e.straggler.Observe(now, s.ratio(e.generation.Speed()), f.probe)
-	slow := e.straggler.Slow(rt.options.StragglerRatio)
+	slow := e.straggler.IsStraggler(rt.options.StragglerRatio)
 	if wasSlow && !slow {
 		e.unlearn()
 	}
@@ -92,11 +92,11 @@
 		work += float64(result.PromptTokens-result.CachedTokens) - f.uncached()
 	}
 	return Sample{
-		Work:   max(work, 0),
-		First:  first.Seconds(),
-		Batch:  (f.batch + float64(requests)) / 2,
-		Tokens: max(result.AnswerTokens-1, 0),
-		Rest:   max(result.Total-first, 0).Seconds(),
+		Work:          max(work, 0),
+		FirstToken:    first.Seconds(),
+		Batch:         (f.batch + float64(requests)) / 2,
+		DecodeTokens:  max(result.AnswerTokens-1, 0),
+		DecodeSeconds: max(result.Total-first, 0).Seconds(),
 	}
 }
 
@@ -109,7 +109,7 @@
 			continue
 		}
 		all++
-		if e.straggler.Slow(rt.options.StragglerRatio) {
+		if e.straggler.IsStraggler(rt.options.StragglerRatio) {
 			slow++
 		}
 	}
@@ -118,7 +118,7 @@
 
 // fail ejects the endpoint that could not be reached.
 func (rt *Router) fail(now time.Time, e *Endpoint, f flight) {
-	rt.eject(now, e, f, now.Add(rt.options.EjectFirst))
+	rt.eject(now, e, f, now.Add(rt.options.InitialEjection))
 }
 
 // crashed blames the content, and ejects the endpoint. Its cache is gone.
@@ -137,11 +137,11 @@
 // the cause more likely lies elsewhere, in a content or in this node's network:
 // the endpoint is then tried by single requests from the given instant on.
 func (rt *Router) eject(now time.Time, e *Endpoint, f flight, retry time.Time) {
-	if !e.ejector.Fail(now, f.placed, rt.options.EjectFirst, rt.options.EjectMost) {
+	if !e.ejector.RecordFailure(now, f.placed, rt.options.InitialEjection, rt.options.MaxEjection) {
 		return
 	}
 	rt.counters.ejections.Inc()
-	if rt.ejectedPart(now) > rt.options.EjectPart {
+	if rt.ejectedPart(now) > rt.options.MaxEjectedFraction {
 		e.ejector.Shorten(retry)
 	}
 }
--- a/routing/options.go
+++ b/routing/options.go
@@ -17,9 +17,9 @@
 	Priors map[string]Speed
 	// LearnRate is the part by which each sample moves a learned speed.
 	LearnRate float64
-	// RequestTokens is the work that a request is taken for beyond its tokens; it
+	// RequestOverheadTokens is the work that a request is taken for beyond its tokens; it
 	// stands for the queue of plain services too.
-	RequestTokens int
+	RequestOverheadTokens int
 	// TokenInterval bounds the batch of an engine: it is saturated where its
 	// learned time between tokens would exceed both this and twice that of a batch
 	// of one. Negative for no bound.
@@ -40,31 +40,31 @@
 	// a block that was dispatched more recently.
 	EvictionLag time.Duration
 	// Sessions bounds the sessions remembered, SessionTTL for how long.
-	Sessions   int
-	SessionTTL time.Duration
+	MaxSessions int
+	SessionTTL  time.Duration
 	// StragglerRatio is how many times as long as its hardware generation an
 	// endpoint must take to be a straggler.
 	StragglerRatio float64
-	// ProbeEvery is the time without a sample after which a straggler is tried again.
-	ProbeEvery time.Duration
+	// ProbeInterval is the time without a sample after which a straggler is tried again.
+	ProbeInterval time.Duration
 	// Silence is how long an endpoint may hold prompts without any progress being
 	// heard of, beyond three times the time expected for them.
-	Silence time.Duration
-	// EjectFirst is the time out of service after a failure; it doubles with each
-	// further one up to EjectMost.
-	EjectFirst time.Duration
-	EjectMost  time.Duration
-	// EjectPart is the part of a pool group's endpoints that crashes may take out of
+	StallTimeout time.Duration
+	// InitialEjection is the time out of service after a failure; it doubles with each
+	// further one up to MaxEjection.
+	InitialEjection time.Duration
+	MaxEjection     time.Duration
+	// MaxEjectedFraction is the part of a pool group's endpoints that crashes may take out of
 	// service at a time; the rest is tried by single requests instead.
-	EjectPart float64
+	MaxEjectedFraction float64
 	// ProbeTimeout is how long a single request may be out before another is tried.
 	ProbeTimeout time.Duration
-	// ReportAge is the age up to which a load report is used.
-	ReportAge time.Duration
+	// MaxReportAge is the age up to which a load report is used.
+	MaxReportAge time.Duration
 	// ReportWeight is the part that a load report counts.
 	ReportWeight float64
-	// ForecastSamples is the number of samples below which nothing is forecast.
-	ForecastSamples int
+	// MinForecastSamples is the number of samples below which nothing is forecast.
+	MinForecastSamples int
 	// Quarantine remembers contents that crash endpoints; nil for none.
 	Quarantine Quarantine
 	// Metrics is where counters are registered; nil for a set of its own.
@@ -73,32 +73,32 @@
 
 // The defaults of Options.
 const (
-	DefaultLearnRate       = 0.05
-	DefaultRequestTokens   = 16
-	DefaultTokenInterval   = 62 * time.Millisecond
-	DefaultPrefillWeight   = 2.0
-	DefaultTieMargin       = 0.01
-	DefaultHoldRatio       = 1.3
-	DefaultPrefixBlocks    = 4096
-	DefaultEvictionLag     = 3 * time.Second
-	DefaultSessions        = 8192
-	DefaultSessionTTL      = 10 * time.Minute
-	DefaultStragglerRatio  = 1.8
-	DefaultProbeEvery      = 5 * time.Second
-	DefaultSilence         = 6 * time.Second
-	DefaultEjectFirst      = time.Second
-	DefaultEjectMost       = time.Minute
-	DefaultEjectPart       = 0.5
-	DefaultProbeTimeout    = 30 * time.Second
-	DefaultReportAge       = 3 * time.Second
-	DefaultReportWeight    = 0.25
-	DefaultForecastSamples = 8
+	DefaultLearnRate             = 0.05
+	DefaultRequestOverheadTokens = 16
+	DefaultTokenInterval         = 62 * time.Millisecond
+	DefaultPrefillWeight         = 2.0
+	DefaultTieMargin             = 0.01
+	DefaultHoldRatio             = 1.3
+	DefaultPrefixBlocks          = 4096
+	DefaultEvictionLag           = 3 * time.Second
+	DefaultMaxSessions           = 8192
+	DefaultSessionTTL            = 10 * time.Minute
+	DefaultStragglerRatio        = 1.8
+	DefaultProbeInterval         = 5 * time.Second
+	DefaultStallTimeout          = 6 * time.Second
+	DefaultInitialEjection       = time.Second
+	DefaultMaxEjection           = time.Minute
+	DefaultMaxEjectedFraction    = 0.5
+	DefaultProbeTimeout          = 30 * time.Second
+	DefaultMaxReportAge          = 3 * time.Second
+	DefaultReportWeight          = 0.25
+	DefaultMinForecastSamples    = 8
 )
 
 // DefaultPrior is the speed of hardware of which nothing is known.
 var DefaultPrior = Speed{
-	First:    Line{Base: 0.02, Slope: 100e-6},
-	Interval: Line{Base: 0.02, Slope: 0.5e-3},
+	FirstToken: LinearModel{Base: 0.02, Slope: 100e-6},
+	Interval:   LinearModel{Base: 0.02, Slope: 0.5e-3},
 }
 
 // WithDefaults returns the options with every zero replaced.
@@ -113,7 +113,7 @@
 		o.Metrics = metrics.NewSet()
 	}
 	defaults.Set(&o.LearnRate, DefaultLearnRate)
-	defaults.Set(&o.RequestTokens, DefaultRequestTokens)
+	defaults.Set(&o.RequestOverheadTokens, DefaultRequestOverheadTokens)
 	defaults.Set(&o.TokenInterval, DefaultTokenInterval)
 	defaults.Set(&o.PrefillWeight, DefaultPrefillWeight)
 	o.PrefillWeight = max(o.PrefillWeight, 0)
@@ -121,17 +121,17 @@
 	defaults.Set(&o.HoldRatio, DefaultHoldRatio)
 	defaults.Set(&o.PrefixBlocks, DefaultPrefixBlocks)
 	defaults.Set(&o.EvictionLag, DefaultEvictionLag)
-	defaults.Set(&o.Sessions, DefaultSessions)
+	defaults.Set(&o.MaxSessions, DefaultMaxSessions)
 	defaults.Set(&o.SessionTTL, DefaultSessionTTL)
 	defaults.Set(&o.StragglerRatio, DefaultStragglerRatio)
-	defaults.Set(&o.ProbeEvery, DefaultProbeEvery)
-	defaults.Set(&o.Silence, DefaultSilence)
-	defaults.Set(&o.EjectFirst, DefaultEjectFirst)
-	defaults.Set(&o.EjectMost, DefaultEjectMost)
-	defaults.Set(&o.EjectPart, DefaultEjectPart)
+	defaults.Set(&o.ProbeInterval, DefaultProbeInterval)
+	defaults.Set(&o.StallTimeout, DefaultStallTimeout)
+	defaults.Set(&o.InitialEjection, DefaultInitialEjection)
+	defaults.Set(&o.MaxEjection, DefaultMaxEjection)
+	defaults.Set(&o.MaxEjectedFraction, DefaultMaxEjectedFraction)
 	defaults.Set(&o.ProbeTimeout, DefaultProbeTimeout)
-	defaults.Set(&o.ReportAge, DefaultReportAge)
+	defaults.Set(&o.MaxReportAge, DefaultMaxReportAge)
 	defaults.Set(&o.ReportWeight, DefaultReportWeight)
-	defaults.Set(&o.ForecastSamples, DefaultForecastSamples)
+	defaults.Set(&o.MinForecastSamples, DefaultMinForecastSamples)
 	return o
 }
--- a/routing/pipeline.go
+++ b/routing/pipeline.go
@@ -35,11 +35,11 @@
 		Scorers: []Scorer{
 			PrefixScorer{},
 			SessionScorer{TTL: o.SessionTTL},
-			OutstandingScorer{RequestTokens: o.RequestTokens},
-			ReportScorer{MaxAge: o.ReportAge, Weight: o.ReportWeight},
+			OutstandingScorer{RequestOverheadTokens: o.RequestOverheadTokens},
+			ReportScorer{MaxAge: o.MaxReportAge, Weight: o.ReportWeight},
 			SpeedScorer{PrefillWeight: o.PrefillWeight},
-			StragglerScorer{Ratio: o.StragglerRatio, ProbeEvery: o.ProbeEvery, PrefillWeight: o.PrefillWeight},
-			SilenceScorer{Allowed: o.Silence.Seconds()},
+			StragglerScorer{Ratio: o.StragglerRatio, ProbeInterval: o.ProbeInterval, PrefillWeight: o.PrefillWeight},
+			StallScorer{TimeoutSeconds: o.StallTimeout.Seconds()},
 		},
 		Picker: CompletionPicker{TieMargin: o.TieMargin},
 	}
--- a/routing/profile.go
+++ b/routing/profile.go
@@ -28,11 +28,11 @@
 
 // Learn takes a sample.
 func (p *Profile) Learn(s Sample, rate float64, prior Speed) {
-	if s.First > 0 {
-		p.first.Add(s.Work, bounded(s.First, p.speed.First.At(s.Work)), rate)
+	if s.FirstToken > 0 {
+		p.first.Add(s.Work, bounded(s.FirstToken, p.speed.FirstToken.At(s.Work)), rate)
 	}
-	if s.Tokens > 0 {
-		interval := s.Rest / float64(s.Tokens)
+	if s.DecodeTokens > 0 {
+		interval := s.DecodeSeconds / float64(s.DecodeTokens)
 		p.interval.Add(s.Batch, bounded(interval, p.speed.Interval.At(s.Batch)), rate)
 	}
 	p.refresh(prior)
@@ -46,6 +46,6 @@
 
 // refresh works the speed out again from the samples and a prior.
 func (p *Profile) refresh(prior Speed) {
-	p.speed.First = p.first.Line(prior.First, workSpread)
-	p.speed.Interval = p.interval.Line(prior.Interval, batchSpread)
+	p.speed.FirstToken = p.first.Fit(prior.FirstToken, workSpread)
+	p.speed.Interval = p.interval.Fit(prior.Interval, batchSpread)
 }
--- a/routing/quarantine/options.go
+++ b/routing/quarantine/options.go
@@ -21,47 +21,47 @@
 	Logger  zerolog.Logger
 
 	// First is the length of a content's first quarantine, Most the longest.
-	First time.Duration
-	Most  time.Duration
+	InitialDuration time.Duration
+	MaxDuration     time.Duration
 	// Memory is how long a crash is remembered.
-	Memory time.Duration
+	Retention time.Duration
 	// Threshold is the score from which a content is quarantined: a first crash of an endpoint counts 2, each further one
 	// 1, and 2 more where the content was alone.
 	Threshold int
 	// Contents bounds the contents remembered; the oldest evidence goes first.
-	Contents int
+	MaxContents int
 	// Flush is how long new evidence is gathered before it is sent.
-	Flush time.Duration
-	// PullEvery is the interval at which one peer, each in turn, is asked whether it
+	FlushDelay time.Duration
+	// PullInterval is the interval at which one peer, each in turn, is asked whether it
 	// knows more.
-	PullEvery time.Duration
+	PullInterval time.Duration
 	// CallTimeout bounds such a question.
 	CallTimeout time.Duration
 }
 
 // The defaults of Options.
 const (
-	DefaultFirst       = 2 * time.Minute
-	DefaultMost        = 30 * time.Minute
-	DefaultMemory      = time.Hour
-	DefaultThreshold   = 4
-	DefaultContents    = 1024
-	DefaultFlush       = 50 * time.Millisecond
-	DefaultPullEvery   = 30 * time.Second
-	DefaultCallTimeout = 5 * time.Second
+	DefaultInitialDuration = 2 * time.Minute
+	DefaultMaxDuration     = 30 * time.Minute
+	DefaultRetention       = time.Hour
+	DefaultThreshold       = 4
+	DefaultMaxContents     = 1024
+	DefaultFlushDelay      = 50 * time.Millisecond
+	DefaultPullInterval    = 30 * time.Second
+	DefaultCallTimeout     = 5 * time.Second
 )
 
 func (o Options) withDefaults() Options {
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewSet()
 	}
-	defaults.Set(&o.First, DefaultFirst)
-	defaults.Set(&o.Most, DefaultMost)
-	defaults.Set(&o.Memory, DefaultMemory)
+	defaults.Set(&o.InitialDuration, DefaultInitialDuration)
+	defaults.Set(&o.MaxDuration, DefaultMaxDuration)
+	defaults.Set(&o.Retention, DefaultRetention)
 	defaults.Set(&o.Threshold, DefaultThreshold)
-	defaults.Set(&o.Contents, DefaultContents)
-	defaults.Set(&o.Flush, DefaultFlush)
-	defaults.Set(&o.PullEvery, DefaultPullEvery)
+	defaults.Set(&o.MaxContents, DefaultMaxContents)
+	defaults.Set(&o.FlushDelay, DefaultFlushDelay)
+	defaults.Set(&o.PullInterval, DefaultPullInterval)
 	defaults.Set(&o.CallTimeout, DefaultCallTimeout)
 	return o
 }
--- a/routing/quarantine/quarantine_test.go
+++ b/routing/quarantine/quarantine_test.go
@@ -57,20 +57,20 @@
 			assert.Equal(t, s.Suspect(now, poison), tt.suspect)
 			assert.Equal(t, s.Quarantined(now, poison), tt.left)
 			assert.Equal(t, s.Quarantined(now.Add(tt.left), poison), time.Duration(0))
-			assert.Equal(t, s.Suspect(now.Add(DefaultMemory), poison), false)
+			assert.Equal(t, s.Suspect(now.Add(DefaultRetention), poison), false)
 		})
 	}
 }
 
 func TestSetIsBoundedAndForgets(t *testing.T) {
-	s := NewSet(Options{Contents: 3})
+	s := NewSet(Options{MaxContents: 3})
 	assert.Equal(t, len(s.Crashed(t0, "a", 0, true)), 0, "no content, no evidence")
 	for i := range uint64(5) {
 		s.Crashed(t0.Add(time.Duration(i)*time.Second), "a", i+1, false)
 	}
 	assert.Equal(t, s.Len(), 3)
 	assert.Assert(t, !s.Suspect(t0, 2) && s.Suspect(t0.Add(5*time.Second), 3))
-	s.Crashed(t0.Add(2*DefaultMemory), "a", 9, false)
+	s.Crashed(t0.Add(2*DefaultRetention), "a", 9, false)
 	assert.Equal(t, s.Len(), 1)
 }
 
@@ -139,10 +139,10 @@
 		time.Sleep(time.Second)
 		assert.Equal(t, c.suspecting(), 3)
 		c.network.HealAll()
-		time.Sleep(6 * DefaultPullEvery)
+		time.Sleep(6 * DefaultPullInterval)
 		assert.Equal(t, c.suspecting(), 6)
 		c.network.ResetCounts()
-		time.Sleep(DefaultPullEvery)
+		time.Sleep(DefaultPullInterval)
 		assert.Assert(t, c.network.Total(methodPull).Bytes < 6*2*16, "no evidence is repeated: %v", c.network.Total(methodPull))
 	})
 }
--- a/routing/quarantine/service.go
+++ b/routing/quarantine/service.go
@@ -93,7 +93,7 @@
 
 // Run spreads evidence until the context ends, and then returns its error.
 func (s *Service) Run(ctx context.Context) error {
-	ticker := time.NewTicker(s.options.PullEvery)
+	ticker := time.NewTicker(s.options.PullInterval)
 	defer ticker.Stop()
 	s.pull(ctx)
 	for {
@@ -113,7 +113,7 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(s.options.Flush):
+	case <-time.After(s.options.FlushDelay):
 	}
 	s.mu.Lock()
 	evidence := s.pending
@@ -181,10 +181,10 @@
 // handlePull answers with all evidence if the asker holds other evidence.
 func (s *Service) handlePull(_ context.Context, _ domain.Member, r pullRequest) (pullReply, error) {
 	now := time.Now()
-	if s.set.Digest(now, s.options.PullEvery) == r.Digest {
+	if s.set.Digest(now, s.options.PullInterval) == r.Digest {
 		return pullReply{}, nil
 	}
-	evidence := s.set.Evidence(now, s.options.PullEvery)
+	evidence := s.set.Evidence(now, s.options.PullInterval)
 	return pullReply{Evidence: evidence}, nil
 }
 
@@ -201,7 +201,7 @@
 	s.pulls++
 	ctx, cancel := context.WithTimeout(ctx, s.options.CallTimeout)
 	defer cancel()
-	digest := s.set.Digest(time.Now(), s.options.PullEvery)
+	digest := s.set.Digest(time.Now(), s.options.PullInterval)
 	reply, err := peer.Call[pullRequest, pullReply](ctx, s.options.Transport, target, methodPull, pullRequest{Digest: digest})
 	if err != nil {
 		s.options.Logger.Debug().Err(err).Stringer("peer", target).Msg("quarantine evidence not asked for")
--- a/routing/quarantine/set.go
+++ b/routing/quarantine/set.go
@@ -24,7 +24,7 @@
 // NewSet returns an empty set with the options' numbers.
 func NewSet(options Options) *Set {
 	o := options.withDefaults()
-	s := &Set{first: o.First, most: o.Most, memory: o.Memory, bound: o.Contents, threshold: o.Threshold}
+	s := &Set{first: o.InitialDuration, most: o.MaxDuration, memory: o.Retention, bound: o.MaxContents, threshold: o.Threshold}
 	s.contents.Store(&map[uint64]content{})
 	return s
 }
--- a/routing/quarantine/board.go
+++ b/routing/quarantine/tracker.go
@@ -19,9 +19,9 @@
 	boardThreshold = 6
 )
 
-// Board is a node's Set for nodes that tell each other what they hold with their periodic reports. It is safe for
+// Tracker is a node's Set for nodes that tell each other what they hold with their periodic reports. It is safe for
 // concurrent use.
-type Board struct {
+type Tracker struct {
 	set *Set
 	log zerolog.Logger
 
@@ -34,13 +34,13 @@
 	at       time.Time
 }
 
-// NewBoard returns a board without evidence.
-func NewBoard(log zerolog.Logger) *Board {
-	return &Board{set: NewSet(Options{Threshold: boardThreshold}), log: log}
+// NewTracker returns a board without evidence.
+func NewTracker(log zerolog.Logger) *Tracker {
+	return &Tracker{set: NewSet(Options{Threshold: boardThreshold}), log: log}
 }
 
 // Quarantined returns for how long the content must not be run, 0 if it may be.
-func (b *Board) Quarantined(fingerprint uint64) time.Duration {
+func (b *Tracker) Quarantined(fingerprint uint64) time.Duration {
 	if b.set.Len() == 0 {
 		return 0
 	}
@@ -48,7 +48,7 @@
 }
 
 // Broke tells that the endpoint broke off while it ran the content.
-func (b *Board) Broke(endpoint domain.EndpointID, fingerprint uint64) {
+func (b *Tracker) RecordFailure(endpoint domain.EndpointID, fingerprint uint64) {
 	now := time.Now()
 	b.tell(now, b.set.Crashed(now, endpoint, fingerprint, false))
 	if left := b.set.Quarantined(now, fingerprint); left > 0 {
@@ -58,14 +58,14 @@
 }
 
 // Completed tells that the content was answered in full.
-func (b *Board) Completed(fingerprint uint64) {
+func (b *Tracker) Completed(fingerprint uint64) {
 	if b.set.Len() > 0 {
 		now := time.Now()
 		b.tell(now, b.set.Completed(now, fingerprint))
 	}
 }
 
-func (b *Board) tell(now time.Time, evidence []Evidence) {
+func (b *Tracker) tell(now time.Time, evidence []Evidence) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range evidence {
@@ -74,7 +74,7 @@
 }
 
 // News returns the latest evidence, for the other nodes.
-func (b *Board) News() []Evidence {
+func (b *Tracker) RecentEvidence() []Evidence {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,7 +91,7 @@
 }
 
 // Heard takes another node's evidence. Each node tells its own, so that none is passed on.
-func (b *Board) Heard(evidence []Evidence) {
+func (b *Tracker) MergeEvidence(evidence []Evidence) {
 	if len(evidence) > 0 {
 		b.set.Merge(time.Now(), evidence)
 	}
--- a/routing/quarantine/board_test.go
+++ b/routing/quarantine/tracker_test.go
@@ -12,31 +12,31 @@
 // Pattern: a request crashes each endpoint that runs it, and its caller sends it again at other nodes.
 func TestContentThatBreaksOffEndpointsIsKnownAtAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, other := NewBoard(zerolog.Nop()), NewBoard(zerolog.Nop())
-		one.Broke("a", poison)
-		other.Broke("b", poison)
-		one.Heard(other.News())
+		one, other := NewTracker(zerolog.Nop()), NewTracker(zerolog.Nop())
+		one.RecordFailure("a", poison)
+		other.RecordFailure("b", poison)
+		one.MergeEvidence(other.RecentEvidence())
 		assert.Equal(t, one.Quarantined(poison), time.Duration(0), "two endpoints may break off by chance")
 		time.Sleep(time.Second)
-		one.Broke("c", poison)
-		other.Heard(one.News())
+		one.RecordFailure("c", poison)
+		other.MergeEvidence(one.RecentEvidence())
 		assert.Assert(t, one.Quarantined(poison) > time.Minute && other.Quarantined(poison) > time.Minute)
 		assert.Equal(t, other.Quarantined(poison+1), time.Duration(0))
 		time.Sleep(time.Millisecond)
 		one.Completed(poison)
-		other.Heard(one.News())
+		other.MergeEvidence(one.RecentEvidence())
 		assert.Equal(t, other.Quarantined(poison), time.Duration(0), "it was answered after all")
 		time.Sleep(2 * tellFor)
-		assert.Equal(t, len(one.News()), 0)
+		assert.Equal(t, len(one.RecentEvidence()), 0)
 	})
 }
 
 func TestNewsIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBoard(zerolog.Nop())
+		b := NewTracker(zerolog.Nop())
 		for i := range uint64(200) {
-			b.Broke("a", i+1)
+			b.RecordFailure("a", i+1)
 		}
-		assert.Equal(t, len(b.News()), toldMost)
+		assert.Equal(t, len(b.RecentEvidence()), toldMost)
 	})
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -16,17 +16,17 @@
 	// Suspect is true if the same content was running where an endpoint crashed.
 	Suspect bool
 	// Session is where the session's last turn went, zero if not known.
-	Session SessionPlace
+	Session SessionLocation
 	// Affinity is equal for asks that had better meet at one endpoint when all else
 	// is equal.
 	Affinity uint64
 }
 
-// SessionPlace tells where the last turn of a session went.
-type SessionPlace struct {
+// SessionLocation tells where the last turn of a session went.
+type SessionLocation struct {
 	Endpoint domain.EndpointID
 	// Tokens is the length of the conversation after that turn.
 	Tokens int
 	// At is when it was placed.
-	At time.Time
+	PlacedAt time.Time
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -22,7 +22,7 @@
 	mu          sync.Mutex
 	endpoints   map[domain.EndpointID]*Endpoint
 	generations map[string]*Generation
-	sessions    *simplelru.LRU[uint64, SessionPlace]
+	sessions    *simplelru.LRU[uint64, SessionLocation]
 	forgotAt    time.Time
 
 	// turn spreads asks that have no affinity.
@@ -41,7 +41,7 @@
 // NewRouter returns a Router that has learned nothing.
 func NewRouter(options Options) *Router {
 	o := options.WithDefaults()
-	sessions, err := simplelru.NewLRU[uint64, SessionPlace](max(o.Sessions, 1), nil)
+	sessions, err := simplelru.NewLRU[uint64, SessionLocation](max(o.MaxSessions, 1), nil)
 	if err != nil {
 		panic(err) // Only a size below 1 is refused.
 	}
@@ -152,11 +152,11 @@
 	now := r.Now
 	probe := false
 	if e.ejector.Health(now) != HealthInService {
-		e.ejector.Probe(now, r.Ask.PromptTokens > 0)
+		e.ejector.StartProbe(now, r.Ask.PromptTokens > 0)
 		probe = true
 	}
-	if e.straggler.Slow(rt.options.StragglerRatio) && e.straggler.ProbeDue(now, rt.options.ProbeEvery) {
-		e.straggler.Probe(now)
+	if e.straggler.IsStraggler(rt.options.StragglerRatio) && e.straggler.ProbeDue(now, rt.options.ProbeInterval) {
+		e.straggler.MarkProbe(now)
 		probe = true
 	}
 	if probe {
@@ -175,10 +175,10 @@
 	if ask.Session == "" {
 		return
 	}
-	rt.sessions.Add(xxhash.Sum64String(ask.Session), SessionPlace{
+	rt.sessions.Add(xxhash.Sum64String(ask.Session), SessionLocation{
 		Endpoint: id,
 		Tokens:   ask.PromptTokens + ask.AnswerTokens,
-		At:       now,
+		PlacedAt: now,
 	})
 }
 
@@ -188,7 +188,7 @@
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	e := rt.endpoint(now, state)
-	if max(e.profile.Samples(), e.generation.profile.Samples()) < rt.options.ForecastSamples {
+	if max(e.profile.Samples(), e.generation.profile.Samples()) < rt.options.MinForecastSamples {
 		return capacity.Forecast{}
 	}
 	r := rt.request(now, &capacity.Waiting{Ask: ask})
@@ -196,7 +196,7 @@
 	return capacity.Forecast{
 		FirstToken: duration(c.Estimate.FirstToken),
 		Total:      duration(c.Estimate.Total),
-		Reading:    duration(c.Estimate.Work * e.Speed().First.Slope),
+		Reading:    duration(c.Estimate.Work * e.Speed().FirstToken.Slope),
 	}
 }
 
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -121,17 +121,17 @@
 	assert.Equal(t, b.share(0), 0.0)
 	b.load(10, 1, 2)
 	assert.Equal(t, b.share(0), 0.0, "not even when others take twice as long as usual")
-	b.now = b.now.Add(DefaultProbeEvery)
+	b.now = b.now.Add(DefaultProbeInterval)
 	assert.Equal(t, b.share(0), 1.0, "tried again")
 	first := b.grant(0, b.ask())
 	assert.Equal(t, b.share(0), 0.0, "by one request, not all")
 	b.end(first, complete(1))
 	for range 2 {
-		b.now = b.now.Add(DefaultProbeEvery)
+		b.now = b.now.Add(DefaultProbeInterval)
 		b.end(b.grant(0, b.ask()), complete(1))
 	}
 	speed := b.router.State()[0].Speed
-	assert.Assert(t, speed.First.At(400) < 0.115, "what it was found out by is forgotten: %v", speed)
+	assert.Assert(t, speed.FirstToken.At(400) < 0.115, "what it was found out by is forgotten: %v", speed)
 	b.load(3, 0)
 	assert.Equal(t, b.share(0), 1.0)
 }
@@ -143,13 +143,13 @@
 	assert.Assert(t, b.share(0) > 0.2)
 	b.router.Report(b.now, b.states[0], endpoint.LoadReport{Running: 20, Waiting: 20})
 	assert.Equal(t, b.share(0), 0.0, "it says that it has other work")
-	b.now = b.now.Add(2 * DefaultReportAge)
+	b.now = b.now.Add(2 * DefaultMaxReportAge)
 	assert.Assert(t, b.share(0) > 0.2, "long ago")
 	b.load(1, 1)
 	assert.Equal(t, b.share(0), 1.0)
 	b.states[1].PrefillTokens = 400
 	b.choose(b.ask(), false)
-	b.now = b.now.Add(DefaultSilence)
+	b.now = b.now.Add(DefaultStallTimeout)
 	assert.Equal(t, b.share(0), 0.0, "no first token has come from there")
 }
 
@@ -183,14 +183,14 @@
 	b := newBench(t, 3, Options{})
 	b.end(b.grant(0, b.ask()), refused)
 	assert.Equal(t, b.share(0), 0.0)
-	b.now = b.now.Add(DefaultEjectFirst)
+	b.now = b.now.Add(DefaultInitialEjection)
 	probe := b.grant(0, b.ask())
 	probe.state.PrefillTokens = 400
 	assert.Equal(t, b.share(0), 0.0, "tried by a single request")
 	b.end(probe, refused)
-	b.now = b.now.Add(DefaultEjectFirst)
+	b.now = b.now.Add(DefaultInitialEjection)
 	assert.Equal(t, b.share(0), 0.0, "out for twice as long")
-	b.now = b.now.Add(DefaultEjectFirst)
+	b.now = b.now.Add(DefaultInitialEjection)
 	b.end(b.grant(0, b.ask()), complete(1))
 	assert.Assert(t, b.share(0) > 0)
 }
@@ -226,7 +226,7 @@
 		b.end(b.grant(0, b.ask()), refused)
 		assert.Equal(t, b.choose(b.ask(), false), -1)
 		assert.Equal(t, b.choose(b.ask(), true), 0, "a pressing ask takes what there is")
-		b.now = b.now.Add(DefaultEjectFirst)
+		b.now = b.now.Add(DefaultInitialEjection)
 		assert.Equal(t, b.choose(b.ask(), false), 0, "the only one is tried each second")
 	}
 }
--- a/routing/sample.go
+++ b/routing/sample.go
@@ -5,20 +5,20 @@
 	// Work is the prompt tokens computed before the first token, those ahead included.
 	Work float64
 	// First is the seconds to the first token, 0 if none came.
-	First float64
+	FirstToken float64
 	// Batch is the mean number of requests at the endpoint, this one included.
 	Batch float64
 	// Tokens is the number of tokens after the first, Rest the seconds they took.
-	Tokens int
-	Rest   float64
+	DecodeTokens  int
+	DecodeSeconds float64
 }
 
 // expected returns the seconds that the speed gives for the sample's work.
 func (s Sample) expected(speed Speed) float64 {
-	return speed.First.At(s.Work) + float64(s.Tokens)*speed.Interval.At(s.Batch)
+	return speed.FirstToken.At(s.Work) + float64(s.DecodeTokens)*speed.Interval.At(s.Batch)
 }
 
 // ratio returns how many times as long as expected the request took.
 func (s Sample) ratio(speed Speed) float64 {
-	return (s.First + s.Rest) / max(s.expected(speed), 1e-6)
+	return (s.FirstToken + s.DecodeSeconds) / max(s.expected(speed), 1e-6)
 }
--- a/routing/scorer_outstanding.go
+++ b/routing/scorer_outstanding.go
@@ -3,8 +3,8 @@
 // OutstandingScorer counts the work at the endpoint exactly, as it was granted:
 // prompt tokens that wait to be computed, and requests that decode meanwhile.
 type OutstandingScorer struct {
-	// RequestTokens is the work of a request beyond its tokens.
-	RequestTokens int
+	// RequestOverheadTokens is the work of a request beyond its tokens.
+	RequestOverheadTokens int
 }
 
 // Score implements Scorer.
@@ -16,9 +16,9 @@
 
 func (s OutstandingScorer) score(r *Request, c *Candidate) {
 	e := &c.Estimate
-	e.Own = max(float64(r.Ask.PromptTokens)-e.CachedTokens, 0)
+	e.OwnWork = max(float64(r.Ask.PromptTokens)-e.CachedTokens, 0)
 	ahead := float64(c.State.PrefillTokens) * c.Learned.uncachedPart()
-	e.Work = ahead + e.Own + float64(s.RequestTokens*c.State.Requests)
+	e.Work = ahead + e.OwnWork + float64(s.RequestOverheadTokens*c.State.Requests)
 	e.Batch = meanBatch(c.State.Requests, c.State.AnswerTokens, r.Ask.AnswerTokens)
 }
 
--- a/routing/scorer_prefix.go
+++ b/routing/scorer_prefix.go
@@ -10,6 +10,6 @@
 	for i := range candidates {
 		c := &candidates[i]
 		depth = c.Learned.prefixes.Depth(r.Ask.Blocks, depth)
-		c.Estimate.CachedTokens = float64(prefixTokens(r.Ask, depth)) * c.Learned.trust.Part()
+		c.Estimate.CachedTokens = float64(prefixTokens(r.Ask, depth)) * c.Learned.trust.Fraction()
 	}
 }
--- a/routing/scorer_session.go
+++ b/routing/scorer_session.go
@@ -17,9 +17,9 @@
 }
 
 func (s SessionScorer) score(r *Request, c *Candidate) {
-	if r.Session.Endpoint != c.State.ID || r.Now.Sub(r.Session.At) > s.TTL {
+	if r.Session.Endpoint != c.State.ID || r.Now.Sub(r.Session.PlacedAt) > s.TTL {
 		return
 	}
-	tokens := float64(min(r.Session.Tokens, r.Ask.PromptTokens)) * c.Learned.trust.Part()
+	tokens := float64(min(r.Session.Tokens, r.Ask.PromptTokens)) * c.Learned.trust.Fraction()
 	c.Estimate.CachedTokens = max(c.Estimate.CachedTokens, tokens)
 }
--- a/routing/scorer_silence.go
+++ b/routing/scorer_stall.go
@@ -4,28 +4,28 @@
 // endpoint holds may go by without a word.
 const silenceFactor = 3
 
-// SilenceScorer finds endpoints that stand still, before any result can tell: one
+// StallScorer finds endpoints that stand still, before any result can tell: one
 // that has long held prompts without a first token will take as long again.
-type SilenceScorer struct {
+type StallScorer struct {
 	// Allowed is the silence in seconds that means nothing, as progress is reported
 	// from time to time only.
-	Allowed float64
+	TimeoutSeconds float64
 }
 
 // Score implements Scorer.
-func (s SilenceScorer) Score(r *Request, candidates []Candidate) {
+func (s StallScorer) Score(r *Request, candidates []Candidate) {
 	for i := range candidates {
 		s.score(r, &candidates[i])
 	}
 }
 
-func (s SilenceScorer) score(r *Request, c *Candidate) {
+func (s StallScorer) score(r *Request, c *Candidate) {
 	if c.State.PrefillTokens == 0 {
 		return
 	}
 	silence := r.Now.Sub(c.Learned.heard.At).Seconds()
-	expected := c.Learned.Speed().First.At(c.Estimate.Work - c.Estimate.Own)
-	if silence > s.Allowed+silenceFactor*expected {
+	expected := c.Learned.Speed().FirstToken.At(c.Estimate.Work - c.Estimate.OwnWork)
+	if silence > s.TimeoutSeconds+silenceFactor*expected {
 		c.Estimate.add(silence)
 	}
 }
--- a/routing/scorer_straggler.go
+++ b/routing/scorer_straggler.go
@@ -9,8 +9,8 @@
 type StragglerScorer struct {
 	// Ratio is the least that makes a straggler.
 	Ratio float64
-	// ProbeEvery is the time without a sample after which it is tried.
-	ProbeEvery    time.Duration
+	// ProbeInterval is the time without a sample after which it is tried.
+	ProbeInterval time.Duration
 	PrefillWeight float64
 }
 
@@ -23,13 +23,13 @@
 
 func (s StragglerScorer) score(r *Request, c *Candidate) {
 	straggler := &c.Learned.straggler
-	if !straggler.Slow(s.Ratio) {
+	if !straggler.IsStraggler(s.Ratio) {
 		return
 	}
 	slow := c.Estimate
 	slow.predict(&c.Learned.generation.profile.speed, r.Ask.AnswerTokens, s.PrefillWeight)
 	slow.scale(straggler.Ratio())
-	if straggler.ProbeDue(r.Now, s.ProbeEvery) && onTime(r, slow.Total) {
+	if straggler.ProbeDue(r.Now, s.ProbeInterval) && onTime(r, slow.Total) {
 		return
 	}
 	if slow.Cost > c.Estimate.Cost {
--- a/routing/speed.go
+++ b/routing/speed.go
@@ -4,6 +4,6 @@
 // prompt tokens to compute, those ahead included; Interval is the time between
 // tokens by requests in the batch.
 type Speed struct {
-	First    Line `json:"first_token"`
-	Interval Line `json:"interval"`
+	FirstToken LinearModel `json:"first_token"`
+	Interval   LinearModel `json:"interval"`
 }
--- a/routing/steps_test.go
+++ b/routing/steps_test.go
@@ -16,7 +16,7 @@
 
 // testSpeed takes 1 ms a prompt token after 0.1 s, and 10 ms between tokens with
 // 1 ms more for each request.
-var testSpeed = Speed{First: Line{0.1, 1e-3}, Interval: Line{0.009, 1e-3}}
+var testSpeed = Speed{FirstToken: LinearModel{0.1, 1e-3}, Interval: LinearModel{0.009, 1e-3}}
 
 // candidate returns an idle healthy endpoint.
 func candidate(id domain.EndpointID, change ...func(c *Candidate)) Candidate {
@@ -42,7 +42,7 @@
 // straggling makes the endpoint take so many times as long as its generation.
 func straggling(ratio float64) func(c *Candidate) {
 	return func(c *Candidate) {
-		c.Learned.straggler = Straggler{ratio: ratio, samples: stragglerSamples, touchedAt: t0}
+		c.Learned.straggler = StragglerDetector{ratio: ratio, samples: stragglerSamples, touchedAt: t0}
 	}
 }
 
@@ -51,7 +51,7 @@
 		for range times {
 			at := t0.Add(-ago)
 			c.Learned.ejector.until = time.Time{}
-			c.Learned.ejector.Fail(at, at, time.Second, time.Minute)
+			c.Learned.ejector.RecordFailure(at, at, time.Second, time.Minute)
 			ago--
 		}
 	}
@@ -62,7 +62,7 @@
 	plain := func(*Request) {}
 	ejected := EjectedFilter{ProbeTimeout: 30 * time.Second}
 	saturation := SaturationFilter{SaturationDetector{TokenInterval: 0.015}}
-	probe := func(c *Candidate) { c.Learned.ejector.Probe(t0.Add(-time.Second), true) }
+	probe := func(c *Candidate) { c.Learned.ejector.StartProbe(t0.Add(-time.Second), true) }
 	for name, tt := range map[string]struct {
 		filter  Filter
 		request func(*Request)
@@ -95,14 +95,16 @@
 func TestScorers(t *testing.T) {
 	plain := func(*Request) {}
 	none := func(*Candidate) {}
-	straggler := StragglerScorer{Ratio: 1.8, ProbeEvery: 5 * time.Second}
+	straggler := StragglerScorer{Ratio: 1.8, ProbeInterval: 5 * time.Second}
 	estimated := func(c *Candidate) { c.Estimate.Work, c.Estimate.Batch, c.Estimate.Cost = 100, 1, 1.2 }
 	later := func(r *Request) { r.Now = t0.Add(6 * time.Second) }
 	cached := func(c *Candidate) float64 { return c.Estimate.CachedTokens }
 	work := func(c *Candidate) float64 { return c.Estimate.Work }
 	batch := func(c *Candidate) float64 { return c.Estimate.Batch }
 	cost := func(c *Candidate) float64 { return c.Estimate.Cost }
-	session := func(r *Request) { r.Session = SessionPlace{Endpoint: "e", Tokens: 500, At: t0.Add(-time.Minute)} }
+	session := func(r *Request) {
+		r.Session = SessionLocation{Endpoint: "e", Tokens: 500, PlacedAt: t0.Add(-time.Minute)}
+	}
 	distrusted := func(c *Candidate) {
 		c.Learned.prefixes.Dispatched(t0, []uint64{1, 2, 3})
 		c.Learned.trust.distrust = 0.5
@@ -130,7 +132,7 @@
 		"session forgotten":  {SessionScorer{TTL: time.Second}, session, none, cached, 0},
 		"idle":               {OutstandingScorer{}, plain, none, work, 640},
 		"cached is saved":    {OutstandingScorer{}, plain, func(c *Candidate) { c.Estimate.CachedTokens = 600 }, work, 40},
-		"prompts ahead":      {OutstandingScorer{RequestTokens: 16}, plain, func(c *Candidate) { c.State.PrefillTokens, c.State.Requests = 1000, 2 }, work, 1672},
+		"prompts ahead":      {OutstandingScorer{RequestOverheadTokens: 16}, plain, func(c *Candidate) { c.State.PrefillTokens, c.State.Requests = 1000, 2 }, work, 1672},
 		"half cached ahead":  {OutstandingScorer{}, plain, func(c *Candidate) { c.State.PrefillTokens = 1000; c.Learned.place(flight{prompt: 8, cached: 4}, 1) }, work, 1140},
 		"long batch":         {OutstandingScorer{}, plain, func(c *Candidate) { c.State.Requests, c.State.AnswerTokens = 4, 4000 }, batch, 5},
 		"batch about to end": {OutstandingScorer{}, plain, func(c *Candidate) { c.State.Requests, c.State.AnswerTokens = 4, 40 }, batch, 1.4},
@@ -139,14 +141,14 @@
 		"reports less":       {ReportScorer{MaxAge: time.Second, Weight: 0.25}, plain, report(0, 0), batch, 3},
 		"reported long ago":  {ReportScorer{MaxAge: time.Second, Weight: 0.25}, plain, report(4, 2*time.Second), batch, 3},
 		"completion":         {SpeedScorer{}, plain, estimated, cost, 0.1 + 0.1 + 100*0.010},
-		"weighted prefill":   {SpeedScorer{PrefillWeight: 2}, plain, func(c *Candidate) { estimated(c); c.Estimate.Own = 50 }, cost, 1.2 + 2*0.05},
+		"weighted prefill":   {SpeedScorer{PrefillWeight: 2}, plain, func(c *Candidate) { estimated(c); c.Estimate.OwnWork = 50 }, cost, 1.2 + 2*0.05},
 		"no straggler":       {straggler, plain, func(c *Candidate) { estimated(c); straggling(1.7)(c) }, cost, 1.2},
 		"straggler":          {straggler, plain, func(c *Candidate) { estimated(c); straggling(4)(c) }, cost, 4.8},
 		"straggler tried":    {straggler, later, func(c *Candidate) { estimated(c); straggling(4)(c) }, cost, 1.2},
 		"not by a pressed":   {straggler, func(r *Request) { later(r); r.Due = r.Now.Add(4 * time.Second) }, func(c *Candidate) { estimated(c); straggling(4)(c) }, cost, 4.8},
-		"silent a little":    {SilenceScorer{Allowed: 6}, later, silent, cost, 0},
-		"silent long":        {SilenceScorer{Allowed: 6}, func(r *Request) { r.Now = t0.Add(9 * time.Second) }, silent, cost, 9},
-		"idle and silent":    {SilenceScorer{Allowed: 6}, func(r *Request) { r.Now = t0.Add(9 * time.Second) }, none, cost, 0},
+		"silent a little":    {StallScorer{TimeoutSeconds: 6}, later, silent, cost, 0},
+		"silent long":        {StallScorer{TimeoutSeconds: 6}, func(r *Request) { r.Now = t0.Add(9 * time.Second) }, silent, cost, 9},
+		"idle and silent":    {StallScorer{TimeoutSeconds: 6}, func(r *Request) { r.Now = t0.Add(9 * time.Second) }, none, cost, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := []Candidate{candidate("e", tt.change)}
@@ -177,24 +179,24 @@
 }
 
 func TestEstimatorLearnsALine(t *testing.T) {
-	prior := Line{Base: 0.02, Slope: 1e-4}
+	prior := LinearModel{Base: 0.02, Slope: 1e-4}
 	for name, tt := range map[string]struct {
-		truth   Line
+		truth   LinearModel
 		amounts []float64
 	}{
-		"slower hardware": {Line{0.05, 4e-4}, []float64{50, 400, 3000, 8000}},
-		"faster hardware": {Line{0.01, 2e-5}, []float64{50, 400, 3000, 8000}},
-		"always alike":    {Line{0.03, 1e-4}, []float64{1000}},
+		"slower hardware": {LinearModel{0.05, 4e-4}, []float64{50, 400, 3000, 8000}},
+		"faster hardware": {LinearModel{0.01, 2e-5}, []float64{50, 400, 3000, 8000}},
+		"always alike":    {LinearModel{0.03, 1e-4}, []float64{1000}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var e Estimator
-			assert.Equal(t, e.Line(prior, workSpread), prior)
+			assert.Equal(t, e.Fit(prior, workSpread), prior)
 			for i := range 200 {
 				amount := tt.amounts[i%len(tt.amounts)]
 				e.Add(amount, tt.truth.At(amount), 0.05)
 			}
 			for _, amount := range tt.amounts {
-				got := e.Line(prior, workSpread).At(amount)
+				got := e.Fit(prior, workSpread).At(amount)
 				assert.Assert(t, math.Abs(got/tt.truth.At(amount)-1) < 0.05, "%v: %v, not %v", amount, got, tt.truth.At(amount))
 			}
 		})
--- a/routing/straggler.go
+++ b/routing/straggler.go
@@ -16,9 +16,9 @@
 	stragglerSamples = 3
 )
 
-// Straggler follows how many times as long an endpoint takes as its hardware
+// StragglerDetector follows how many times as long an endpoint takes as its hardware
 // generation: a geometric mean that forgets quickly. The zero value is healthy.
-type Straggler struct {
+type StragglerDetector struct {
 	log float64
 	// ratio is the exponential of log, once there is a sample.
 	ratio   float64
@@ -28,7 +28,7 @@
 }
 
 // Observe takes a sample's ratio.
-func (s *Straggler) Observe(now time.Time, ratio float64, probe bool) {
+func (s *StragglerDetector) Observe(now time.Time, ratio float64, probe bool) {
 	rate := stragglerRate
 	if probe {
 		rate = stragglerProbeRate
@@ -41,7 +41,7 @@
 }
 
 // Ratio returns the mean ratio, 1 without samples.
-func (s *Straggler) Ratio() float64 {
+func (s *StragglerDetector) Ratio() float64 {
 	if s.samples == 0 {
 		return 1
 	}
@@ -49,14 +49,14 @@
 }
 
 // Slow reports whether the mean ratio is at least the given one.
-func (s *Straggler) Slow(ratio float64) bool {
+func (s *StragglerDetector) IsStraggler(ratio float64) bool {
 	return s.samples >= stragglerSamples && s.ratio >= ratio
 }
 
 // ProbeDue reports whether nothing has been learned for so long.
-func (s *Straggler) ProbeDue(now time.Time, every time.Duration) bool {
+func (s *StragglerDetector) ProbeDue(now time.Time, every time.Duration) bool {
 	return now.Sub(s.touchedAt) >= every
 }
 
 // Probe notes that a request was sent to try the endpoint.
-func (s *Straggler) Probe(now time.Time) { s.touchedAt = now }
+func (s *StragglerDetector) MarkProbe(now time.Time) { s.touchedAt = now }
