--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -11,9 +11,9 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// fleet returns a Router and endpoints that have learned something: each has run
+// trainedRouter returns a Router and endpoints with learned state: each endpoint has served
 // conversations of 32 blocks that share their first 8 with all others.
-func fleet(endpoints, conversations int) (*Router, []*capacity.EndpointState) {
+func trainedRouter(endpoints, conversations int) (*Router, []*capacity.EndpointState) {
 	rt := NewRouter(Options{})
 	now := time.Unix(0, 0)
 	var states []*capacity.EndpointState
@@ -26,7 +26,7 @@
 		}
 		states = append(states, state)
 		for c := range conversations {
-			ask := conversation(uint64(i*conversations + c))
+			ask := conversationAsk(uint64(i*conversations + c))
 			rt.Granted(now, state, &ask)
 			rt.Observe(now, state, &ask, capacity.Result{
 				Dispatched: true, Complete: true, PromptTokens: 2048, AnswerTokens: 200,
@@ -37,7 +37,7 @@
 	return rt, states
 }
 
-func conversation(n uint64) capacity.Ask {
+func conversationAsk(n uint64) capacity.Ask {
 	blocks := make([]uint64, 32)
 	for i := range blocks {
 		blocks[i] = mix(uint64(i) + 1)
@@ -52,8 +52,8 @@
 }
 
 func benchmarkDecision(b *testing.B, size int) {
-	rt, states := fleet(size, 40)
-	ask := conversation(uint64(size*20 + 7))
+	rt, states := trainedRouter(size, 40)
+	ask := conversationAsk(uint64(size*20 + 7))
 	now := time.Unix(1, 0)
 	waiting := capacity.Waiting{Ask: &ask, Due: now.Add(time.Minute)}
 	b.ReportAllocs()
@@ -62,14 +62,14 @@
 	}
 }
 
-// BenchmarkDecision is one choice among so many endpoints.
+// BenchmarkDecision measures one decision by number of endpoints.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []int{4, 20, 80, 130} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) { benchmarkDecision(b, size) })
 	}
 }
 
-// BenchmarkSlopeDecision is the time of a choice by endpoints of the pool.
+// BenchmarkSlopeDecision reports the decision time as a function of the pool's endpoints.
 func BenchmarkSlopeDecision(b *testing.B) {
 	for _, size := range []int{4, 20, 80} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
@@ -79,10 +79,10 @@
 	}
 }
 
-// BenchmarkGrant is a grant and its end.
+// BenchmarkGrant measures a grant and its completion.
 func BenchmarkGrant(b *testing.B) {
-	rt, states := fleet(20, 40)
-	ask := conversation(7)
+	rt, states := trainedRouter(20, 40)
+	ask := conversationAsk(7)
 	now := time.Unix(1, 0)
 	result := capacity.Result{Dispatched: true, Complete: true, PromptTokens: 2048, AnswerTokens: 200, FirstToken: time.Second, Total: 2 * time.Second}
 	b.ReportAllocs()
@@ -92,8 +92,8 @@
 	}
 }
 
-// heapOf returns the bytes that make's result holds.
-func heapOf[T any](make func() T) float64 {
+// heapBytes returns the heap bytes retained by the result of make.
+func heapBytes[T any](make func() T) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -104,15 +104,15 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkSlopeEndpointMemory is what a Router holds by endpoints, without prompt
-// blocks.
+// BenchmarkSlopeEndpointMemory reports the memory of a Router as a function of its endpoints, without
+// prompt blocks.
 func BenchmarkSlopeEndpointMemory(b *testing.B) {
 	for _, size := range []int{20, 80, 320} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
 			var held float64
 			for b.Loop() {
-				held = heapOf(func() *Router {
-					rt, _ := fleet(size, 0)
+				held = heapBytes(func() *Router {
+					rt, _ := trainedRouter(size, 0)
 					now := time.Unix(0, 0)
 					for i := range size {
 						rt.endpoint(now, &capacity.EndpointState{ID: domain.EndpointID(fmt.Sprintf("runner-%d", i)), Row: &config.EndpointRow{ID: domain.EndpointID(fmt.Sprintf("runner-%d", i))}})
@@ -125,13 +125,13 @@
 	}
 }
 
-// BenchmarkSlopePrefixMemory is what a full PrefixTable holds by blocks.
+// BenchmarkSlopePrefixMemory reports the memory of a full PrefixTable as a function of its blocks.
 func BenchmarkSlopePrefixMemory(b *testing.B) {
 	for _, size := range []int{1024, 4096, 16384} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
 			var held float64
 			for b.Loop() {
-				held = heapOf(func() *PrefixTable {
+				held = heapBytes(func() *PrefixTable {
 					t := NewPrefixTable(size, time.Unix(0, 0))
 					for i := range 2 * size {
 						t.Dispatched(time.Unix(1, 0), []uint64{mix(uint64(i))})
--- a/routing/cachetrust.go
+++ b/routing/cachetrust.go
@@ -1,27 +1,27 @@
 package routing
 
 const (
-	// trustRate is the part by which a sample moves the trust.
-	trustRate = 0.1
-	// trustLeast keeps some preference for endpoints whose reports never confirm
-	// anything.
-	trustLeast = 0.3
+	// cacheTrustLearnRate is the weight of a new sample in the moving average.
+	cacheTrustLearnRate = 0.1
+	// minCacheTrust preserves some prefix affinity for endpoints whose results never confirm a cache
+	// hit.
+	minCacheTrust = 0.3
 )
 
-// CacheTrust is the part of the predicted cached tokens that results have confirmed:
-// cache events have gaps, so the endpoint holds less than is thought.
+// CacheTrust is a moving average of the fraction of predicted cached tokens that results confirm.
+// Cache events have gaps, so an endpoint may hold less than the prefix table suggests.
 type CacheTrust struct {
 	distrust float64
 }
 
-// Observe takes a prediction and what the endpoint reported.
+// Observe records the predicted number of cached tokens and the number reported by the endpoint.
 func (t *CacheTrust) Observe(predicted, reported float64) {
 	if predicted <= 0 {
 		return
 	}
 	confirmed := min(reported/predicted, 1)
-	t.distrust += trustRate * (1 - confirmed - t.distrust)
+	t.distrust += cacheTrustLearnRate * (1 - confirmed - t.distrust)
 }
 
-// Part returns the part between trustLeast and 1.
-func (t *CacheTrust) Fraction() float64 { return max(1-t.distrust, trustLeast) }
+// Fraction returns the confirmed fraction, between minCacheTrust and 1.
+func (t *CacheTrust) Fraction() float64 { return max(1-t.distrust, minCacheTrust) }
--- a/routing/candidate.go
+++ b/routing/candidate.go
@@ -2,12 +2,12 @@
 
 import "hawthornrill.example/hawthornrill/capacity"
 
-// Candidate is an endpoint that a decision may choose.
+// Candidate is an endpoint under consideration for a routing decision.
 type Candidate struct {
 	State   *capacity.EndpointState
 	Learned *Endpoint
-	// Estimate is what the Scorers have found so far.
+	// Estimate accumulates the results of the Scorers.
 	Estimate Estimate
-	// index is the place in the owner's list.
+	// index is the position in the list passed to Router.Choose.
 	index int
 }
--- a/routing/compare_test.go
+++ b/routing/compare_test.go
@@ -14,86 +14,86 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// A queueing model to compare ways of choosing: conversations over engines of two
-// generations, one of them a straggler for a while. Engines compute prompts in
-// order of arrival and decode at a speed that falls with the batch at the time of
-// dispatch. It leaves out much; its figures are for comparison only.
+// A queueing model to compare routing policies: conversations on engines of two generations, one
+// engine being a straggler for part of the time. Engines process prompts in order of arrival and
+// decode at a rate that falls with the batch size at dispatch. The model is simplified; its figures
+// are meaningful only relative to each other.
 
-// modelEngine is an engine of the model.
+// modelEngine is a simulated engine.
 type modelEngine struct {
-	state     *capacity.EndpointState
-	slowness  float64
-	prefillAt time.Time // when the prompts dispatched so far are computed
-	cache     *PrefixTable
-	reported  int // requests at the last report
+	state            *capacity.EndpointState
+	slowdown         float64
+	prefillDoneAt    time.Time // completion time of the prompts dispatched so far
+	cache            *PrefixTable
+	reportedRequests int // number of requests in the last load report
 }
 
-// modelRun is one request that runs.
-type modelRun struct {
-	first  time.Time // zero once noticed
-	end    time.Time
-	engine *modelEngine
-	ask    capacity.Ask
-	result capacity.Result
+// modelRequest is a request in progress.
+type modelRequest struct {
+	firstTokenAt time.Time // zero once processed
+	endAt        time.Time
+	engine       *modelEngine
+	ask          capacity.Ask
+	result       capacity.Result
 }
 
-// chooseFunc is a way of choosing.
+// chooseFunc is a routing policy.
 type chooseFunc func(m *model, waiting *capacity.Waiting) int
 
 type model struct {
-	random  *rand.Rand
-	now     time.Time
-	router  *Router
-	engines []*modelEngine
-	states  []*capacity.EndpointState
-	running []modelRun
-	count   int
-	// totals are seconds from arrival to end; wasted counts prompt tokens computed
-	// although another engine, or this one earlier, had computed them.
-	totals []float64
-	wasted float64
+	random    *rand.Rand
+	now       time.Time
+	router    *Router
+	engines   []*modelEngine
+	states    []*capacity.EndpointState
+	running   []modelRequest
+	turnCount int
+	// totals are the seconds from arrival to completion; computedTokens counts the prompt tokens that
+	// were not in the engine's cache.
+	totals         []float64
+	computedTokens float64
 }
 
 func newModel(seed uint64, options Options) *model {
 	m := &model{random: rand.New(rand.NewPCG(seed, 0)), now: t0, router: NewRouter(options)}
 	for i := range 12 {
-		e := &modelEngine{slowness: 1 + 1.5*float64(i%2), cache: NewPrefixTable(2048, t0), prefillAt: t0}
+		e := &modelEngine{slowdown: 1 + 1.5*float64(i%2), cache: NewPrefixTable(2048, t0), prefillDoneAt: t0}
 		e.state = &capacity.EndpointState{ID: domain.EndpointID('a' + rune(i)), Row: &config.EndpointRow{ID: domain.EndpointID('a' + rune(i)), Generation: string('x' + rune(i%2))}}
 		m.engines, m.states = append(m.engines, e), append(m.states, e.state)
 	}
 	return m
 }
 
-// run plays conversations at a rate of turns a second for some virtual time.
+// run simulates conversations at a rate of turns per second for the given virtual time.
 func (m *model) run(choose chooseFunc, rate float64, length time.Duration) {
 	var turns []capacity.Ask
 	nextReport := t0
 	for m.now.Sub(t0) < length {
-		m.now = m.now.Add(duration(m.random.ExpFloat64() / rate))
+		m.now = m.now.Add(durationFromSeconds(m.random.ExpFloat64() / rate))
 		m.finish()
 		if m.now.After(nextReport) {
 			nextReport = m.now.Add(time.Second)
 			for _, e := range m.engines {
-				e.reported = e.state.Requests
+				e.reportedRequests = e.state.Requests
 			}
 		}
-		straggles := m.now.Sub(t0) > length/3 && m.now.Sub(t0) < 2*length/3
-		m.engines[0].slowness = 1
-		if straggles {
-			m.engines[0].slowness = 8
+		straggling := m.now.Sub(t0) > length/3 && m.now.Sub(t0) < 2*length/3
+		m.engines[0].slowdown = 1
+		if straggling {
+			m.engines[0].slowdown = 8
 		}
 		turns = m.turn(turns, choose)
 	}
 }
 
-// turn continues a conversation or begins one, and places it.
+// turn continues or starts a conversation and dispatches the request.
 func (m *model) turn(turns []capacity.Ask, choose chooseFunc) []capacity.Ask {
-	m.count++
-	at := m.random.IntN(60)
-	for len(turns) <= at {
+	m.turnCount++
+	index := m.random.IntN(60)
+	for len(turns) <= index {
 		turns = append(turns, capacity.Ask{Pool: "model/m", Blocks: []uint64{1, 2, 3, 4, 5, 6, 7, 8}})
 	}
-	ask := turns[at]
+	ask := turns[index]
 	if len(ask.Blocks) > 100 {
 		ask.Blocks = ask.Blocks[:8]
 	}
@@ -101,10 +101,10 @@
 	for range 2 + m.random.IntN(12) {
 		ask.Blocks = append(ask.Blocks, m.random.Uint64())
 	}
-	ask.Fingerprint = uint64(m.count)
+	ask.Fingerprint = uint64(m.turnCount)
 	ask.PromptTokens = 64*len(ask.Blocks) + 20
 	ask.AnswerTokens = int(math.Exp(3 + 3*m.random.Float64()))
-	turns[at] = ask
+	turns[index] = ask
 	waiting := capacity.Waiting{Ask: &ask, Due: m.now.Add(time.Minute), Pressing: true}
 	m.place(m.engines[choose(m, &waiting)], ask)
 	return turns
@@ -114,40 +114,40 @@
 	m.router.Granted(m.now, e.state, &ask)
 	cached := 64 * e.cache.Depth(ask.Blocks, 0)
 	e.cache.Dispatched(m.now, ask.Blocks)
-	m.wasted += float64(64*(len(ask.Blocks)) - cached)
+	m.computedTokens += float64(64*(len(ask.Blocks)) - cached)
 	e.state.Requests++
 	e.state.PrefillTokens += ask.PromptTokens
 	e.state.AnswerTokens += ask.AnswerTokens
 	start := m.now
-	if e.prefillAt.After(start) {
-		start = e.prefillAt
+	if e.prefillDoneAt.After(start) {
+		start = e.prefillDoneAt
 	}
-	first := start.Add(duration(e.slowness * (0.02 + 60e-6*float64(ask.PromptTokens-cached))))
-	e.prefillAt = first
-	end := first.Add(duration(e.slowness * float64(ask.AnswerTokens) * (0.010 + 0.0008*float64(e.state.Requests))))
-	m.running = append(m.running, modelRun{first, end, e, ask, capacity.Result{
+	first := start.Add(durationFromSeconds(e.slowdown * (0.02 + 60e-6*float64(ask.PromptTokens-cached))))
+	e.prefillDoneAt = first
+	end := first.Add(durationFromSeconds(e.slowdown * float64(ask.AnswerTokens) * (0.010 + 0.0008*float64(e.state.Requests))))
+	m.running = append(m.running, modelRequest{first, end, e, ask, capacity.Result{
 		Dispatched: true, Complete: true, FirstToken: first.Sub(m.now), Total: end.Sub(m.now),
 		PromptTokens: ask.PromptTokens, CachedTokens: cached, AnswerTokens: ask.AnswerTokens,
 	}})
 	m.totals = append(m.totals, end.Sub(m.now).Seconds())
 }
 
-// finish notices first tokens and ends up to now.
+// finish processes the first tokens and completions up to now.
 func (m *model) finish() {
 	for i := range m.running {
-		if r := &m.running[i]; !r.first.IsZero() && !r.first.After(m.now) {
-			r.first = time.Time{}
+		if r := &m.running[i]; !r.firstTokenAt.IsZero() && !r.firstTokenAt.After(m.now) {
+			r.firstTokenAt = time.Time{}
 			r.engine.state.PrefillTokens -= r.ask.PromptTokens
 		}
 	}
-	m.running = slices.DeleteFunc(m.running, func(r modelRun) bool {
-		if r.end.After(m.now) {
+	m.running = slices.DeleteFunc(m.running, func(r modelRequest) bool {
+		if r.endAt.After(m.now) {
 			return false
 		}
 		s := r.engine.state
 		s.Requests--
 		s.AnswerTokens -= r.ask.AnswerTokens
-		m.router.Observe(r.end, s, &r.ask, r.result)
+		m.router.Observe(r.endAt, s, &r.ask, r.result)
 		return true
 	})
 }
@@ -166,10 +166,10 @@
 }
 
 func random(m *model, _ *capacity.Waiting) int     { return m.random.IntN(len(m.engines)) }
-func roundRobin(m *model, _ *capacity.Waiting) int { return m.count % len(m.engines) }
+func roundRobin(m *model, _ *capacity.Waiting) int { return m.turnCount % len(m.engines) }
 
-// least returns the engine for which value is least, a random one of several.
-func least(m *model, value func(e *modelEngine) int) int {
+// leastBy returns the engine with the lowest value, breaking ties at random.
+func leastBy(m *model, value func(e *modelEngine) int) int {
 	best, ties := 0, 0
 	for i, e := range m.engines {
 		switch {
@@ -186,36 +186,36 @@
 }
 
 func leastReported(m *model, _ *capacity.Waiting) int {
-	return least(m, func(e *modelEngine) int { return e.reported })
+	return leastBy(m, func(e *modelEngine) int { return e.reportedRequests })
 }
 
 func leastOutstanding(m *model, _ *capacity.Waiting) int {
-	return least(m, func(e *modelEngine) int { return e.state.Requests })
+	return leastBy(m, func(e *modelEngine) int { return e.state.Requests })
 }
 
-func byRouter(m *model, w *capacity.Waiting) int {
+func routerChoice(m *model, w *capacity.Waiting) int {
 	at, _ := m.router.Choose(m.now, w, m.states)
 	return at
 }
 
-// TestCompareWays holds the Router against plain ways of choosing on the same
-// seeds, and against itself with parts left out.
+// TestCompareWays compares the Router with simple policies on the same seeds, and with variants of
+// itself that have features disabled.
 func TestCompareWays(t *testing.T) {
-	type result struct{ mean, p99, wasted float64 }
-	play := func(choose chooseFunc, options Options) result {
-		var all result
+	type result struct{ mean, p99, computed float64 }
+	simulate := func(choose chooseFunc, options Options) result {
+		var mean result
 		const seeds = 3
 		for seed := range uint64(seeds) {
 			m := newModel(seed, options)
 			m.run(choose, 14, 2*time.Minute)
-			all.mean += m.mean() / seeds
-			all.p99 += m.quantile(0.99) / seeds
-			all.wasted += m.wasted / float64(len(m.totals)) / seeds
+			mean.mean += m.mean() / seeds
+			mean.p99 += m.quantile(0.99) / seeds
+			mean.computed += m.computedTokens / float64(len(m.totals)) / seeds
 		}
-		return all
+		return mean
 	}
 	results := make(map[string]result)
-	for _, way := range []struct {
+	for _, policy := range []struct {
 		name    string
 		choose  chooseFunc
 		options Options
@@ -224,21 +224,21 @@
 		{"round robin", roundRobin, Options{}},
 		{"least reported load", leastReported, Options{}},
 		{"least outstanding", leastOutstanding, Options{}},
-		{"router", byRouter, Options{}},
-		{"router, prefill weight 0", byRouter, Options{PrefillWeight: -1}},
-		{"router, prefill weight 10", byRouter, Options{PrefillWeight: 10}},
-		{"router, no prefixes", byRouter, Options{PrefixBlocks: 1}},
-		{"router, no stragglers", byRouter, Options{StragglerRatio: 1e9}},
+		{"router", routerChoice, Options{}},
+		{"router, prefill weight 0", routerChoice, Options{PrefillWeight: -1}},
+		{"router, prefill weight 10", routerChoice, Options{PrefillWeight: 10}},
+		{"router, no prefixes", routerChoice, Options{PrefixBlocks: 1}},
+		{"router, no stragglers", routerChoice, Options{StragglerRatio: 1e9}},
 	} {
-		r := play(way.choose, way.options)
-		results[way.name] = r
-		t.Logf("%-28s mean %6.2f s  p99 %7.2f s  prompt tokens computed %5.0f a request", way.name, r.mean, r.p99, r.wasted)
+		r := simulate(policy.choose, policy.options)
+		results[policy.name] = r
+		t.Logf("%-28s mean %6.2f s  p99 %7.2f s  prompt tokens computed %5.0f a request", policy.name, r.mean, r.p99, r.computed)
 	}
-	ours := results["router"]
-	assert.Assert(t, ours.wasted < 0.5*results["router, no prefixes"].wasted)
-	assert.Assert(t, ours.wasted < 0.8*results["router, prefill weight 0"].wasted)
+	router := results["router"]
+	assert.Assert(t, router.computed < 0.5*results["router, no prefixes"].computed)
+	assert.Assert(t, router.computed < 0.8*results["router, prefill weight 0"].computed)
 	for _, name := range []string{"random", "round robin", "least reported load", "least outstanding"} {
-		assert.Assert(t, ours.mean < 0.75*results[name].mean && ours.p99 < results[name].p99, name)
-		assert.Assert(t, ours.wasted < 0.6*results[name].wasted, name)
+		assert.Assert(t, router.mean < 0.75*results[name].mean && router.p99 < results[name].p99, name)
+		assert.Assert(t, router.computed < 0.6*results[name].computed, name)
 	}
 }
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,9 +1,9 @@
-// Package routing chooses the endpoint that serves an ask, at the owner of the
-// ask's pool. A decision is a pipeline of small pure steps: Filters say which
-// candidates may serve the ask, Scorers estimate what each would cost in time,
-// a Picker takes the cheapest. What the steps read is learned from the owner's
-// own grants and their results: speeds, prompt prefixes held, stragglers and
-// failures. Nothing learned leaves the process, and losing it costs time only.
+// Package routing selects the endpoint that serves a request. It runs at the node that owns the
+// request's pool. A decision is a pipeline of small pure steps: Filters exclude candidates, Scorers
+// estimate the completion time on each remaining candidate, and a Picker selects the one with the
+// lowest cost. The steps use models learned from the owner's own grants and their results: speed,
+// cached prompt prefixes, stragglers and failures. The learned state is never replicated; losing it
+// affects latency only, not correctness.
 //
 // See docs/design/routing.md.
 package routing
--- a/routing/dump.go
+++ b/routing/dump.go
@@ -7,23 +7,23 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// EndpointDump shows what has been learned of an endpoint.
+// EndpointDump is the learned state of an endpoint, for diagnostics.
 type EndpointDump struct {
 	Endpoint   domain.EndpointID `json:"endpoint"`
 	Generation string            `json:"generation"`
 	Speed      Speed             `json:"speed"`
 	Samples    int               `json:"samples"`
-	// Ratio is how many times as long as its generation it takes.
+	// Ratio is the observed latency divided by that expected of the endpoint's hardware generation.
 	Ratio     float64 `json:"ratio"`
 	Straggler bool    `json:"straggler"`
 	Health    string  `json:"health"`
 	Failures  int     `json:"failures"`
-	// CacheTrust is the part of predicted cached tokens that results confirm.
+	// CacheTrust is the fraction of predicted cached tokens that results confirm.
 	CacheTrust   float64 `json:"cache_trust"`
 	PrefixBlocks int     `json:"prefix_blocks"`
 }
 
-// State returns what has been learned of the endpoints, by name.
+// State returns the learned state of the listed endpoints, sorted by endpoint ID.
 func (rt *Router) State() []EndpointDump {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -43,9 +43,9 @@
 		Samples:      e.profile.Samples(),
 		Ratio:        e.straggler.Ratio(),
 		Straggler:    e.straggler.IsStraggler(rt.options.StragglerRatio),
-		Health:       e.ejector.Health(e.seenAt).String(),
+		Health:       e.ejector.Health(e.lastSeen).String(),
 		Failures:     e.ejector.failures,
-		CacheTrust:   e.trust.Fraction(),
+		CacheTrust:   e.cacheTrust.Fraction(),
 		PrefixBlocks: e.prefixes.Len(),
 	}
 }
--- a/routing/ejector.go
+++ b/routing/ejector.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Ejector takes an endpoint out of service after failures, for a time that doubles
-// with each, and then lets single requests try it. The zero value is in service.
+// Ejector takes an endpoint out of service after failures. The ejection time doubles with each
+// consecutive failure; once it has elapsed, the endpoint is probed with one request at a time. The
+// zero value is in service.
 type Ejector struct {
 	failures int
-	// failedAt is when the last failure was counted, until when the time ends.
+	// failedAt is the time of the last counted failure; until is the end of the ejection.
 	failedAt time.Time
 	until    time.Time
-	// probing is true while a single request is out, since probeSince; probePrompt
-	// is true if its first token can be seen.
+	// probing is true while a probe request is outstanding, since probeSince. probePrompt is true if
+	// the probe has a prompt, so that its first token is observable.
 	probing     bool
 	probePrompt bool
 	probeSince  time.Time
 }
 
-// Health returns the state at an instant.
+// Health returns the state at the given time.
 func (e *Ejector) Health(now time.Time) Health {
 	switch {
 	case e.failures == 0:
@@ -28,59 +29,59 @@
 	}
 }
 
-// Fail counts a failure of a request placed at an instant, and reports whether it
-// is a new one: requests that were placed before the last failure tell of the same
-// one, as does whatever happens until its time has ended.
-func (e *Ejector) RecordFailure(now, placed time.Time, first, most time.Duration) bool {
+// RecordFailure counts the failure of a request that was placed at the given time, and reports whether
+// it is a new failure. Failures during an ejection, and those of requests placed before the last
+// counted failure, are attributed to that failure.
+func (e *Ejector) RecordFailure(now, placed time.Time, initial, limit time.Duration) bool {
 	if e.failures > 0 && (now.Before(e.until) || !placed.After(e.failedAt)) {
 		return false
 	}
 	e.failures++
 	e.failedAt = now
-	e.until = now.Add(backoff(first, most, e.failures))
+	e.until = now.Add(backoff(initial, limit, e.failures))
 	e.probing = false
 	return true
 }
 
-// Shorten ends the time out of service at the instant, if it would end later.
+// Shorten ends the ejection at the given time if it would otherwise end later.
 func (e *Ejector) Shorten(until time.Time) {
 	if until.Before(e.until) {
 		e.until = until
 	}
 }
 
-// Succeed puts the endpoint back into service.
+// RecordSuccess returns the endpoint to service.
 func (e *Ejector) RecordSuccess() { *e = Ejector{} }
 
-// Probe notes that a single request tries the endpoint. Prompt tells whether it has
-// one, so that the owner will know of its first token.
+// StartProbe records that a probe request was placed. The owner observes the first token of a request
+// only if it has a prompt.
 func (e *Ejector) StartProbe(now time.Time, prompt bool) {
 	e.probing = true
 	e.probePrompt = prompt
 	e.probeSince = now
 }
 
-// Unprobe notes that the request ended and told nothing.
+// EndProbe records that the probe ended without a conclusive result.
 func (e *Ejector) EndProbe() { e.probing = false }
 
-// FirstTokenSeen tells that no prompt waits at the endpoint any more, which the
-// probe's did.
+// FirstTokenSeen records that no prompt is pending at the endpoint. A probe with a prompt has then
+// produced its first token and counts as successful.
 func (e *Ejector) FirstTokenSeen(now time.Time) {
 	if e.probing && e.probePrompt && now.After(e.probeSince) {
 		e.RecordSuccess()
 	}
 }
 
-// Probing reports whether a request is out that may still tell.
+// ProbePending reports whether a probe is outstanding and has not timed out.
 func (e *Ejector) ProbePending(now time.Time, timeout time.Duration) bool {
 	return e.probing && now.Sub(e.probeSince) < timeout
 }
 
-// backoff returns first, doubled for each failure after the first, up to most.
-func backoff(first, most time.Duration, failures int) time.Duration {
-	d := first
-	for i := 1; i < failures && d < most; i++ {
+// backoff returns initial doubled for each failure after the first, capped at limit.
+func backoff(initial, limit time.Duration, failures int) time.Duration {
+	d := initial
+	for i := 1; i < failures && d < limit; i++ {
 		d *= 2
 	}
-	return min(d, most)
+	return min(d, limit)
 }
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -11,88 +11,88 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// flightSlack is the number of grants noted beyond those that the owner counts,
-// before the oldest notes are dropped.
-const flightSlack = 16
+// trackedGrantSlack is how many more grants are tracked than the owner counts before the oldest ones
+// are dropped.
+const trackedGrantSlack = 16
 
-// Endpoint is what has been learned of an endpoint. It hangs on the owner's
-// EndpointState.
+// Endpoint is the learned state of an endpoint. It is stored in capacity.EndpointState.Learned.
 type Endpoint struct {
-	// What each decision reads comes first, close together.
+	// Fields read by every decision come first, for cache locality.
 	generationName string
 	hash           uint64
 	generation     *Generation
 	prefixes       *PrefixTable
 	speed          Speed
-	trust          CacheTrust
-	suspects       int
-	listed         bool // while the Router counts it
-	// promptTokens and uncachedTokens sum the flights.
+	cacheTrust     CacheTrust
+	suspectGrants  int
+	listed         bool // true while the endpoint is in Router.endpoints
+	// promptTokens and uncachedTokens are sums over grants.
 	promptTokens   float64
 	uncachedTokens float64
 	straggler      StragglerDetector
 	ejector        Ejector
-	heard          progress
+	progress       prefillProgress
 	report         loadReport
-	// load is its state when last seen, pools are those for which it was a candidate.
-	load   seenLoad
-	seenAt time.Time
-	pools  []domain.PoolName
+	// lastLoad is the load at lastSeen; pools are those for which the endpoint was a candidate.
+	lastLoad loadSnapshot
+	lastSeen time.Time
+	pools    []domain.PoolName
 
 	id      domain.EndpointID
 	profile Profile
 	crash   crashEvent
-	// eventSequence is that of the last cache event.
+	// eventSequence is the sequence number of the last cache event.
 	eventSequence uint64
-	flights       []flight
+	grants        []trackedGrant
 }
 
-// crashEvent is the last crash; results that tell of it come one by one.
+// crashEvent is the last crash. The failed requests of one crash are reported one by one.
 type crashEvent struct {
 	at    time.Time
 	alone bool
 }
 
-// seenLoad is the part of an endpoint's state that is remembered between calls.
-type seenLoad struct {
+// loadSnapshot is the part of an endpoint's state that is kept between calls.
+type loadSnapshot struct {
 	requests     int
 	answerTokens int
 	leaving      bool
 }
 
-// NewEndpoint returns an endpoint of which nothing is known but its generation.
+// NewEndpoint returns an endpoint without samples, which uses the speed of its generation.
 func NewEndpoint(now time.Time, row *config.EndpointRow, generation *Generation, prefixBlocks int) *Endpoint {
 	e := &Endpoint{
 		id:       row.ID,
 		hash:     xxhash.Sum64String(string(row.ID)),
 		prefixes: NewPrefixTable(prefixBlocks, now),
-		seenAt:   now,
+		lastSeen: now,
 	}
-	e.join(row.Generation, generation)
+	e.setGeneration(row.Generation, generation)
 	return e
 }
 
-// join makes the endpoint one of a generation, of which it has its speed.
-func (e *Endpoint) join(name string, generation *Generation) {
+// setGeneration assigns the endpoint to a hardware generation and discards the samples of its
+// speed and of the straggler detection.
+func (e *Endpoint) setGeneration(name string, generation *Generation) {
 	e.generationName, e.generation = name, generation
 	e.straggler = StragglerDetector{}
-	e.unlearn()
+	e.resetSpeed()
 }
 
-// unlearn forgets the endpoint's own speed.
-func (e *Endpoint) unlearn() {
+// resetSpeed discards the endpoint's own speed samples.
+func (e *Endpoint) resetSpeed() {
 	e.profile = NewProfile(e.generation.Speed())
 	e.speed = Speed{}
 }
 
-// learn takes a sample of the endpoint's own speed.
-func (e *Endpoint) learn(s Sample, rate float64) {
+// learnSample adds a sample to the endpoint's own speed profile.
+func (e *Endpoint) learnSample(s Sample, rate float64) {
 	e.profile.Learn(s, rate, e.generation.Speed())
 	e.speed = e.profile.Speed()
 }
 
-// Speed returns the endpoint's learned speed, its generation's until it has
-// samples of its own.
+// Speed returns the endpoint's learned speed, or that of its generation while it has no samples of its
+// own.
 func (e *Endpoint) Speed() *Speed {
 	if e.speed == (Speed{}) {
 		return &e.generation.profile.speed
@@ -100,64 +100,63 @@
 	return &e.speed
 }
 
-// look takes note of the owner's exact state.
-func (e *Endpoint) look(now time.Time, state *capacity.EndpointState) {
-	e.heard.look(now, state)
-	e.load = seenLoad{requests: state.Requests, answerTokens: state.AnswerTokens, leaving: state.Leaving}
-	e.seenAt = now
+// updateState records the exact state kept by the owner.
+func (e *Endpoint) updateState(now time.Time, state *capacity.EndpointState) {
+	e.progress.update(now, state)
+	e.lastLoad = loadSnapshot{requests: state.Requests, answerTokens: state.AnswerTokens, leaving: state.Leaving}
+	e.lastSeen = now
 	if state.Requests > 0 && state.PrefillTokens == 0 {
 		e.ejector.FirstTokenSeen(now)
 	}
 }
 
-// serves notes that the endpoint was a candidate for the pool.
-func (e *Endpoint) serves(pool domain.PoolName) {
+// addPool records that the endpoint was a candidate for the pool.
+func (e *Endpoint) addPool(pool domain.PoolName) {
 	if !slices.Contains(e.pools, pool) {
 		e.pools = append(e.pools, pool)
 	}
 }
 
-// uncachedPart returns the part of the prompts held that is thought to need
-// computing.
-func (e *Endpoint) uncachedPart() float64 {
+// uncachedFraction returns the fraction of the prompt tokens held that are expected to need prefill.
+func (e *Endpoint) uncachedFraction() float64 {
 	if e.promptTokens <= 0 {
 		return 1
 	}
 	return min(max(e.uncachedTokens/e.promptTokens, 0), 1)
 }
 
-// place notes a grant. Requests is the number that the owner counts.
-func (e *Endpoint) place(f flight, requests int) {
-	for len(e.flights) > requests+flightSlack {
-		e.drop(0)
+// addGrant tracks a grant. requests is the number of grants that the owner counts at the endpoint.
+func (e *Endpoint) addGrant(grant trackedGrant, requests int) {
+	for len(e.grants) > requests+trackedGrantSlack {
+		e.removeGrantAt(0)
 	}
-	e.flights = append(e.flights, f)
-	e.promptTokens += f.prompt
-	e.uncachedTokens += f.uncached()
-	if f.suspect {
-		e.suspects++
+	e.grants = append(e.grants, grant)
+	e.promptTokens += grant.prompt
+	e.uncachedTokens += grant.uncached()
+	if grant.suspect {
+		e.suspectGrants++
 	}
 }
 
-// take returns the note of a grant that has ended, and whether there is one.
-func (e *Endpoint) take(fingerprint uint64) (flight, bool) {
-	at := slices.IndexFunc(e.flights, func(f flight) bool { return f.fingerprint == fingerprint })
+// removeGrant stops tracking a grant that has ended. It returns false if the grant was not tracked.
+func (e *Endpoint) removeGrant(fingerprint uint64) (trackedGrant, bool) {
+	at := slices.IndexFunc(e.grants, func(grant trackedGrant) bool { return grant.fingerprint == fingerprint })
 	if at < 0 {
-		return flight{}, false
+		return trackedGrant{}, false
 	}
-	return e.drop(at), true
+	return e.removeGrantAt(at), true
 }
 
-func (e *Endpoint) drop(at int) flight {
-	f := e.flights[at]
-	e.flights = slices.Delete(e.flights, at, at+1)
-	e.promptTokens -= f.prompt
-	e.uncachedTokens -= f.uncached()
-	if f.suspect {
-		e.suspects--
+func (e *Endpoint) removeGrantAt(at int) trackedGrant {
+	grant := e.grants[at]
+	e.grants = slices.Delete(e.grants, at, at+1)
+	e.promptTokens -= grant.prompt
+	e.uncachedTokens -= grant.uncached()
+	if grant.suspect {
+		e.suspectGrants--
 	}
-	if len(e.flights) == 0 {
+	if len(e.grants) == 0 {
 		e.promptTokens, e.uncachedTokens = 0, 0
 	}
-	return f
+	return grant
 }
--- a/routing/estimator.go
+++ b/routing/estimator.go
@@ -2,46 +2,46 @@
 
 import "math"
 
-// priorLeft is the part of a prior line that each sample leaves.
-const priorLeft = 0.8
+// priorDecay is the factor by which each sample reduces the weight of the prior.
+const priorDecay = 0.8
 
-// leastRidge is the part of the spread's square below which the amounts' variance
-// tells no slope, however many samples there are.
-const leastRidge = 0.01
+// minRidgeFraction is the lower bound of the ridge term, as a fraction of the squared spread. Amounts
+// with a variance below it do not determine a slope, however many samples there are.
+const minRidgeFraction = 0.01
 
-// outlier bounds a sample to so many times what was expected.
-const outlier = 8
+// maxOutlierRatio caps a sample at this multiple of its expected value.
+const maxOutlierRatio = 8
 
-// Estimator learns a Line from samples by exponentially weighted moments. The
-// zero value has no samples. A prior line stands in for what the samples do not
-// tell: all of it at first, and its slope as long as all amounts were alike.
+// Estimator fits a LinearModel to samples by exponentially weighted moments. The zero value has no
+// samples. A prior supplies what the samples do not determine: the whole model at first, and the slope
+// as long as all amounts are similar.
 type Estimator struct {
 	samples      int
 	x, y, xx, xy float64
 }
 
-// Add takes a sample: seconds for an amount. It moves the moments by rate, by
-// more while there are few samples.
+// Add records a sample: the seconds taken for an amount. The moments move by rate, or by more while
+// there are few samples.
 func (e *Estimator) Add(amount, seconds, rate float64) {
 	e.samples++
-	part := max(rate, 1/float64(e.samples))
-	e.x += part * (amount - e.x)
-	e.y += part * (seconds - e.y)
-	e.xx += part * (amount*amount - e.xx)
-	e.xy += part * (amount*seconds - e.xy)
+	weight := max(rate, 1/float64(e.samples))
+	e.x += weight * (amount - e.x)
+	e.y += weight * (seconds - e.y)
+	e.xx += weight * (amount*amount - e.xx)
+	e.xy += weight * (amount*seconds - e.xy)
 }
 
-// LinearModel returns the line through the samples and the prior. Spread is the scale of
-// differences between amounts, for which the prior's slope is given up.
+// Fit returns the model that combines the samples with the prior. spread is the scale of variation in
+// the amounts above which the samples override the prior's slope.
 func (e *Estimator) Fit(prior LinearModel, spread float64) LinearModel {
 	if e.samples == 0 {
 		return prior
 	}
-	left := math.Pow(priorLeft, float64(e.samples))
-	ridge := spread * spread * max(left, leastRidge)
+	priorWeight := math.Pow(priorDecay, float64(e.samples))
+	ridge := spread * spread * max(priorWeight, minRidgeFraction)
 	slope := (e.xy - e.x*e.y + ridge*prior.Slope) / (e.xx - e.x*e.x + ridge)
 	slope = max(slope, 0)
-	mean := (1-left)*e.y + left*prior.At(e.x)
+	mean := (1-priorWeight)*e.y + priorWeight*prior.At(e.x)
 	base := mean - slope*e.x
 	if base < 0 {
 		return LinearModel{Slope: mean / e.x}
--- a/routing/factory.go
+++ b/routing/factory.go
@@ -8,8 +8,8 @@
 	"hawthornrill.example/hawthornrill/capacity"
 )
 
-// Factory makes a node's Routers, one for each pool group that the node comes to
-// own, and shows the state of those still in use.
+// Factory creates the Routers of a node, one for each pool group that the node owns, and exposes the
+// state of those still in use.
 type Factory struct {
 	options Options
 
@@ -17,12 +17,12 @@
 	routers []weak.Pointer[Router]
 }
 
-// NewFactory returns a factory of Routers with the options.
+// NewFactory returns a Factory that creates Routers with the given options.
 func NewFactory(options Options) *Factory {
 	return &Factory{options: options.WithDefaults()}
 }
 
-// New makes a Router; it fits capacity.Options.NewChooser.
+// New creates a Router. It is suitable as capacity.Options.NewChooser.
 func (f *Factory) New() capacity.Chooser {
 	rt := NewRouter(f.options)
 	f.mu.Lock()
@@ -32,7 +32,7 @@
 	return rt
 }
 
-// State returns what all Routers have learned, for the dump.
+// State returns the learned state of all Routers in use, for diagnostics.
 func (f *Factory) State() []EndpointDump {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,7 +46,7 @@
 	return state
 }
 
-// prune drops Routers that are no longer in use.
+// prune removes Routers that have been garbage-collected.
 func (f *Factory) prune() {
 	f.routers = slices.DeleteFunc(f.routers, func(p weak.Pointer[Router]) bool { return p.Value() == nil })
 }
--- a/routing/filter_ejected.go
+++ b/routing/filter_ejected.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// EjectedFilter drops endpoints that failed. After its time out of service an
-// endpoint is kept for a single request, whose end decides.
+// EjectedFilter drops endpoints that are out of service after a failure. When the ejection time has
+// elapsed, it admits one probe request at a time, whose result decides.
 type EjectedFilter struct {
-	// ProbeTimeout is how long a single request may be out before another is tried.
+	// ProbeTimeout is the time after which an unanswered probe may be followed by another.
 	ProbeTimeout time.Duration
 }
 
--- a/routing/filter_leaving.go
+++ b/routing/filter_leaving.go
@@ -1,7 +1,7 @@
 package routing
 
-// LeavingFilter keeps endpoints that are neither leaving nor drained. The owner
-// offers no others; the promise that nothing new goes to them is held here too.
+// LeavingFilter drops endpoints that are leaving or drained. The owner does not offer such endpoints;
+// the filter is a second line of defence for the guarantee that they receive no new requests.
 type LeavingFilter struct{}
 
 // Keep implements Filter.
--- a/routing/filter_suspect.go
+++ b/routing/filter_suspect.go
@@ -1,11 +1,10 @@
 package routing
 
-// SuspectFilter keeps suspects apart: an endpoint runs one at a time. If it then
-// crashes, the others that were suspected of the crash before are not blamed
-// again, and have time to complete elsewhere.
+// SuspectFilter limits each endpoint to one suspect request at a time. If the endpoint crashes again,
+// other suspects of the earlier crash are not implicated, and can complete elsewhere.
 type SuspectFilter struct{}
 
 // Keep implements Filter.
 func (SuspectFilter) Keep(r *Request, c *Candidate) bool {
-	return !r.Suspect || c.Learned.suspects == 0
+	return !r.Suspect || c.Learned.suspectGrants == 0
 }
--- a/routing/generation.go
+++ b/routing/generation.go
@@ -1,29 +1,28 @@
 package routing
 
-// generationSamples is the number of samples up to which a generation learns from
-// stragglers too, as nothing is known yet of what is usual.
-const generationSamples = 16
+// minGenerationSamples is the number of samples below which a generation also learns from stragglers,
+// since there is no baseline yet.
+const minGenerationSamples = 16
 
-// Generation is the learned speed of a kind of hardware in the pool group: what is
-// expected of an endpoint of which little is known, and what a straggler is held
-// against.
+// Generation is the learned speed of a hardware generation within the pool group. It is the prior for
+// endpoints with few samples and the baseline for straggler detection.
 type Generation struct {
 	profile Profile
 	prior   Speed
 }
 
-// NewGeneration returns a generation of which nothing but the prior is known.
+// NewGeneration returns a generation without samples.
 func NewGeneration(prior Speed) *Generation {
 	return &Generation{profile: NewProfile(prior), prior: prior}
 }
 
-// Speed returns the expected speed.
+// Speed returns the learned speed, or the prior while there are no samples.
 func (g *Generation) Speed() Speed { return g.profile.speed }
 
-// Learn takes a sample of one of its endpoints. Samples of a straggler do not
-// count, unless most of the generation is slow: then that is the usual speed.
+// Learn adds a sample from one of the generation's endpoints. Samples from a straggler are ignored
+// unless most of the generation is slow, in which case they represent its normal speed.
 func (g *Generation) Learn(s Sample, rate float64, straggler, mostSlow bool) {
-	if straggler && !mostSlow && g.profile.Samples() >= generationSamples {
+	if straggler && !mostSlow && g.profile.Samples() >= minGenerationSamples {
 		return
 	}
 	g.profile.Learn(s, rate, g.prior)
--- a/routing/health.go
+++ b/routing/health.go
@@ -1,18 +1,18 @@
 package routing
 
-// Health is whether an endpoint may be used after failures.
+// Health is the availability of an endpoint with regard to failures.
 type Health uint8
 
 const (
-	// HealthInService endpoints may be used.
+	// HealthInService means that the endpoint may be used.
 	HealthInService Health = iota
-	// HealthEjected endpoints are out of service for a time.
+	// HealthEjected means that the endpoint is temporarily out of service.
 	HealthEjected
-	// HealthProbation endpoints may be tried by one request at a time.
+	// HealthProbation means that the endpoint may be probed by one request at a time.
 	HealthProbation
 )
 
-// String returns the name for logs and dumps.
+// String returns the name used in logs and dumps.
 func (h Health) String() string {
 	return [...]string{"in_service", "ejected", "probation"}[h]
 }
--- a/routing/linearmodel.go
+++ b/routing/linearmodel.go
@@ -1,11 +1,11 @@
 package routing
 
-// LinearModel is a time that grows with an amount: Base seconds, and Slope seconds for
-// each unit.
+// LinearModel is a duration that grows linearly with an amount: Base seconds plus Slope seconds per
+// unit.
 type LinearModel struct {
 	Base  float64 `json:"base_seconds"`
 	Slope float64 `json:"seconds_per_unit"`
 }
 
-// At returns the seconds for an amount.
+// At returns the predicted seconds for an amount.
 func (l LinearModel) At(amount float64) float64 { return l.Base + l.Slope*amount }
--- a/routing/loadreport.go
+++ b/routing/loadreport.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// loadReport is an endpoint's own report. The zero value is older than any.
+// loadReport is the load reported by an endpoint. The zero value counts as expired.
 type loadReport struct {
 	Requests int
-	// At is when the reported load was the case.
+	// At is the time at which the load was measured.
 	At time.Time
 }
 
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	// crashWindow is how long results may tell of the same crash.
+	// crashWindow is the time within which failed requests are attributed to the same crash.
 	crashWindow = 3 * time.Second
-	// forgetAfter is how long an endpoint that is not seen stays listed, and
-	// forgetEvery how often that is looked at.
-	forgetAfter = 10 * time.Minute
-	forgetEvery = time.Minute
+	// endpointRetention is how long an endpoint stays listed after it was last seen; pruneInterval is
+	// how often expired ones are removed.
+	endpointRetention = 10 * time.Minute
+	pruneInterval     = time.Minute
 )
 
 // Observe implements capacity.Chooser.
 func (rt *Router) Observe(now time.Time, state *capacity.EndpointState, ask *capacity.Ask, result capacity.Result) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	rt.forget(now)
+	rt.pruneEndpoints(now)
 	e := rt.endpoint(now, state)
-	f, known := e.take(ask.Fingerprint)
+	grant, known := e.removeGrant(ask.Fingerprint)
 	if !known {
-		f = rt.unknownFlight(now, state, ask)
+		grant = rt.untrackedGrant(now, state, ask)
 	}
 	switch {
 	case result.Crashed:
-		rt.crashed(now, e, f, ask, state.Requests == 0)
+		rt.handleCrash(now, e, grant, ask, state.Requests == 0)
 	case result.Unreachable:
-		rt.fail(now, e, f)
+		rt.handleUnreachable(now, e, grant)
 	case result.Complete:
-		rt.completed(now, e, f, ask, state, result)
+		rt.handleCompleted(now, e, grant, ask, state, result)
 	case result.Dispatched && result.FirstToken > 0:
-		rt.learn(now, e, f, state, result)
+		rt.learnSpeed(now, e, grant, state, result)
 		e.ejector.RecordSuccess()
 	default:
 		e.ejector.EndProbe()
 	}
-	e.look(now, state)
+	e.updateState(now, state)
 }
 
-// unknownFlight stands for a grant of which nothing was noted.
-func (rt *Router) unknownFlight(now time.Time, state *capacity.EndpointState, ask *capacity.Ask) flight {
-	return flight{
+// untrackedGrant returns an approximation of a grant that was not tracked.
+func (rt *Router) untrackedGrant(now time.Time, state *capacity.EndpointState, ask *capacity.Ask) trackedGrant {
+	return trackedGrant{
 		placed: now,
 		work:   float64(ask.PromptTokens + rt.options.RequestOverheadTokens*state.Requests),
 		batch:  float64(state.Requests + 1),
@@ -54,55 +54,55 @@
 	}
 }
 
-func (rt *Router) completed(now time.Time, e *Endpoint, f flight, ask *capacity.Ask, state *capacity.EndpointState, result capacity.Result) {
+func (rt *Router) handleCompleted(now time.Time, e *Endpoint, grant trackedGrant, ask *capacity.Ask, state *capacity.EndpointState, result capacity.Result) {
 	e.ejector.RecordSuccess()
 	rt.options.Quarantine.Completed(ask.Fingerprint)
-	e.trust.Observe(f.cached, float64(result.CachedTokens))
-	rt.counters.reported.Add(result.CachedTokens)
-	rt.learn(now, e, f, state, result)
+	e.cacheTrust.Observe(grant.cached, float64(result.CachedTokens))
+	rt.counters.reportedCachedTokens.Add(result.CachedTokens)
+	rt.learnSpeed(now, e, grant, state, result)
 }
 
-// learn takes a result as a sample of the endpoint's and its generation's speed.
-// A straggler's own speed is not learned, and begins anew when it has recovered: the
-// samples by which it was found out are in the old one.
-func (rt *Router) learn(now time.Time, e *Endpoint, f flight, state *capacity.EndpointState, result capacity.Result) {
-	s := sampleOf(f, state.Requests+1, result)
+// learnSpeed adds a result to the speed models of the endpoint and its generation. A straggler's own
+// speed is not updated, and is reset when it recovers, because it still contains the slow samples from
+// before the detection.
+func (rt *Router) learnSpeed(now time.Time, e *Endpoint, grant trackedGrant, state *capacity.EndpointState, result capacity.Result) {
+	s := newSample(grant, state.Requests+1, result)
 	wasSlow := e.straggler.IsStraggler(rt.options.StragglerRatio)
-	e.straggler.Observe(now, s.ratio(e.generation.Speed()), f.probe)
+	e.straggler.Observe(now, s.ratio(e.generation.Speed()), grant.probe)
 	slow := e.straggler.IsStraggler(rt.options.StragglerRatio)
 	if wasSlow && !slow {
-		e.unlearn()
+		e.resetSpeed()
 	}
 	if slow {
-		rt.counters.stragglers.Inc()
+		rt.counters.stragglerSamples.Inc()
 	} else {
-		e.learn(s, rt.options.LearnRate)
+		e.learnSample(s, rt.options.LearnRate)
 	}
-	e.generation.Learn(s, rt.options.LearnRate/2, slow, rt.mostSlow(e.generation))
+	e.generation.Learn(s, rt.options.LearnRate/2, slow, rt.mostAreStragglers(e.generation))
 }
 
-// sampleOf corrects the noted work by what the endpoint reported of the cache.
-func sampleOf(f flight, requests int, result capacity.Result) Sample {
+// newSample returns a sample whose estimated work is corrected by the cached tokens that the endpoint
+// reported.
+func newSample(grant trackedGrant, requests int, result capacity.Result) Sample {
 	first := result.FirstToken
 	if first <= 0 {
 		first = result.Total
 	}
-	work := f.work
+	work := grant.work
 	if result.PromptTokens > 0 {
-		work += float64(result.PromptTokens-result.CachedTokens) - f.uncached()
+		work += float64(result.PromptTokens-result.CachedTokens) - grant.uncached()
 	}
 	return Sample{
 		Work:          max(work, 0),
 		FirstToken:    first.Seconds(),
-		Batch:         (f.batch + float64(requests)) / 2,
+		Batch:         (grant.batch + float64(requests)) / 2,
 		DecodeTokens:  max(result.AnswerTokens-1, 0),
 		DecodeSeconds: max(result.Total-first, 0).Seconds(),
 	}
 }
 
-// mostSlow reports whether more than half of the generation's endpoints are
-// stragglers.
-func (rt *Router) mostSlow(g *Generation) bool {
+// mostAreStragglers reports whether more than half of the generation's endpoints are stragglers.
+func (rt *Router) mostAreStragglers(g *Generation) bool {
 	all, slow := 0, 0
 	for _, e := range rt.endpoints {
 		if e.generation != g {
@@ -116,38 +116,39 @@
 	return 2*slow > all
 }
 
-// fail ejects the endpoint that could not be reached.
-func (rt *Router) fail(now time.Time, e *Endpoint, f flight) {
-	rt.eject(now, e, f, now.Add(rt.options.InitialEjection))
+// handleUnreachable ejects an endpoint that could not be reached.
+func (rt *Router) handleUnreachable(now time.Time, e *Endpoint, grant trackedGrant) {
+	rt.eject(now, e, grant, now.Add(rt.options.InitialEjection))
 }
 
-// crashed blames the content, and ejects the endpoint. Its cache is gone.
-func (rt *Router) crashed(now time.Time, e *Endpoint, f flight, ask *capacity.Ask, last bool) {
+// handleCrash records the request's content with the quarantine, clears the prefix table since the
+// cache is lost, and ejects the endpoint.
+func (rt *Router) handleCrash(now time.Time, e *Endpoint, grant trackedGrant, ask *capacity.Ask, alone bool) {
 	if now.Sub(e.crash.at) > crashWindow {
-		e.crash = crashEvent{at: now, alone: last}
+		e.crash = crashEvent{at: now, alone: alone}
 		e.prefixes.Clear()
 	} else {
 		e.crash.alone = false
 	}
 	rt.options.Quarantine.Crashed(e.id, ask.Fingerprint, e.crash.alone)
-	rt.eject(now, e, f, now)
+	rt.eject(now, e, grant, now)
 }
 
-// eject takes the endpoint out of service. If much of the pool group already is,
-// the cause more likely lies elsewhere, in a content or in this node's network:
-// the endpoint is then tried by single requests from the given instant on.
-func (rt *Router) eject(now time.Time, e *Endpoint, f flight, retry time.Time) {
-	if !e.ejector.RecordFailure(now, f.placed, rt.options.InitialEjection, rt.options.MaxEjection) {
+// eject takes the endpoint out of service. If a large fraction of the pool group is already ejected,
+// the cause is more likely a particular content or this node's network: the endpoint is then probed by
+// single requests from retry on.
+func (rt *Router) eject(now time.Time, e *Endpoint, grant trackedGrant, retry time.Time) {
+	if !e.ejector.RecordFailure(now, grant.placed, rt.options.InitialEjection, rt.options.MaxEjection) {
 		return
 	}
 	rt.counters.ejections.Inc()
-	if rt.ejectedPart(now) > rt.options.MaxEjectedFraction {
+	if rt.ejectedFraction(now) > rt.options.MaxEjectedFraction {
 		e.ejector.Shorten(retry)
 	}
 }
 
-// ejectedPart returns the part of the endpoints that are out of service.
-func (rt *Router) ejectedPart(now time.Time) float64 {
+// ejectedFraction returns the fraction of the listed endpoints that are ejected.
+func (rt *Router) ejectedFraction(now time.Time) float64 {
 	ejected := 0
 	for _, e := range rt.endpoints {
 		if e.ejector.Health(now) == HealthEjected {
@@ -157,20 +158,20 @@
 	return float64(ejected) / float64(max(len(rt.endpoints), 1))
 }
 
-// forget drops endpoints that have not been seen for long from the list.
-func (rt *Router) forget(now time.Time) {
-	if now.Sub(rt.forgotAt) < forgetEvery {
+// pruneEndpoints removes endpoints that have not been seen within endpointRetention.
+func (rt *Router) pruneEndpoints(now time.Time) {
+	if now.Sub(rt.prunedAt) < pruneInterval {
 		return
 	}
-	rt.forgotAt = now
+	rt.prunedAt = now
 	for id, e := range rt.endpoints {
-		if now.Sub(e.seenAt) > forgetAfter {
-			rt.unlist(id, e)
+		if now.Sub(e.lastSeen) > endpointRetention {
+			rt.removeEndpoint(id, e)
 		}
 	}
 }
 
-func (rt *Router) unlist(id domain.EndpointID, e *Endpoint) {
+func (rt *Router) removeEndpoint(id domain.EndpointID, e *Endpoint) {
 	e.listed = false
 	delete(rt.endpoints, id)
 }
@@ -186,18 +187,18 @@
 	}
 }
 
-// CacheEvents implements capacity.Reporter. Events told twice are ignored; a
-// sequence that begins anew tells that the endpoint has lost its cache.
+// CacheEvents implements capacity.Reporter. Duplicate events are ignored. A sequence that restarts
+// means that the endpoint has lost its cache.
 func (rt *Router) CacheEvents(now time.Time, state *capacity.EndpointState, events []endpoint.CacheEvent) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	e := rt.endpoint(now, state)
 	for _, event := range events {
-		rt.cacheEvent(now, e, event)
+		rt.applyCacheEvent(now, e, event)
 	}
 }
 
-func (rt *Router) cacheEvent(now time.Time, e *Endpoint, event endpoint.CacheEvent) {
+func (rt *Router) applyCacheEvent(now time.Time, e *Endpoint, event endpoint.CacheEvent) {
 	switch {
 	case event.Sequence < e.eventSequence/2:
 		e.prefixes.Clear()
--- a/routing/options.go
+++ b/routing/options.go
@@ -8,70 +8,69 @@
 	"hawthornrill.example/hawthornrill/defaults"
 )
 
-// Options are the numbers of a Router. Zero values are replaced by the defaults
-// below; negative ones switch off what can be switched off.
+// Options configures a Router. Zero values are replaced by the defaults below; negative values disable
+// features that can be disabled.
 type Options struct {
-	// Prior is the speed assumed of hardware of which nothing is known, Priors that
-	// of hardware generations by name.
+	// Prior is the assumed speed of unknown hardware; Priors are the assumed speeds of known hardware
+	// generations, by name.
 	Prior  Speed
 	Priors map[string]Speed
-	// LearnRate is the part by which each sample moves a learned speed.
+	// LearnRate is the weight of a new sample in a learned speed.
 	LearnRate float64
-	// RequestOverheadTokens is the work that a request is taken for beyond its tokens; it
-	// stands for the queue of plain services too.
+	// RequestOverheadTokens is the work attributed to each request in addition to its tokens. For
+	// services without tokens it represents the request queue.
 	RequestOverheadTokens int
-	// TokenInterval bounds the batch of an engine: it is saturated where its
-	// learned time between tokens would exceed both this and twice that of a batch
-	// of one. Negative for no bound.
+	// TokenInterval limits the batch size of an engine: the engine is saturated when its predicted
+	// time between tokens exceeds both this value and twice that of a batch of one. Negative means no
+	// limit.
 	TokenInterval time.Duration
-	// PrefillWeight is how much computing a prompt counts beyond the time that the
-	// ask itself waits for it, because it delays the other requests there. Negative
-	// for not at all.
+	// PrefillWeight is the weight of prefill time in the cost, on top of the request's own latency,
+	// since prefill delays the other requests on the endpoint. Negative disables it.
 	PrefillWeight float64
-	// TieMargin is the part of the best cost within which candidates count as equal.
+	// TieMargin is the fraction of the lowest cost within which candidates are considered equal.
 	TieMargin float64
-	// HoldRatio keeps an ask waiting for a better endpoint that has no room now, if
-	// the best one that has would take so many times as long as the better one,
-	// its wait included. Below 1 for never.
+	// HoldRatio holds a request back for a faster endpoint without free capacity if the best available
+	// endpoint would take more than this many times as long as the faster one including the wait for
+	// it. Values below 1 disable it.
 	HoldRatio float64
-	// PrefixBlocks bounds the prompt blocks remembered for an endpoint.
+	// PrefixBlocks limits the number of prompt blocks tracked for each endpoint.
 	PrefixBlocks int
-	// EvictionLag is how old a cache event may be: an eviction does not count for
-	// a block that was dispatched more recently.
+	// EvictionLag is the maximum delay of cache events. Evictions of blocks dispatched more recently
+	// are ignored.
 	EvictionLag time.Duration
-	// Sessions bounds the sessions remembered, SessionTTL for how long.
+	// MaxSessions limits the number of sessions tracked, SessionTTL the time for which they are.
 	MaxSessions int
 	SessionTTL  time.Duration
-	// StragglerRatio is how many times as long as its hardware generation an
-	// endpoint must take to be a straggler.
+	// StragglerRatio is the latency relative to the hardware generation from which an endpoint is a
+	// straggler.
 	StragglerRatio float64
-	// ProbeInterval is the time without a sample after which a straggler is tried again.
+	// ProbeInterval is the time without a sample after which a straggler is probed.
 	ProbeInterval time.Duration
-	// Silence is how long an endpoint may hold prompts without any progress being
-	// heard of, beyond three times the time expected for them.
+	// StallTimeout is how long an endpoint may hold prompts without reported progress, in addition to
+	// three times their expected duration.
 	StallTimeout time.Duration
-	// InitialEjection is the time out of service after a failure; it doubles with each
-	// further one up to MaxEjection.
+	// InitialEjection is the ejection time after the first failure; it doubles with each further
+	// failure up to MaxEjection.
 	InitialEjection time.Duration
 	MaxEjection     time.Duration
-	// MaxEjectedFraction is the part of a pool group's endpoints that crashes may take out of
-	// service at a time; the rest is tried by single requests instead.
+	// MaxEjectedFraction is the fraction of a pool group's endpoints that may be ejected at a time;
+	// beyond it, failed endpoints are probed by single requests instead.
 	MaxEjectedFraction float64
-	// ProbeTimeout is how long a single request may be out before another is tried.
+	// ProbeTimeout is the time after which an unanswered probe may be followed by another.
 	ProbeTimeout time.Duration
 	// MaxReportAge is the age up to which a load report is used.
 	MaxReportAge time.Duration
-	// ReportWeight is the part that a load report counts.
+	// ReportWeight is the weight of load that is reported but was not granted by this owner.
 	ReportWeight float64
-	// MinForecastSamples is the number of samples below which nothing is forecast.
+	// MinForecastSamples is the number of samples below which no forecast is made.
 	MinForecastSamples int
-	// Quarantine remembers contents that crash endpoints; nil for none.
+	// Quarantine tracks contents that crash endpoints; nil for none.
 	Quarantine Quarantine
-	// Metrics is where counters are registered; nil for a set of its own.
+	// Metrics is the set in which counters are registered; nil for a private set.
 	Metrics *metrics.Set
 }
 
-// The defaults of Options.
+// Default values of Options.
 const (
 	DefaultLearnRate             = 0.05
 	DefaultRequestOverheadTokens = 16
@@ -95,13 +94,13 @@
 	DefaultMinForecastSamples    = 8
 )
 
-// DefaultPrior is the speed of hardware of which nothing is known.
+// DefaultPrior is the assumed speed of unknown hardware.
 var DefaultPrior = Speed{
 	FirstToken: LinearModel{Base: 0.02, Slope: 100e-6},
 	Interval:   LinearModel{Base: 0.02, Slope: 0.5e-3},
 }
 
-// WithDefaults returns the options with every zero replaced.
+// WithDefaults returns the options with zero values replaced by the defaults.
 func (o Options) WithDefaults() Options {
 	if o.Prior == (Speed{}) {
 		o.Prior = DefaultPrior
--- a/routing/pipeline.go
+++ b/routing/pipeline.go
@@ -1,29 +1,29 @@
 package routing
 
-// Filter says whether a candidate may serve the ask.
+// Filter decides whether a candidate may serve the request.
 type Filter interface {
 	Keep(r *Request, c *Candidate) bool
 }
 
-// Scorer adds to each candidate's Estimate what it knows. Scorers run in the order
-// of the pipeline, and a later one may use what an earlier one has found.
+// Scorer refines the Estimate of each candidate. Scorers run in pipeline order and may use the results
+// of earlier ones.
 type Scorer interface {
 	Score(r *Request, candidates []Candidate)
 }
 
-// Picker chooses among the candidates left, of which there is at least one.
+// Picker selects one of the remaining candidates, of which there is at least one.
 type Picker interface {
 	Pick(r *Request, candidates []Candidate) int
 }
 
-// Pipeline is the order of steps of a decision.
+// Pipeline is the sequence of steps of a routing decision.
 type Pipeline struct {
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
 }
 
-// NewPipeline returns the steps in their usual order.
+// NewPipeline returns the default pipeline.
 func NewPipeline(o Options) Pipeline {
 	return Pipeline{
 		Filters: []Filter{
@@ -45,7 +45,7 @@
 	}
 }
 
-// Filter returns the candidates that all filters keep, in the same array.
+// Filter returns the candidates that pass all filters, reusing the slice's array.
 func (p *Pipeline) Filter(r *Request, candidates []Candidate) []Candidate {
 	kept := 0
 	for i := range candidates {
@@ -69,14 +69,14 @@
 	return true
 }
 
-// Score fills in the candidates' estimates, which must be zero before.
+// Score fills in the candidates' estimates, which must be zero.
 func (p *Pipeline) Score(r *Request, candidates []Candidate) {
 	for _, scorer := range p.Scorers {
 		scorer.Score(r, candidates)
 	}
 }
 
-// Choose scores all candidates and picks one.
+// Choose scores all candidates and returns the selected one.
 func (p *Pipeline) Choose(r *Request, candidates []Candidate) *Candidate {
 	p.Score(r, candidates)
 	return &candidates[p.Picker.Pick(r, candidates)]
--- a/routing/prefixindex.go
+++ b/routing/prefixindex.go
@@ -1,8 +1,7 @@
 package routing
 
-// indexEntry is a node's number plus one in the lower half, 0 if there is none, and
-// the upper half of its block's hash, which tells most blocks apart without a look
-// at the node.
+// indexEntry holds a node number plus one in the lower half, or 0 if the slot is empty, and the upper
+// half of the block's hash. The latter resolves most lookups without access to the node.
 type indexEntry uint64
 
 const (
@@ -16,11 +15,11 @@
 
 func (e indexEntry) node() uint32 { return uint32(e&nodeMask) - 1 }
 
-// tells reports whether the entry is of a block with the upper half of the hash.
-func (e indexEntry) tells(hash uint64) bool { return (uint64(e)^hash)>>nodeBits == 0 }
+// matches reports whether the entry's block has the same upper half of the hash.
+func (e indexEntry) matches(hash uint64) bool { return (uint64(e)^hash)>>nodeBits == 0 }
 
-// contains reports whether the block is in the table. One in 2^32 others is taken
-// for it, which costs no more than a poor estimate.
+// contains reports whether the block is in the table. It compares half of the hash only: the
+// false-positive rate of one in 2^32 merely makes an estimate inaccurate.
 func (t *PrefixTable) contains(hash uint64) bool {
 	mask := uint64(len(t.index) - 1)
 	for slot := hash & mask; ; slot = (slot + 1) & mask {
@@ -28,49 +27,50 @@
 		if entry == 0 {
 			return false
 		}
-		if entry.tells(hash) {
+		if entry.matches(hash) {
 			return true
 		}
 	}
 }
 
-// find returns the block's node.
-func (t *PrefixTable) find(hash uint64) (uint32, bool) {
-	slot, ok := t.slot(hash)
+// findNode returns the node of the block.
+func (t *PrefixTable) findNode(hash uint64) (uint32, bool) {
+	slot, ok := t.findSlot(hash)
 	if !ok {
 		return 0, false
 	}
 	return t.index[slot].node(), true
 }
 
-// slot returns the block's place in the index, or the empty one where it belongs.
-func (t *PrefixTable) slot(hash uint64) (int, bool) {
-	for slot := t.home(hash); ; slot = t.next(slot) {
+// findSlot returns the index slot of the block, or the empty slot where it would be inserted.
+func (t *PrefixTable) findSlot(hash uint64) (int, bool) {
+	for slot := t.homeSlot(hash); ; slot = t.nextSlot(slot) {
 		entry := t.index[slot]
 		if entry == 0 {
 			return slot, false
 		}
-		if entry.tells(hash) && t.nodes[entry.node()].hash == hash {
+		if entry.matches(hash) && t.nodes[entry.node()].hash == hash {
 			return slot, true
 		}
 	}
 }
 
-// home returns where the search for a block begins. Blocks are hashes already.
-func (t *PrefixTable) home(hash uint64) int { return int(hash & uint64(len(t.index)-1)) }
+// homeSlot returns the start of the probe sequence. Block IDs are already hashes.
+func (t *PrefixTable) homeSlot(hash uint64) int { return int(hash & uint64(len(t.index)-1)) }
 
-func (t *PrefixTable) next(slot int) int { return (slot + 1) & (len(t.index) - 1) }
+func (t *PrefixTable) nextSlot(slot int) int { return (slot + 1) & (len(t.index) - 1) }
 
 func (t *PrefixTable) insert(node uint32) {
 	hash := t.nodes[node].hash
-	slot, _ := t.slot(hash)
+	slot, _ := t.findSlot(hash)
 	t.index[slot] = entryOf(node, hash)
 }
 
-// vacate empties a slot and moves later entries up, so that no search stops short.
-func (t *PrefixTable) vacate(slot int) {
-	for probe := t.next(slot); t.index[probe] != 0; probe = t.next(probe) {
-		home := t.home(t.nodes[t.index[probe].node()].hash)
+// deleteSlot empties a slot and shifts later entries of the probe sequence back, so that lookups do
+// not end early.
+func (t *PrefixTable) deleteSlot(slot int) {
+	for probe := t.nextSlot(slot); t.index[probe] != 0; probe = t.nextSlot(probe) {
+		home := t.homeSlot(t.nodes[t.index[probe].node()].hash)
 		if t.between(slot, home, probe) {
 			continue
 		}
@@ -80,7 +80,7 @@
 	t.index[slot] = 0
 }
 
-// between reports whether home lies after slot and not after probe, in the circle.
+// between reports whether home lies in the circular interval (slot, probe].
 func (t *PrefixTable) between(slot, home, probe int) bool {
 	if slot <= probe {
 		return slot < home && home <= probe
@@ -88,7 +88,7 @@
 	return slot < home || home <= probe
 }
 
-// grow doubles the index.
+// grow doubles the size of the index.
 func (t *PrefixTable) grow() {
 	old := t.index
 	t.index = make([]indexEntry, 2*len(old))
--- a/routing/prefixtable.go
+++ b/routing/prefixtable.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// nilNode ends the list of a PrefixTable.
+// nilNode marks the ends of the linked list in a PrefixTable.
 const nilNode = ^uint32(0)
 
-// prefixGrowth is the first size of a PrefixTable.
-const prefixGrowth = 64
+// initialPrefixBlocks is the number of blocks for which the index of an empty PrefixTable is sized.
+const initialPrefixBlocks = 64
 
-// prefixNode is a block in the table, in a list by use.
+// prefixNode is a block in the table, linked in LRU order.
 type prefixNode struct {
 	hash       uint64
 	newer      uint32
@@ -19,17 +19,15 @@
 	dispatched uint32
 }
 
-// PrefixTable remembers which prompt blocks an endpoint holds: a set with a bound
-// that forgets the block used least recently. A prompt's first blocks count as
-// used after its later ones, so that a prefix is forgotten from its end, as
-// engines evict. It is an open-addressing index over a list in one array, about 40
-// bytes a block; one goroutine uses it at a time.
+// PrefixTable tracks the prompt blocks cached by an endpoint: a bounded LRU set. The first blocks of a
+// prompt are marked as used after its later ones, so that a prefix is evicted from its end, as engines
+// do. It is an open-addressing index over a linked list in one array and needs about 40 bytes per
+// block. It is not safe for concurrent use.
 type PrefixTable struct {
 	bound int
 	start time.Time
 	nodes []prefixNode
-	// index is a hash table; its length is a power of two and at least twice the
-	// number of blocks.
+	// index is a hash table whose length is a power of two and at least twice the number of blocks.
 	index  []indexEntry
 	free   []uint32
 	newest uint32
@@ -37,8 +35,8 @@
 	used   int
 }
 
-// NewPrefixTable returns an empty table for at most bound blocks. Start is an
-// instant before all others.
+// NewPrefixTable returns an empty table for at most bound blocks. start must precede all times passed
+// to its methods.
 func NewPrefixTable(bound int, start time.Time) *PrefixTable {
 	t := &PrefixTable{bound: max(bound, 1), start: start}
 	t.Clear()
@@ -48,14 +46,14 @@
 // Len returns the number of blocks.
 func (t *PrefixTable) Len() int { return t.used }
 
-// Clear forgets all blocks.
+// Clear removes all blocks.
 func (t *PrefixTable) Clear() {
 	t.nodes, t.free, t.used = nil, nil, 0
-	t.index = make([]indexEntry, 2*prefixGrowth)
+	t.index = make([]indexEntry, 2*initialPrefixBlocks)
 	t.newest, t.oldest = nilNode, nilNode
 }
 
-// SetBound changes the bound.
+// SetBound changes the maximum number of blocks and evicts the least recently used ones beyond it.
 func (t *PrefixTable) SetBound(bound int) {
 	t.bound = max(bound, 1)
 	for t.used > t.bound {
@@ -63,10 +61,9 @@
 	}
 }
 
-// Depth returns how many of a prompt's leading blocks are in the table, on the
-// understanding that a prefix is evicted from its end: it may overlook a block
-// missing before others that are there. It is quickest if the guess is right; the
-// depth at another endpoint often is.
+// Depth returns the number of leading blocks of a prompt that are in the table. It uses binary search,
+// which assumes that prefixes are evicted from their end: a missing block may be overlooked if later
+// ones are present. A correct guess makes it fastest; the depth at another endpoint is often one.
 func (t *PrefixTable) Depth(blocks []uint64, guess int) int {
 	if len(blocks) == 0 || t.used == 0 || !t.contains(blocks[0]) {
 		return 0
@@ -85,29 +82,29 @@
 	return low + sort.Search(high-low, func(i int) bool { return !t.contains(blocks[low+i]) })
 }
 
-// Dispatched adds a prompt's blocks and marks them used now.
+// Dispatched adds the blocks of a prompt and marks them as used now.
 func (t *PrefixTable) Dispatched(now time.Time, blocks []uint64) {
 	seconds := t.seconds(now)
 	if len(blocks) > t.bound {
 		blocks = blocks[:t.bound]
 	}
 	for i := len(blocks) - 1; i >= 0; i-- {
-		t.use(blocks[i], seconds)
+		t.touch(blocks[i], seconds)
 	}
 }
 
-// Stored adds a block of which an event said that it is held. It does not count as
-// used: what is known already keeps its place.
+// Stored adds a block that a cache event reported as stored. It does not count as used: a block
+// already in the table keeps its LRU position.
 func (t *PrefixTable) Stored(block uint64) {
 	if !t.contains(block) {
-		t.use(block, 0)
+		t.touch(block, 0)
 	}
 }
 
-// Evicted removes a block of which an event said that it is no longer held, unless
-// it was dispatched within lag, as the event may be older than that.
+// Evicted removes a block that a cache event reported as evicted, unless it was dispatched within lag,
+// in which case the event may be older than the dispatch.
 func (t *PrefixTable) Evicted(now time.Time, block uint64, lag time.Duration) {
-	node, ok := t.find(block)
+	node, ok := t.findNode(block)
 	if !ok {
 		return
 	}
@@ -118,14 +115,14 @@
 	t.remove(block)
 }
 
-// seconds returns the whole seconds since the start, at least 1.
+// seconds returns the whole seconds since start, at least 1.
 func (t *PrefixTable) seconds(now time.Time) uint32 {
 	return uint32(now.Sub(t.start)/time.Second) + 1
 }
 
-// use makes the block the newest, adding it if need be.
-func (t *PrefixTable) use(hash uint64, seconds uint32) {
-	node, ok := t.find(hash)
+// touch marks the block as most recently used, adding it if necessary.
+func (t *PrefixTable) touch(hash uint64, seconds uint32) {
+	node, ok := t.findNode(hash)
 	if !ok {
 		node = t.add(hash)
 	} else {
@@ -135,7 +132,7 @@
 	t.linkNewest(node)
 }
 
-// add makes room and returns a node for the block, not yet linked.
+// add evicts a block if the table is full and returns an unlinked node for the new one.
 func (t *PrefixTable) add(hash uint64) uint32 {
 	if t.used >= t.bound {
 		t.remove(t.nodes[t.oldest].hash)
@@ -161,7 +158,7 @@
 }
 
 func (t *PrefixTable) remove(hash uint64) {
-	slot, ok := t.slot(hash)
+	slot, ok := t.findSlot(hash)
 	if !ok {
 		return
 	}
@@ -169,5 +166,5 @@
 	t.unlink(node)
 	t.free = append(t.free, node)
 	t.used--
-	t.vacate(slot)
+	t.deleteSlot(slot)
 }
--- a/routing/prefixtable_test.go
+++ b/routing/prefixtable_test.go
@@ -21,14 +21,14 @@
 		change func(p *PrefixTable)
 		want   int
 	}{
-		"dispatched":                 {func(*PrefixTable) {}, 6},
-		"evicted long after":         {func(p *PrefixTable) { evict(p, time.Minute) }, 3},
-		"eviction older than that":   {func(p *PrefixTable) { evict(p, time.Second) }, 6},
-		"evicted and stored again":   {func(p *PrefixTable) { evict(p, time.Minute); p.Stored(4) }, 4},
-		"bound drops the end":        {func(p *PrefixTable) { p.SetBound(2) }, 2},
-		"others push the end out":    {func(p *PrefixTable) { p.Dispatched(t0, []uint64{11, 12, 13, 14, 15, 16}) }, 4},
-		"stored does not refresh it": {func(p *PrefixTable) { p.Stored(6); p.Dispatched(t0, []uint64{11, 12, 13, 14, 15}) }, 5},
-		"cleared":                    {func(p *PrefixTable) { p.Clear() }, 0},
+		"dispatched":                      {func(*PrefixTable) {}, 6},
+		"evicted after the lag":           {func(p *PrefixTable) { evict(p, time.Minute) }, 3},
+		"evicted within the lag":          {func(p *PrefixTable) { evict(p, time.Second) }, 6},
+		"evicted and stored again":        {func(p *PrefixTable) { evict(p, time.Minute); p.Stored(4) }, 4},
+		"lower bound evicts the end":      {func(p *PrefixTable) { p.SetBound(2) }, 2},
+		"other blocks evict the end":      {func(p *PrefixTable) { p.Dispatched(t0, []uint64{11, 12, 13, 14, 15, 16}) }, 4},
+		"stored event keeps the position": {func(p *PrefixTable) { p.Stored(6); p.Dispatched(t0, []uint64{11, 12, 13, 14, 15}) }, 5},
+		"cleared":                         {func(p *PrefixTable) { p.Clear() }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := NewPrefixTable(10, t0.Add(-time.Hour))
@@ -41,14 +41,14 @@
 	}
 }
 
-// TestPrefixTableIsAnLRU compares the table with a plain list.
-func TestPrefixTableIsAnLRU(t *testing.T) {
+// TestPrefixTableMatchesReferenceLRU compares the table with a slice-based LRU implementation.
+func TestPrefixTableMatchesReferenceLRU(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bound := rapid.IntRange(1, 200).Draw(t, "bound")
 		table := NewPrefixTable(bound, t0)
 		var list []uint64
 		for range rapid.IntRange(0, 600).Draw(t, "steps") {
-			// Hashes that share their lower bits fall on the same place of the index.
+			// Hashes with equal lower bits share a home slot in the index.
 			block := rapid.Uint64Range(0, 300).Draw(t, "block")<<32 | 7
 			at := slices.Index(list, block)
 			if at >= 0 {
--- a/routing/prefixtokens.go
+++ b/routing/prefixtokens.go
@@ -5,7 +5,7 @@
 	"hawthornrill.example/hawthornrill/prefix"
 )
 
-// prefixTokens returns the tokens of the ask's first blocks.
+// prefixTokens returns the number of tokens in the request's first blocks.
 func prefixTokens(ask *capacity.Ask, blocks int) int {
 	if ask.BlockTokens == nil {
 		return min(blocks*prefix.BlockTokens, ask.PromptTokens)
--- a/routing/profile.go
+++ b/routing/profile.go
@@ -1,51 +1,50 @@
 package routing
 
-// Scales of differences that tell a slope from noise: prompt tokens, and requests
-// in a batch.
+// Scales of variation above which samples determine a slope, in prompt tokens and in requests per
+// batch.
 const (
-	workSpread  = 500
-	batchSpread = 3
+	workScale  = 500
+	batchScale = 3
 )
 
-// expectedLeast is the least time in seconds that a sample is held against.
-const expectedLeast = 5e-3
+// minExpectedSeconds is the lower bound of the expected time from which the outlier cap is derived.
+const minExpectedSeconds = 5e-3
 
-// Profile is a learned Speed.
+// Profile is a Speed learned from samples.
 type Profile struct {
 	first, interval Estimator
-	// speed is what the samples and the last prior give.
+	// speed is the fit to the samples and the last prior.
 	speed Speed
 }
 
 // NewProfile returns a profile without samples.
 func NewProfile(prior Speed) Profile { return Profile{speed: prior} }
 
-// Speed returns what has been learned.
+// Speed returns the learned speed, or the prior while there are no samples.
 func (p *Profile) Speed() Speed { return p.speed }
 
-// Samples returns the number of times to a first token learned from.
+// Samples returns the number of first-token samples.
 func (p *Profile) Samples() int { return p.first.samples }
 
-// Learn takes a sample.
+// Learn adds a sample and updates the fit.
 func (p *Profile) Learn(s Sample, rate float64, prior Speed) {
 	if s.FirstToken > 0 {
-		p.first.Add(s.Work, bounded(s.FirstToken, p.speed.FirstToken.At(s.Work)), rate)
+		p.first.Add(s.Work, clampOutlier(s.FirstToken, p.speed.FirstToken.At(s.Work)), rate)
 	}
 	if s.DecodeTokens > 0 {
 		interval := s.DecodeSeconds / float64(s.DecodeTokens)
-		p.interval.Add(s.Batch, bounded(interval, p.speed.Interval.At(s.Batch)), rate)
+		p.interval.Add(s.Batch, clampOutlier(interval, p.speed.Interval.At(s.Batch)), rate)
 	}
-	p.refresh(prior)
+	p.refit(prior)
 }
 
-// bounded returns the seconds of a sample, bounded so that one outlier does not
-// outweigh many samples.
-func bounded(seconds, expected float64) float64 {
-	return min(seconds, outlier*max(expected, expectedLeast))
+// clampOutlier caps the seconds of a sample so that a single outlier does not outweigh many samples.
+func clampOutlier(seconds, expected float64) float64 {
+	return min(seconds, maxOutlierRatio*max(expected, minExpectedSeconds))
 }
 
-// refresh works the speed out again from the samples and a prior.
-func (p *Profile) refresh(prior Speed) {
-	p.speed.FirstToken = p.first.Fit(prior.FirstToken, workSpread)
-	p.speed.Interval = p.interval.Fit(prior.Interval, batchSpread)
+// refit recomputes the speed from the samples and the prior.
+func (p *Profile) refit(prior Speed) {
+	p.speed.FirstToken = p.first.Fit(prior.FirstToken, workScale)
+	p.speed.Interval = p.interval.Fit(prior.Interval, batchScale)
 }
--- a/routing/quarantinecheck.go
+++ b/routing/quarantinecheck.go
@@ -6,21 +6,21 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Quarantine remembers contents that crash endpoints, over all nodes. Fingerprint
-// 0 stands for no content. Implementations are quick and safe for concurrent use.
+// Quarantine tracks contents that crash endpoints, across all nodes. Fingerprint 0 means no content.
+// Implementations must not block and must be safe for concurrent use.
 type Quarantine interface {
-	// Quarantined returns for how long the content must not be run, 0 if it may be.
+	// Quarantined returns the remaining quarantine time of the content, 0 if it may run.
 	Quarantined(fingerprint uint64) time.Duration
-	// Suspect reports whether the content was running where an endpoint crashed.
+	// Suspect reports whether the content was running on an endpoint when it crashed.
 	Suspect(fingerprint uint64) bool
-	// Crashed tells that the content was running where the endpoint crashed, and
-	// whether it was alone there.
+	// Crashed records that the content was running on the endpoint when it crashed, and whether it was
+	// the only one there.
 	Crashed(endpoint domain.EndpointID, fingerprint uint64, alone bool)
-	// Completed tells that the content was answered in full.
+	// Completed records that a request with the content was answered in full.
 	Completed(fingerprint uint64)
 }
 
-// noQuarantine suspects nothing.
+// noQuarantine is a Quarantine that never quarantines or suspects a content.
 type noQuarantine struct{}
 
 func (noQuarantine) Quarantined(uint64) time.Duration        { return 0 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -7,26 +7,25 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Request is what the steps see of an ask.
+// Request is the input of the pipeline steps.
 type Request struct {
 	Now time.Time
 	Ask *capacity.Ask
-	// Due is when the answer must be complete.
+	// Due is the deadline for the complete answer.
 	Due time.Time
-	// Suspect is true if the same content was running where an endpoint crashed.
+	// Suspect is true if the same content was running on an endpoint when it crashed.
 	Suspect bool
-	// Session is where the session's last turn went, zero if not known.
+	// Session is the location of the session's last turn, zero if unknown.
 	Session SessionLocation
-	// Affinity is equal for asks that had better meet at one endpoint when all else
-	// is equal.
+	// Affinity is equal for requests that should share an endpoint if costs are equal.
 	Affinity uint64
 }
 
-// SessionLocation tells where the last turn of a session went.
+// SessionLocation describes the placement of the last turn of a session.
 type SessionLocation struct {
 	Endpoint domain.EndpointID
 	// Tokens is the length of the conversation after that turn.
 	Tokens int
-	// At is when it was placed.
+	// PlacedAt is the time of the grant.
 	PlacedAt time.Time
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -12,8 +12,8 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Router is the capacity.Chooser of a pool group. It is safe for concurrent use,
-// so that its state can be dumped while it decides.
+// Router is the capacity.Chooser of a pool group. It is safe for concurrent use, so that its state can
+// be dumped while it is in use.
 type Router struct {
 	options  Options
 	pipeline Pipeline
@@ -23,14 +23,15 @@
 	endpoints   map[domain.EndpointID]*Endpoint
 	generations map[string]*Generation
 	sessions    *simplelru.LRU[uint64, SessionLocation]
-	forgotAt    time.Time
+	prunedAt    time.Time
 
-	// turn spreads asks that have no affinity.
-	turn uint64
-	// current, scratch and fullScratch are used again by each decision.
-	current     Request
-	scratch     []Candidate
-	fullScratch []*Endpoint
+	// affinityCounter distributes requests without affinity.
+	affinityCounter uint64
+	// requestScratch, candidateScratch and fullScratch are reused by each decision to avoid
+	// allocations.
+	requestScratch   Request
+	candidateScratch []Candidate
+	fullScratch      []*Endpoint
 }
 
 var (
@@ -38,12 +39,12 @@
 	_ capacity.Reporter = (*Router)(nil)
 )
 
-// NewRouter returns a Router that has learned nothing.
+// NewRouter returns a Router without learned state.
 func NewRouter(options Options) *Router {
 	o := options.WithDefaults()
 	sessions, err := simplelru.NewLRU[uint64, SessionLocation](max(o.MaxSessions, 1), nil)
 	if err != nil {
-		panic(err) // Only a size below 1 is refused.
+		panic(err) // NewLRU fails only for sizes below 1.
 	}
 	return &Router{
 		options:     o,
@@ -55,18 +56,18 @@
 	}
 }
 
-// Admit refuses content in quarantine.
+// Admit implements capacity.Chooser. It refuses quarantined contents.
 func (rt *Router) Admit(_ time.Time, ask *capacity.Ask) error {
-	left := rt.options.Quarantine.Quarantined(ask.Fingerprint)
-	if left <= 0 {
+	remaining := rt.options.Quarantine.Quarantined(ask.Fingerprint)
+	if remaining <= 0 {
 		return nil
 	}
 	rt.counters.quarantined.Inc()
-	return &capacity.Refusal{Err: capacity.ErrQuarantined, RetryAfter: left}
+	return &capacity.Refusal{Err: capacity.ErrQuarantined, RetryAfter: remaining}
 }
 
-// InService reports whether an endpoint would pass the filter of those that failed: it has not, or its time out of
-// service is over and no other request is trying it.
+// InService reports whether the endpoint would pass the EjectedFilter: it has not failed, or its
+// ejection has ended and no probe is outstanding.
 func (rt *Router) InService(now time.Time, id domain.EndpointID) bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -83,35 +84,35 @@
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.counters.decisions.Inc()
-	r := rt.request(now, waiting)
+	r := rt.newRequest(now, waiting)
 	candidates := rt.pipeline.Filter(r, rt.candidates(now, states, waiting.Ask.Pool))
 	if len(candidates) == 0 {
-		return rt.chooseFiltered(r, waiting, states)
+		return rt.chooseWithoutCandidates(r, waiting, states)
 	}
 	best := rt.pipeline.Choose(r, candidates)
-	if !waiting.Pressing && rt.betterLater(r, best, candidates) {
-		rt.counters.held.Inc()
+	if !waiting.Pressing && rt.shouldHoldBack(r, best, candidates) {
+		rt.counters.heldBack.Inc()
 		return 0, false
 	}
 	return best.index, true
 }
 
-// chooseFiltered decides when the filters keep nothing: the ask waits, unless it
-// would be refused for that.
-func (rt *Router) chooseFiltered(r *Request, waiting *capacity.Waiting, states []*capacity.EndpointState) (int, bool) {
-	rt.counters.filtered.Inc()
+// chooseWithoutCandidates decides when no candidate passes the filters: the request waits, unless it
+// would be refused for waiting; then it takes the best unfiltered candidate.
+func (rt *Router) chooseWithoutCandidates(r *Request, waiting *capacity.Waiting, states []*capacity.EndpointState) (int, bool) {
+	rt.counters.noCandidate.Inc()
 	if !waiting.Pressing {
 		return 0, false
 	}
 	return rt.pipeline.Choose(r, rt.candidates(r.Now, states, r.Ask.Pool)).index, true
 }
 
-// betterLater decides about holding the ask back.
-func (rt *Router) betterLater(r *Request, best *Candidate, candidates []Candidate) bool {
+// shouldHoldBack reports whether the request should wait for an endpoint that is currently full.
+func (rt *Router) shouldHoldBack(r *Request, best *Candidate, candidates []Candidate) bool {
 	if rt.options.HoldRatio < 1 {
 		return false
 	}
-	return holdBack(r, best, rt.full(r, candidates), rt.options.HoldRatio)
+	return fasterAfterWait(r, best, rt.fullEndpoints(r, candidates), rt.options.HoldRatio)
 }
 
 // Granted implements capacity.Chooser.
@@ -119,23 +120,23 @@
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	e := rt.endpoint(now, state)
-	e.look(now, state)
-	r := rt.request(now, &capacity.Waiting{Ask: ask})
+	e.updateState(now, state)
+	r := rt.newRequest(now, &capacity.Waiting{Ask: ask})
 	c := rt.estimate(r, state, e)
-	rt.count(ask, c)
-	rt.note(r, c)
+	rt.countTokens(ask, c)
+	rt.trackGrant(r, c)
 	e.prefixes.Dispatched(now, ask.Blocks)
-	rt.remember(now, state.ID, ask)
+	rt.recordSession(now, state.ID, ask)
 }
 
-// note keeps what must be known of the grant when it ends.
-func (rt *Router) note(r *Request, c *Candidate) {
+// trackGrant records what is needed to evaluate the grant when it ends.
+func (rt *Router) trackGrant(r *Request, c *Candidate) {
 	e := c.Learned
 	if r.Ask.Fingerprint == 0 {
 		rt.markProbe(r, e)
 		return
 	}
-	e.place(flight{
+	e.addGrant(trackedGrant{
 		fingerprint: r.Ask.Fingerprint,
 		placed:      r.Now,
 		work:        c.Estimate.Work,
@@ -147,7 +148,7 @@
 	}, c.State.Requests)
 }
 
-// markProbe notes a request that tries a failed or slow endpoint.
+// markProbe records a request that probes a failed endpoint or a straggler.
 func (rt *Router) markProbe(r *Request, e *Endpoint) bool {
 	now := r.Now
 	probe := false
@@ -165,13 +166,13 @@
 	return probe
 }
 
-func (rt *Router) count(ask *capacity.Ask, c *Candidate) {
-	rt.counters.prompt.Add(ask.PromptTokens)
-	rt.counters.predicted.Add(int(c.Estimate.CachedTokens))
+func (rt *Router) countTokens(ask *capacity.Ask, c *Candidate) {
+	rt.counters.promptTokens.Add(ask.PromptTokens)
+	rt.counters.predictedCachedTokens.Add(int(c.Estimate.CachedTokens))
 }
 
-// remember notes where the session went.
-func (rt *Router) remember(now time.Time, id domain.EndpointID, ask *capacity.Ask) {
+// recordSession records the endpoint of the session's last turn.
+func (rt *Router) recordSession(now time.Time, id domain.EndpointID, ask *capacity.Ask) {
 	if ask.Session == "" {
 		return
 	}
@@ -182,8 +183,8 @@
 	})
 }
 
-// Forecast implements capacity.Chooser. It knows nothing of an endpoint as long as
-// there are few samples of it and of its generation.
+// Forecast implements capacity.Chooser. It returns a zero Forecast while both the endpoint and its
+// generation have few samples.
 func (rt *Router) Forecast(now time.Time, state *capacity.EndpointState, ask *capacity.Ask) capacity.Forecast {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -191,30 +192,30 @@
 	if max(e.profile.Samples(), e.generation.profile.Samples()) < rt.options.MinForecastSamples {
 		return capacity.Forecast{}
 	}
-	r := rt.request(now, &capacity.Waiting{Ask: ask})
+	r := rt.newRequest(now, &capacity.Waiting{Ask: ask})
 	c := rt.estimate(r, state, e)
 	return capacity.Forecast{
-		FirstToken: duration(c.Estimate.FirstToken),
-		Total:      duration(c.Estimate.Total),
-		Reading:    duration(c.Estimate.Work * e.Speed().FirstToken.Slope),
+		FirstToken: durationFromSeconds(c.Estimate.FirstToken),
+		Total:      durationFromSeconds(c.Estimate.Total),
+		Reading:    durationFromSeconds(c.Estimate.Work * e.Speed().FirstToken.Slope),
 	}
 }
 
-func duration(seconds float64) time.Duration {
+func durationFromSeconds(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// estimate scores one endpoint by itself.
+// estimate scores a single endpoint.
 func (rt *Router) estimate(r *Request, state *capacity.EndpointState, e *Endpoint) *Candidate {
-	rt.scratch = append(rt.scratch[:0], Candidate{State: state, Learned: e})
-	rt.pipeline.Score(r, rt.scratch)
-	return &rt.scratch[0]
+	rt.candidateScratch = append(rt.candidateScratch[:0], Candidate{State: state, Learned: e})
+	rt.pipeline.Score(r, rt.candidateScratch)
+	return &rt.candidateScratch[0]
 }
 
-// request makes what the steps see of an ask.
-func (rt *Router) request(now time.Time, waiting *capacity.Waiting) *Request {
+// newRequest returns the pipeline input for a queued request.
+func (rt *Router) newRequest(now time.Time, waiting *capacity.Waiting) *Request {
 	ask := waiting.Ask
-	rt.current = Request{
+	rt.requestScratch = Request{
 		Now:      now,
 		Ask:      ask,
 		Due:      waiting.Due,
@@ -222,13 +223,13 @@
 		Affinity: rt.affinity(ask),
 	}
 	if ask.Session != "" {
-		rt.current.Session, _ = rt.sessions.Peek(xxhash.Sum64String(ask.Session))
+		rt.requestScratch.Session, _ = rt.sessions.Peek(xxhash.Sum64String(ask.Session))
 	}
-	return &rt.current
+	return &rt.requestScratch
 }
 
-// affinity returns the hash by which ties are broken: that of the session, or of the
-// first prompt block; asks that have neither take turns.
+// affinity returns the hash used to break ties: that of the session or of the first prompt block.
+// Requests with neither are distributed by a counter.
 func (rt *Router) affinity(ask *capacity.Ask) uint64 {
 	switch {
 	case ask.Session != "":
@@ -236,26 +237,26 @@
 	case len(ask.Blocks) > 0:
 		return ask.Blocks[0]
 	default:
-		rt.turn++
-		return mix(rt.turn)
+		rt.affinityCounter++
+		return mix(rt.affinityCounter)
 	}
 }
 
-// candidates fills the scratch list.
+// candidates fills candidateScratch with the offered endpoints.
 func (rt *Router) candidates(now time.Time, states []*capacity.EndpointState, pool domain.PoolName) []Candidate {
-	rt.scratch = slices.Grow(rt.scratch[:0], len(states))[:len(states)]
+	rt.candidateScratch = slices.Grow(rt.candidateScratch[:0], len(states))[:len(states)]
 	for i, state := range states {
 		e := rt.endpoint(now, state)
-		e.look(now, state)
-		e.serves(pool)
-		c := &rt.scratch[i]
+		e.updateState(now, state)
+		e.addPool(pool)
+		c := &rt.candidateScratch[i]
 		c.State, c.Learned, c.index = state, e, i
 		c.Estimate = Estimate{}
 	}
-	return rt.scratch
+	return rt.candidateScratch
 }
 
-// endpoint returns what has been learned of an endpoint, making it at first.
+// endpoint returns the learned state of an endpoint, creating it on first use.
 func (rt *Router) endpoint(now time.Time, state *capacity.EndpointState) *Endpoint {
 	e, ok := state.Learned.(*Endpoint)
 	if !ok {
@@ -263,7 +264,7 @@
 		state.Learned = e
 	}
 	if name := state.Row.Generation; e.generationName != name {
-		e.join(name, rt.generation(name))
+		e.setGeneration(name, rt.generation(name))
 	}
 	if !e.listed {
 		e.listed = true
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -14,8 +14,8 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// bench drives a Router as an owner does, on a clock of its own.
-type bench struct {
+// testOwner drives a Router as a pool owner does, with a simulated clock.
+type testOwner struct {
 	t      *testing.T
 	now    time.Time
 	router *Router
@@ -23,76 +23,76 @@
 	asks   uint64
 }
 
-func newBench(t *testing.T, endpoints int, options Options) *bench {
-	b := &bench{t: t, now: t0, router: NewRouter(options)}
+func newTestOwner(t *testing.T, endpoints int, options Options) *testOwner {
+	o := &testOwner{t: t, now: t0, router: NewRouter(options)}
 	for i := range endpoints {
-		b.states = append(b.states, &capacity.EndpointState{ID: domain.EndpointID(fmt.Sprint(i)), Row: &config.EndpointRow{ID: domain.EndpointID(fmt.Sprint(i))}})
+		o.states = append(o.states, &capacity.EndpointState{ID: domain.EndpointID(fmt.Sprint(i)), Row: &config.EndpointRow{ID: domain.EndpointID(fmt.Sprint(i))}})
 	}
-	return b
+	return o
 }
 
-// held is a grant that the bench holds.
-type held struct {
+// heldGrant is a grant that has not ended.
+type heldGrant struct {
 	ask   capacity.Ask
 	state *capacity.EndpointState
 }
 
-func (b *bench) ask() capacity.Ask {
-	b.asks++
-	return capacity.Ask{Pool: "model/m", PromptTokens: 400, AnswerTokens: 100, Fingerprint: b.asks}
+func (o *testOwner) ask() capacity.Ask {
+	o.asks++
+	return capacity.Ask{Pool: "model/m", PromptTokens: 400, AnswerTokens: 100, Fingerprint: o.asks}
 }
 
-// choose returns the endpoint's place, -1 if the ask is to wait.
-func (b *bench) choose(ask capacity.Ask, pressing bool) int {
-	waiting := capacity.Waiting{Ask: &ask, Due: b.now.Add(time.Minute), Pressing: pressing}
-	if at, ok := b.router.Choose(b.now, &waiting, b.states); ok {
+// choose returns the index of the chosen endpoint, or -1 if the request has to wait.
+func (o *testOwner) choose(ask capacity.Ask, pressing bool) int {
+	waiting := capacity.Waiting{Ask: &ask, Due: o.now.Add(time.Minute), Pressing: pressing}
+	if at, ok := o.router.Choose(o.now, &waiting, o.states); ok {
 		return at
 	}
 	return -1
 }
 
-func (b *bench) grant(at int, ask capacity.Ask) held {
-	state := b.states[at]
-	b.router.Granted(b.now, state, &ask)
+func (o *testOwner) grant(at int, ask capacity.Ask) heldGrant {
+	state := o.states[at]
+	o.router.Granted(o.now, state, &ask)
 	state.Requests++
 	state.PromptTokens += ask.PromptTokens
 	state.PrefillTokens += ask.PromptTokens
 	state.AnswerTokens += ask.AnswerTokens
-	return held{ask, state}
+	return heldGrant{ask, state}
 }
 
-func (b *bench) end(h held, result capacity.Result) {
+func (o *testOwner) end(h heldGrant, result capacity.Result) {
 	h.state.Requests--
 	h.state.PromptTokens -= h.ask.PromptTokens
 	h.state.PrefillTokens = max(h.state.PrefillTokens-h.ask.PromptTokens, 0)
 	h.state.AnswerTokens -= h.ask.AnswerTokens
-	b.router.Observe(b.now, h.state, &h.ask, result)
+	o.router.Observe(o.now, h.state, &h.ask, result)
 }
 
-// complete is the result of a request that took so many times as long as usual.
-func complete(factor float64) capacity.Result {
+// completeResult returns the result of a request that took factor times the normal duration.
+func completeResult(factor float64) capacity.Result {
 	return capacity.Result{
 		Dispatched: true, Complete: true, PromptTokens: 400, AnswerTokens: 101,
-		FirstToken: duration(0.1 * factor), Total: duration(1.1 * factor),
+		FirstToken: durationFromSeconds(0.1 * factor), Total: durationFromSeconds(1.1 * factor),
 	}
 }
 
-// train runs requests at each endpoint, as slow as its factor.
-func (b *bench) train(rounds int, factors ...float64) {
+// train completes requests on each endpoint, which takes its factor times the normal duration.
+func (o *testOwner) train(rounds int, factors ...float64) {
 	for range rounds {
 		for at, factor := range factors {
-			h := b.grant(at, b.ask())
-			b.now = b.now.Add(100 * time.Millisecond)
-			b.end(h, complete(factor))
+			h := o.grant(at, o.ask())
+			o.now = o.now.Add(100 * time.Millisecond)
+			o.end(h, completeResult(factor))
 		}
 	}
 }
 
-// share returns the part of 200 asks, placed one at a time, that goes to an endpoint.
-func (b *bench) share(at int) float64 {
+// selectionShare returns the fraction of 200 independent decisions that select the endpoint.
+func (o *testOwner) selectionShare(at int) float64 {
 	count := 0
 	for range 200 {
-		if b.choose(b.ask(), false) == at {
+		if o.choose(o.ask(), false) == at {
 			count++
 		}
 	}
@@ -100,253 +100,253 @@
 }
 
 var (
-	refused = capacity.Result{Unreachable: true}
-	broken  = capacity.Result{Dispatched: true, Crashed: true}
+	unreachableResult = capacity.Result{Unreachable: true}
+	crashedResult     = capacity.Result{Dispatched: true, Crashed: true}
 )
 
-// load gives each of the endpoints so many requests that wait for their first token.
-func (b *bench) load(requests int, endpoints ...int) {
+// addLoad places the given number of requests without a first token on each of the endpoints.
+func (o *testOwner) addLoad(requests int, endpoints ...int) {
 	for _, at := range endpoints {
 		for range requests {
-			b.grant(at, b.ask())
+			o.grant(at, o.ask())
 		}
 	}
 }
 
-func TestStragglerIsLeftAloneAndComesBack(t *testing.T) {
-	b := newBench(t, 3, Options{})
-	b.train(20, 1, 1, 1)
-	assert.Assert(t, b.share(0) > 0.2)
-	b.train(3, 6)
-	assert.Equal(t, b.share(0), 0.0)
-	b.load(10, 1, 2)
-	assert.Equal(t, b.share(0), 0.0, "not even when others take twice as long as usual")
-	b.now = b.now.Add(DefaultProbeInterval)
-	assert.Equal(t, b.share(0), 1.0, "tried again")
-	first := b.grant(0, b.ask())
-	assert.Equal(t, b.share(0), 0.0, "by one request, not all")
-	b.end(first, complete(1))
+func TestStragglerIsAvoidedProbedAndRestored(t *testing.T) {
+	o := newTestOwner(t, 3, Options{})
+	o.train(20, 1, 1, 1)
+	assert.Assert(t, o.selectionShare(0) > 0.2)
+	o.train(3, 6)
+	assert.Equal(t, o.selectionShare(0), 0.0)
+	o.addLoad(10, 1, 2)
+	assert.Equal(t, o.selectionShare(0), 0.0, "avoided even when the others take twice as long as normal")
+	o.now = o.now.Add(DefaultProbeInterval)
+	assert.Equal(t, o.selectionShare(0), 1.0, "probed")
+	first := o.grant(0, o.ask())
+	assert.Equal(t, o.selectionShare(0), 0.0, "probed by one request at a time")
+	o.end(first, completeResult(1))
 	for range 2 {
-		b.now = b.now.Add(DefaultProbeInterval)
-		b.end(b.grant(0, b.ask()), complete(1))
+		o.now = o.now.Add(DefaultProbeInterval)
+		o.end(o.grant(0, o.ask()), completeResult(1))
 	}
-	speed := b.router.State()[0].Speed
-	assert.Assert(t, speed.FirstToken.At(400) < 0.115, "what it was found out by is forgotten: %v", speed)
-	b.load(3, 0)
-	assert.Equal(t, b.share(0), 1.0)
+	speed := o.router.State()[0].Speed
+	assert.Assert(t, speed.FirstToken.At(400) < 0.115, "samples from before the detection are discarded: %v", speed)
+	o.addLoad(3, 0)
+	assert.Equal(t, o.selectionShare(0), 1.0)
 }
 
-func TestSilenceAndReports(t *testing.T) {
-	b := newBench(t, 2, Options{})
-	b.train(20, 1, 1)
-	b.load(1, 0, 1)
-	assert.Assert(t, b.share(0) > 0.2)
-	b.router.Report(b.now, b.states[0], endpoint.LoadReport{Running: 20, Waiting: 20})
-	assert.Equal(t, b.share(0), 0.0, "it says that it has other work")
-	b.now = b.now.Add(2 * DefaultMaxReportAge)
-	assert.Assert(t, b.share(0) > 0.2, "long ago")
-	b.load(1, 1)
-	assert.Equal(t, b.share(0), 1.0)
-	b.states[1].PrefillTokens = 400
-	b.choose(b.ask(), false)
-	b.now = b.now.Add(DefaultStallTimeout)
-	assert.Equal(t, b.share(0), 0.0, "no first token has come from there")
+func TestStallAndLoadReports(t *testing.T) {
+	o := newTestOwner(t, 2, Options{})
+	o.train(20, 1, 1)
+	o.addLoad(1, 0, 1)
+	assert.Assert(t, o.selectionShare(0) > 0.2)
+	o.router.Report(o.now, o.states[0], endpoint.LoadReport{Running: 20, Waiting: 20})
+	assert.Equal(t, o.selectionShare(0), 0.0, "a report of additional load is taken into account")
+	o.now = o.now.Add(2 * DefaultMaxReportAge)
+	assert.Assert(t, o.selectionShare(0) > 0.2, "an expired report is ignored")
+	o.addLoad(1, 1)
+	assert.Equal(t, o.selectionShare(0), 1.0)
+	o.states[1].PrefillTokens = 400
+	o.choose(o.ask(), false)
+	o.now = o.now.Add(DefaultStallTimeout)
+	assert.Equal(t, o.selectionShare(0), 0.0, "an endpoint without a first token is avoided")
 }
 
-func TestStragglerDoesNotSpoilItsGeneration(t *testing.T) {
-	b := newBench(t, 3, Options{})
-	b.train(20, 1, 1, 1)
-	b.train(100, 6, 1, 1)
-	state := b.router.State()
+func TestStragglerSamplesDoNotAffectGeneration(t *testing.T) {
+	o := newTestOwner(t, 3, Options{})
+	o.train(20, 1, 1, 1)
+	o.train(100, 6, 1, 1)
+	state := o.router.State()
 	assert.Assert(t, state[0].Straggler && state[0].Ratio > 5, "%v", state[0])
 	assert.Assert(t, state[1].Ratio > 0.9, "%v", state[1])
 }
 
-func TestAllSlowIsNoStraggler(t *testing.T) {
-	b := newBench(t, 3, Options{})
-	b.train(20, 1, 1, 1)
-	b.train(80, 4, 4, 4)
-	for _, e := range b.router.State() {
+func TestUniformlySlowGenerationHasNoStragglers(t *testing.T) {
+	o := newTestOwner(t, 3, Options{})
+	o.train(20, 1, 1, 1)
+	o.train(80, 4, 4, 4)
+	for _, e := range o.router.State() {
 		assert.Assert(t, !e.Straggler && e.Ratio < 1.2, "%v", e)
 	}
 }
 
 func TestSpeedsAreLearned(t *testing.T) {
-	b := newBench(t, 2, Options{})
-	b.train(40, 1, 1.6)
-	assert.Equal(t, b.share(0), 1.0, "the faster one while both are idle")
-	b.load(12, 0)
-	assert.Equal(t, b.share(0), 0.0, "the slower one when the faster one is full of prompts")
+	o := newTestOwner(t, 2, Options{})
+	o.train(40, 1, 1.6)
+	assert.Equal(t, o.selectionShare(0), 1.0, "the faster endpoint is chosen while both are idle")
+	o.addLoad(12, 0)
+	assert.Equal(t, o.selectionShare(0), 0.0, "the slower endpoint is chosen when the faster one has many pending prompts")
 }
 
 func TestEjection(t *testing.T) {
-	b := newBench(t, 3, Options{})
-	b.end(b.grant(0, b.ask()), refused)
-	assert.Equal(t, b.share(0), 0.0)
-	b.now = b.now.Add(DefaultInitialEjection)
-	probe := b.grant(0, b.ask())
+	o := newTestOwner(t, 3, Options{})
+	o.end(o.grant(0, o.ask()), unreachableResult)
+	assert.Equal(t, o.selectionShare(0), 0.0)
+	o.now = o.now.Add(DefaultInitialEjection)
+	probe := o.grant(0, o.ask())
 	probe.state.PrefillTokens = 400
-	assert.Equal(t, b.share(0), 0.0, "tried by a single request")
-	b.end(probe, refused)
-	b.now = b.now.Add(DefaultInitialEjection)
-	assert.Equal(t, b.share(0), 0.0, "out for twice as long")
-	b.now = b.now.Add(DefaultInitialEjection)
-	b.end(b.grant(0, b.ask()), complete(1))
-	assert.Assert(t, b.share(0) > 0)
+	assert.Equal(t, o.selectionShare(0), 0.0, "probed by a single request")
+	o.end(probe, unreachableResult)
+	o.now = o.now.Add(DefaultInitialEjection)
+	assert.Equal(t, o.selectionShare(0), 0.0, "the second ejection is twice as long")
+	o.now = o.now.Add(DefaultInitialEjection)
+	o.end(o.grant(0, o.ask()), completeResult(1))
+	assert.Assert(t, o.selectionShare(0) > 0)
 }
 
-func TestEjectionByOneCrashIsCountedOnce(t *testing.T) {
-	b := newBench(t, 3, Options{})
-	var running []held
+func TestResultsOfOneCrashCountAsOneFailure(t *testing.T) {
+	o := newTestOwner(t, 3, Options{})
+	var running []heldGrant
 	for range 8 {
-		running = append(running, b.grant(0, b.ask()))
+		running = append(running, o.grant(0, o.ask()))
 	}
-	b.now = b.now.Add(time.Second)
+	o.now = o.now.Add(time.Second)
 	for _, h := range running {
-		b.end(h, broken)
-		b.now = b.now.Add(200 * time.Millisecond)
+		o.end(h, crashedResult)
+		o.now = o.now.Add(200 * time.Millisecond)
 	}
-	assert.Equal(t, b.router.State()[0].Failures, 1)
-	assert.Equal(t, b.states[0].Learned.(*Endpoint).ejector.Health(b.now), HealthProbation)
+	assert.Equal(t, o.router.State()[0].Failures, 1)
+	assert.Equal(t, o.states[0].Learned.(*Endpoint).ejector.Health(o.now), HealthProbation)
 }
 
-func TestLastEndpointsStay(t *testing.T) {
-	b := newBench(t, 3, Options{})
+func TestMostlyEjectedPoolIsProbed(t *testing.T) {
+	o := newTestOwner(t, 3, Options{})
 	for at := range 3 {
-		b.end(b.grant(at, b.ask()), broken)
+		o.end(o.grant(at, o.ask()), crashedResult)
 	}
-	assert.Assert(t, b.choose(b.ask(), false) >= 0, "the last ones are tried by single requests")
+	assert.Assert(t, o.choose(o.ask(), false) >= 0, "the remaining endpoints are probed by single requests")
 	for range 2 {
-		at := b.choose(b.ask(), false)
+		at := o.choose(o.ask(), false)
 		assert.Assert(t, at >= 0)
-		b.grant(at, b.ask())
+		o.grant(at, o.ask())
 	}
-	b = newBench(t, 1, Options{})
+	o = newTestOwner(t, 1, Options{})
 	for range 9 {
-		b.end(b.grant(0, b.ask()), refused)
-		assert.Equal(t, b.choose(b.ask(), false), -1)
-		assert.Equal(t, b.choose(b.ask(), true), 0, "a pressing ask takes what there is")
-		b.now = b.now.Add(DefaultInitialEjection)
-		assert.Equal(t, b.choose(b.ask(), false), 0, "the only one is tried each second")
+		o.end(o.grant(0, o.ask()), unreachableResult)
+		assert.Equal(t, o.choose(o.ask(), false), -1)
+		assert.Equal(t, o.choose(o.ask(), true), 0, "a request that cannot wait takes the ejected endpoint")
+		o.now = o.now.Add(DefaultInitialEjection)
+		assert.Equal(t, o.choose(o.ask(), false), 0, "a single endpoint is probed each second")
 	}
 }
 
-func TestAffinity(t *testing.T) {
-	b := newBench(t, 4, Options{})
-	b.train(10, 1, 1, 1, 1)
-	ask := b.ask()
+func TestPrefixAndSessionAffinity(t *testing.T) {
+	o := newTestOwner(t, 4, Options{})
+	o.train(10, 1, 1, 1, 1)
+	ask := o.ask()
 	ask.PromptTokens, ask.Blocks, ask.Session = 4096, make([]uint64, 64), "s"
 	for i := range ask.Blocks {
 		ask.Blocks[i] = mix(uint64(i) + 99)
 	}
-	first := b.choose(ask, false)
-	b.end(b.grant(first, ask), complete(1))
+	first := o.choose(ask, false)
+	o.end(o.grant(first, ask), completeResult(1))
 	other := ask
 	other.Session = "another"
 	next := ask
 	next.Blocks = []uint64{1}
 	for name, ask := range map[string]capacity.Ask{"shared prompt": other, "next turn": next} {
-		b.grant(first, b.ask())
-		assert.Equal(t, b.choose(ask, false), first, name)
+		o.grant(first, o.ask())
+		assert.Equal(t, o.choose(ask, false), first, name)
 	}
-	b.load(40, first)
-	assert.Assert(t, b.choose(other, false) != first, "not at any price")
-	before := b.router.State()[first].CacheTrust
-	b.end(b.grant(first, other), complete(1))
-	assert.Assert(t, b.router.State()[first].CacheTrust < before, "nothing of it was cached")
-	b.router.CacheEvents(b.now, b.states[first], []endpoint.CacheEvent{{Sequence: 9, Block: 5, Stored: true}})
-	e := b.states[first].Learned.(*Endpoint)
+	o.addLoad(40, first)
+	assert.Assert(t, o.choose(other, false) != first, "load outweighs affinity")
+	before := o.router.State()[first].CacheTrust
+	o.end(o.grant(first, other), completeResult(1))
+	assert.Assert(t, o.router.State()[first].CacheTrust < before, "a missed cache prediction reduces the trust")
+	o.router.CacheEvents(o.now, o.states[first], []endpoint.CacheEvent{{Sequence: 9, Block: 5, Stored: true}})
+	e := o.states[first].Learned.(*Endpoint)
 	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 64)
-	b.router.CacheEvents(b.now, b.states[first], []endpoint.CacheEvent{{Sequence: 1, Block: 5, Stored: true}})
-	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 0, "the endpoint began anew")
-	b.router.Granted(b.now, b.states[first], &ask)
-	b.router.Observe(b.now, b.states[first], &ask, broken)
-	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 0, "the endpoint crashed")
+	o.router.CacheEvents(o.now, o.states[first], []endpoint.CacheEvent{{Sequence: 1, Block: 5, Stored: true}})
+	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 0, "a restarted sequence clears the prefix table")
+	o.router.Granted(o.now, o.states[first], &ask)
+	o.router.Observe(o.now, o.states[first], &ask, crashedResult)
+	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 0, "a crash clears the prefix table")
 }
 
-func TestPlainCallsSpread(t *testing.T) {
-	b := newBench(t, 4, Options{})
+func TestServiceCallsAreDistributed(t *testing.T) {
+	o := newTestOwner(t, 4, Options{})
 	served := make(map[int]int)
 	for range 400 {
 		ask := capacity.Ask{Pool: "service/catalogue"}
-		at := b.choose(ask, false)
+		at := o.choose(ask, false)
 		served[at]++
-		h := b.grant(at, ask)
-		b.now = b.now.Add(time.Millisecond)
-		b.end(h, capacity.Result{Dispatched: true, Complete: true, FirstToken: 5 * time.Millisecond, Total: 6 * time.Millisecond})
+		h := o.grant(at, ask)
+		o.now = o.now.Add(time.Millisecond)
+		o.end(h, capacity.Result{Dispatched: true, Complete: true, FirstToken: 5 * time.Millisecond, Total: 6 * time.Millisecond})
 	}
 	for at := range 4 {
 		assert.Assert(t, served[at] > 40, "%v", served)
 	}
-	b.load(3, 1)
+	o.addLoad(3, 1)
 	for range 20 {
-		assert.Assert(t, b.choose(capacity.Ask{Pool: "service/catalogue"}, false) != 1)
+		assert.Assert(t, o.choose(capacity.Ask{Pool: "service/catalogue"}, false) != 1)
 	}
 }
 
 func TestHoldBack(t *testing.T) {
 	for ratio, want := range map[float64]int{-1: 1, 0: -1, 2: -1, 50: 1} {
-		b := newBench(t, 2, Options{HoldRatio: ratio})
-		b.states[1].Row = &config.EndpointRow{ID: "1", Generation: "old"}
-		b.train(40, 0.2, 4)
-		b.choose(b.ask(), false)
-		b.grant(0, b.ask())
-		b.states[0].AnswerTokens = 5
-		b.router.Report(b.now, b.states[0], endpoint.LoadReport{})
-		b.router.Granted(b.now, b.states[0], &capacity.Ask{})
-		b.states = b.states[1:]
-		got := b.choose(b.ask(), false)
+		o := newTestOwner(t, 2, Options{HoldRatio: ratio})
+		o.states[1].Row = &config.EndpointRow{ID: "1", Generation: "old"}
+		o.train(40, 0.2, 4)
+		o.choose(o.ask(), false)
+		o.grant(0, o.ask())
+		o.states[0].AnswerTokens = 5
+		o.router.Report(o.now, o.states[0], endpoint.LoadReport{})
+		o.router.Granted(o.now, o.states[0], &capacity.Ask{})
+		o.states = o.states[1:]
+		got := o.choose(o.ask(), false)
 		assert.Equal(t, got, min(want, 0), "ratio %v", ratio)
-		assert.Equal(t, b.choose(b.ask(), true), 0, "a pressing ask is not held back")
+		assert.Equal(t, o.choose(o.ask(), true), 0, "a request that cannot wait is not held back")
 	}
 }
 
 func TestForecastNeedsSamples(t *testing.T) {
-	b := newBench(t, 1, Options{})
-	ask := b.ask()
-	assert.Equal(t, b.router.Forecast(b.now, b.states[0], &ask), capacity.Forecast{})
-	b.train(30, 1)
-	f := b.router.Forecast(b.now, b.states[0], &ask)
+	o := newTestOwner(t, 1, Options{})
+	ask := o.ask()
+	assert.Equal(t, o.router.Forecast(o.now, o.states[0], &ask), capacity.Forecast{})
+	o.train(30, 1)
+	f := o.router.Forecast(o.now, o.states[0], &ask)
 	assert.Assert(t, f.FirstToken > 80*time.Millisecond && f.FirstToken < 120*time.Millisecond, "%v", f)
 	assert.Assert(t, f.Total > time.Second && f.Total < 1200*time.Millisecond, "%v", f)
 }
 
-// listed is a Quarantine with fixed words.
-type listed struct {
+// fakeQuarantine is a Quarantine with fixed answers.
+type fakeQuarantine struct {
 	noQuarantine
 	left    time.Duration
 	suspect bool
 	alone   []bool
 }
 
-func (l *listed) Quarantined(uint64) time.Duration { return l.left }
-func (l *listed) Suspect(uint64) bool              { return l.suspect }
-func (l *listed) Crashed(_ domain.EndpointID, _ uint64, alone bool) {
+func (l *fakeQuarantine) Quarantined(uint64) time.Duration { return l.left }
+func (l *fakeQuarantine) Suspect(uint64) bool              { return l.suspect }
+func (l *fakeQuarantine) Crashed(_ domain.EndpointID, _ uint64, alone bool) {
 	l.alone = append(l.alone, alone)
 }
 
-func TestQuarantineIsAskedAndTold(t *testing.T) {
-	q := &listed{}
-	b := newBench(t, 2, Options{Quarantine: q})
-	ask := b.ask()
-	assert.NilError(t, b.router.Admit(b.now, &ask))
+func TestQuarantineIntegration(t *testing.T) {
+	q := &fakeQuarantine{}
+	o := newTestOwner(t, 2, Options{Quarantine: q})
+	ask := o.ask()
+	assert.NilError(t, o.router.Admit(o.now, &ask))
 	q.left = time.Minute
-	err := b.router.Admit(b.now, &ask)
+	err := o.router.Admit(o.now, &ask)
 	var refusal *capacity.Refusal
 	assert.Assert(t, errors.As(err, &refusal) && refusal.RetryAfter == time.Minute)
 	assert.ErrorIs(t, err, capacity.ErrQuarantined)
 
-	b.end(b.grant(0, b.ask()), broken)
-	first, second := b.grant(1, b.ask()), b.grant(1, b.ask())
-	b.end(first, broken)
-	b.end(second, broken)
+	o.end(o.grant(0, o.ask()), crashedResult)
+	first, second := o.grant(1, o.ask()), o.grant(1, o.ask())
+	o.end(first, crashedResult)
+	o.end(second, crashedResult)
 	assert.DeepEqual(t, q.alone, []bool{true, false, false})
 
-	b = newBench(t, 2, Options{Quarantine: q})
+	o = newTestOwner(t, 2, Options{Quarantine: q})
 	q.suspect = true
-	at := b.choose(b.ask(), false)
-	b.grant(at, b.ask())
-	assert.Equal(t, b.choose(b.ask(), false), 1-at, "suspects are kept apart")
+	at := o.choose(o.ask(), false)
+	o.grant(at, o.ask())
+	assert.Equal(t, o.choose(o.ask(), false), 1-at, "suspects run on different endpoints")
 }
 
 func TestLengthPredictor(t *testing.T) {
@@ -359,17 +359,17 @@
 		p.Observe("o", "model/m", 100, 3200, 700)
 		p.Observe("o", "model/m", 100, 96, 24)
 	}
-	assert.Equal(t, p.Predict("o", "model/m", 100, 3000), 700, "like limits")
+	assert.Equal(t, p.Predict("o", "model/m", 100, 3000), 700, "similar limit")
 	assert.Equal(t, p.Predict("o", "model/m", 100, 100), 24)
 	assert.Equal(t, p.Predict("o", "model/m", 90, 0), 20)
 	assert.Equal(t, p.Predict("o", "model/m", 3500, 0), 900)
 	mixed := p.Predict("o", "model/m", 10, 0)
-	assert.Assert(t, mixed > 300 && mixed < 600, "another prompt length: %d", mixed)
-	known := p.Predict("new", "model/m", 3000, 0)
-	assert.Equal(t, known, 900, "another organisation, by the pool's prompts")
+	assert.Assert(t, mixed > 300 && mixed < 600, "unknown prompt length: %d", mixed)
+	ofPool := p.Predict("new", "model/m", 3000, 0)
+	assert.Equal(t, ofPool, 900, "unknown organisation, predicted from the pool")
 }
 
-func TestFactoryForgetsUnusedRouters(t *testing.T) {
+func TestFactoryState(t *testing.T) {
 	f := NewFactory(Options{})
 	state := &capacity.EndpointState{ID: "e", Row: &config.EndpointRow{ID: "e"}}
 	chooser := f.New()
--- a/routing/saturation.go
+++ b/routing/saturation.go
@@ -1,23 +1,21 @@
 package routing
 
-// saturatedFactor is how many times the interval of a batch of one the time
-// between tokens must reach before the batch counts as too deep. Slow hardware
-// is used so, although it never keeps to the aim.
-const saturatedFactor = 2
+// saturationFactor is the multiple of the token interval of a batch of one that must also be exceeded
+// for saturation. It lets slow hardware be used that never meets the target interval.
+const saturationFactor = 2
 
-// SaturationDetector tells from the learned speed whether an endpoint has as deep
-// a batch as it should. The configured limits are the owner's matter.
+// SaturationDetector detects from the learned speed when an endpoint's batch is deep enough.
+// Configured limits are enforced by the owner.
 type SaturationDetector struct {
-	// TokenInterval is the aim for the time between tokens, seconds; negative for
-	// none.
+	// TokenInterval is the target time between tokens in seconds; negative for none.
 	TokenInterval float64
 }
 
-// Saturated reports whether one request more than these would be too many.
+// Saturated reports whether one more request would exceed the target.
 func (d SaturationDetector) Saturated(requests int, speed *Speed) bool {
 	if d.TokenInterval < 0 || requests == 0 {
 		return false
 	}
 	interval := speed.Interval.At(float64(requests + 1))
-	return interval > d.TokenInterval && interval > saturatedFactor*speed.Interval.At(1)
+	return interval > d.TokenInterval && interval > saturationFactor*speed.Interval.At(1)
 }
--- a/routing/scorer_outstanding.go
+++ b/routing/scorer_outstanding.go
@@ -1,9 +1,9 @@
 package routing
 
-// OutstandingScorer counts the work at the endpoint exactly, as it was granted:
-// prompt tokens that wait to be computed, and requests that decode meanwhile.
+// OutstandingScorer estimates work and batch from the exact state kept by the owner: prompt tokens
+// waiting for prefill and requests that decode concurrently.
 type OutstandingScorer struct {
-	// RequestOverheadTokens is the work of a request beyond its tokens.
+	// RequestOverheadTokens is the work attributed to each request in addition to its tokens.
 	RequestOverheadTokens int
 }
 
@@ -17,17 +17,17 @@
 func (s OutstandingScorer) score(r *Request, c *Candidate) {
 	e := &c.Estimate
 	e.OwnWork = max(float64(r.Ask.PromptTokens)-e.CachedTokens, 0)
-	ahead := float64(c.State.PrefillTokens) * c.Learned.uncachedPart()
+	ahead := float64(c.State.PrefillTokens) * c.Learned.uncachedFraction()
 	e.Work = ahead + e.OwnWork + float64(s.RequestOverheadTokens*c.State.Requests)
 	e.Batch = meanBatch(c.State.Requests, c.State.AnswerTokens, r.Ask.AnswerTokens)
 }
 
-// meanBatch returns the mean number of requests while an answer of so many tokens
-// is produced beside requests that have answerTokens left in all.
+// meanBatch returns the mean batch size while an answer of own tokens is generated, given the number
+// of other requests and the sum of their remaining answer tokens.
 func meanBatch(requests, answerTokens, own int) float64 {
 	if requests == 0 {
 		return 1
 	}
-	left := float64(answerTokens) / float64(requests)
-	return 1 + float64(requests)*min(1, left/max(float64(own), 1))
+	remaining := float64(answerTokens) / float64(requests)
+	return 1 + float64(requests)*min(1, remaining/max(float64(own), 1))
 }
--- a/routing/scorer_prefix.go
+++ b/routing/scorer_prefix.go
@@ -1,7 +1,7 @@
 package routing
 
-// PrefixScorer estimates how much of the prompt the endpoint holds, from what was
-// dispatched there and what its cache events said.
+// PrefixScorer estimates how much of the prompt is in the endpoint's cache, from earlier dispatches
+// and cache events.
 type PrefixScorer struct{}
 
 // Score implements Scorer.
@@ -10,6 +10,6 @@
 	for i := range candidates {
 		c := &candidates[i]
 		depth = c.Learned.prefixes.Depth(r.Ask.Blocks, depth)
-		c.Estimate.CachedTokens = float64(prefixTokens(r.Ask, depth)) * c.Learned.trust.Fraction()
+		c.Estimate.CachedTokens = float64(prefixTokens(r.Ask, depth)) * c.Learned.cacheTrust.Fraction()
 	}
 }
--- a/routing/scorer_report.go
+++ b/routing/scorer_report.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ReportScorer corrects the batch a little by the endpoint's own report, which
-// shows work that this owner has not granted. The report is stale, so it counts
-// only in part, and never for more than the batch that is known.
+// ReportScorer corrects the batch by the endpoint's own load report, which includes load that this
+// owner has not granted. Since reports are stale, the excess is weighted and never counts for more
+// than the known batch.
 type ReportScorer struct {
 	MaxAge time.Duration
 	Weight float64
--- a/routing/scorer_session.go
+++ b/routing/scorer_session.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// SessionScorer knows that the endpoint of a session's last turn holds that
-// turn's answer too, which no prompt block has named yet.
+// SessionScorer accounts for the answer of a session's last turn, which is also cached on its endpoint
+// but not yet part of any known prompt block.
 type SessionScorer struct {
-	// TTL is the age at which a session's last turn is forgotten.
+	// TTL is the age at which a session's last turn is ignored.
 	TTL time.Duration
 }
 
@@ -20,6 +20,6 @@
 	if r.Session.Endpoint != c.State.ID || r.Now.Sub(r.Session.PlacedAt) > s.TTL {
 		return
 	}
-	tokens := float64(min(r.Session.Tokens, r.Ask.PromptTokens)) * c.Learned.trust.Fraction()
+	tokens := float64(min(r.Session.Tokens, r.Ask.PromptTokens)) * c.Learned.cacheTrust.Fraction()
 	c.Estimate.CachedTokens = max(c.Estimate.CachedTokens, tokens)
 }
--- a/routing/scorer_speed.go
+++ b/routing/scorer_speed.go
@@ -1,8 +1,8 @@
 package routing
 
-// SpeedScorer turns work and batch into times by the endpoint's learned speed.
+// SpeedScorer converts work and batch to times by the endpoint's learned speed.
 type SpeedScorer struct {
-	// PrefillWeight is how much the ask's own prefill counts besides.
+	// PrefillWeight is the additional weight of the request's own prefill time in the cost.
 	PrefillWeight float64
 }
 
--- a/routing/scorer_stall.go
+++ b/routing/scorer_stall.go
@@ -1,14 +1,14 @@
 package routing
 
-// silenceFactor is how many times the time expected for the prompts that an
-// endpoint holds may go by without a word.
-const silenceFactor = 3
+// stallFactor is the multiple of the expected prefill time of the prompts held that may elapse without
+// progress.
+const stallFactor = 3
 
-// StallScorer finds endpoints that stand still, before any result can tell: one
-// that has long held prompts without a first token will take as long again.
+// StallScorer detects stalled endpoints before any result is available: an endpoint that has held
+// prompts for long without a first token is assumed to need as long again.
 type StallScorer struct {
-	// Allowed is the silence in seconds that means nothing, as progress is reported
-	// from time to time only.
+	// TimeoutSeconds is the time without progress that is tolerated, since progress is reported only
+	// periodically.
 	TimeoutSeconds float64
 }
 
@@ -23,9 +23,9 @@
 	if c.State.PrefillTokens == 0 {
 		return
 	}
-	silence := r.Now.Sub(c.Learned.heard.At).Seconds()
+	stalled := r.Now.Sub(c.Learned.progress.lastAt).Seconds()
 	expected := c.Learned.Speed().FirstToken.At(c.Estimate.Work - c.Estimate.OwnWork)
-	if silence > s.TimeoutSeconds+silenceFactor*expected {
-		c.Estimate.add(silence)
+	if stalled > s.TimeoutSeconds+stallFactor*expected {
+		c.Estimate.addDelay(stalled)
 	}
 }
--- a/routing/scorer_straggler.go
+++ b/routing/scorer_straggler.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// StragglerScorer replaces the estimate of an endpoint that has become slower than
-// its hardware generation by the generation's time, as many times as long. When
-// nothing has been heard for a while, an ask that would be on time in any case
-// sees it as healthy, and so tries it again.
+// StragglerScorer replaces the estimate of a straggler by that of its hardware generation multiplied
+// by the straggler's ratio. When there has been no sample for a while, the straggler keeps its normal
+// estimate for requests that would meet their deadline even there, so that one of them probes it.
 type StragglerScorer struct {
-	// Ratio is the least that makes a straggler.
+	// Ratio is the minimum latency ratio of a straggler.
 	Ratio float64
-	// ProbeInterval is the time without a sample after which it is tried.
+	// ProbeInterval is the time without a sample after which the endpoint is probed.
 	ProbeInterval time.Duration
 	PrefillWeight float64
 }
@@ -29,7 +28,7 @@
 	slow := c.Estimate
 	slow.predict(&c.Learned.generation.profile.speed, r.Ask.AnswerTokens, s.PrefillWeight)
 	slow.scale(straggler.Ratio())
-	if straggler.ProbeDue(r.Now, s.ProbeInterval) && onTime(r, slow.Total) {
+	if straggler.ProbeDue(r.Now, s.ProbeInterval) && meetsDeadline(r, slow.Total) {
 		return
 	}
 	if slow.Cost > c.Estimate.Cost {
@@ -37,6 +36,6 @@
 	}
 }
 
-func onTime(r *Request, seconds float64) bool {
+func meetsDeadline(r *Request, seconds float64) bool {
 	return r.Due.IsZero() || r.Due.Sub(r.Now).Seconds() >= seconds
 }
--- a/routing/speed.go
+++ b/routing/speed.go
@@ -1,8 +1,8 @@
 package routing
 
-// Speed is how fast an endpoint is. First is the time to the first token by
-// prompt tokens to compute, those ahead included; Interval is the time between
-// tokens by requests in the batch.
+// Speed is the latency model of an endpoint. FirstToken is the time to the first token as a function
+// of the prompt tokens to compute, including those queued ahead; Interval is the time between tokens
+// as a function of the batch size.
 type Speed struct {
 	FirstToken LinearModel `json:"first_token"`
 	Interval   LinearModel `json:"interval"`
--- a/routing/straggler.go
+++ b/routing/straggler.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	// stragglerRate is the part by which a sample moves the ratio, stragglerProbeRate
-	// that of a sample taken to try a straggler.
-	stragglerRate      = 0.25
-	stragglerProbeRate = 0.5
-	// stragglerBound bounds the ratio of one sample, up and down.
-	stragglerBound = 8
-	// stragglerSamples is the least number of samples that makes a straggler.
-	stragglerSamples = 3
+	// stragglerLearnRate is the weight of a sample in the moving average of the ratio,
+	// stragglerProbeLearnRate that of a probe's sample.
+	stragglerLearnRate      = 0.25
+	stragglerProbeLearnRate = 0.5
+	// maxSampleRatio caps the ratio of one sample; its reciprocal is the lower bound.
+	maxSampleRatio = 8
+	// minStragglerSamples is the minimum number of samples to classify an endpoint as a straggler.
+	minStragglerSamples = 3
 )
 
-// StragglerDetector follows how many times as long an endpoint takes as its hardware
-// generation: a geometric mean that forgets quickly. The zero value is healthy.
+// StragglerDetector tracks the latency of an endpoint relative to its hardware generation as an
+// exponentially weighted geometric mean. The zero value is healthy.
 type StragglerDetector struct {
-	log float64
-	// ratio is the exponential of log, once there is a sample.
+	logRatio float64
+	// ratio is the exponential of logRatio once there is a sample.
 	ratio   float64
 	samples int
-	// touchedAt is when the last sample came or the last probe was sent.
-	touchedAt time.Time
+	// lastActivity is the time of the last sample or probe.
+	lastActivity time.Time
 }
 
-// Observe takes a sample's ratio.
+// Observe records the ratio of a sample.
 func (s *StragglerDetector) Observe(now time.Time, ratio float64, probe bool) {
-	rate := stragglerRate
+	rate := stragglerLearnRate
 	if probe {
-		rate = stragglerProbeRate
+		rate = stragglerProbeLearnRate
 	}
-	bounded := min(max(ratio, 1.0/stragglerBound), stragglerBound)
-	s.log += rate * (math.Log(bounded) - s.log)
-	s.ratio = math.Exp(s.log)
+	bounded := min(max(ratio, 1.0/maxSampleRatio), maxSampleRatio)
+	s.logRatio += rate * (math.Log(bounded) - s.logRatio)
+	s.ratio = math.Exp(s.logRatio)
 	s.samples++
-	s.touchedAt = now
+	s.lastActivity = now
 }
 
 // Ratio returns the mean ratio, 1 without samples.
@@ -48,15 +48,15 @@
 	return s.ratio
 }
 
-// Slow reports whether the mean ratio is at least the given one.
+// IsStraggler reports whether there are enough samples and their mean ratio is at least the given one.
 func (s *StragglerDetector) IsStraggler(ratio float64) bool {
-	return s.samples >= stragglerSamples && s.ratio >= ratio
+	return s.samples >= minStragglerSamples && s.ratio >= ratio
 }
 
-// ProbeDue reports whether nothing has been learned for so long.
+// ProbeDue reports whether there has been no sample or probe for the interval.
 func (s *StragglerDetector) ProbeDue(now time.Time, every time.Duration) bool {
-	return now.Sub(s.touchedAt) >= every
+	return now.Sub(s.lastActivity) >= every
 }
 
-// Probe notes that a request was sent to try the endpoint.
-func (s *StragglerDetector) MarkProbe(now time.Time) { s.touchedAt = now }
+// MarkProbe records that a probe was sent.
+func (s *StragglerDetector) MarkProbe(now time.Time) { s.lastActivity = now }
