--- a/routing/quarantine/content.go
+++ b/routing/quarantine/content.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// maxEndpoints bounds the endpoints remembered of one content; more change nothing.
+// maxEndpoints limits the endpoints tracked for one content; further ones would not change the result.
 const maxEndpoints = 8
 
-// aloneScore is what having been alone at a crash counts.
+// aloneScore is the score added if the content was the only one running during a crash.
 const aloneScore = 2
 
-// suspicion is a content's presence at the crashes of one endpoint.
+// suspicion records that a content was running during crashes of one endpoint.
 type suspicion struct {
 	endpoint uint64
 	crashes  int
@@ -19,7 +19,8 @@
 	at       time.Time
 }
 
-// score is 2 for a first crash and 1 for each further one.
+// score returns 2 for the first crash plus 1 for each further one, and aloneScore if the content was
+// alone.
 func (s suspicion) score() int {
 	score := 1 + s.crashes
 	if s.alone {
@@ -28,28 +29,27 @@
 	return score
 }
 
-// content is what is known of one fingerprint. It is immutable.
+// content is the evidence for one fingerprint. It is immutable.
 type content struct {
 	suspicions []suspicion
-	// clearedAt is when it last completed. Older suspicions do not count.
+	// clearedAt is the time of the last completion, which invalidates older suspicions.
 	clearedAt time.Time
 }
 
-// with returns the content with one more suspicion, or the same if that tells
-// nothing new.
-func (c content) with(s suspicion) (content, bool) {
+// withSuspicion returns the content with the suspicion added, and whether it has changed.
+func (c content) withSuspicion(s suspicion) (content, bool) {
 	if !s.at.After(c.clearedAt) {
 		return c, false
 	}
-	at := slices.IndexFunc(c.suspicions, func(o suspicion) bool { return o.endpoint == s.endpoint })
-	if at < 0 {
+	index := slices.IndexFunc(c.suspicions, func(o suspicion) bool { return o.endpoint == s.endpoint })
+	if index < 0 {
 		if len(c.suspicions) >= maxEndpoints {
 			return c, false
 		}
 		c.suspicions = append(slices.Clip(c.suspicions), s)
 		return c, true
 	}
-	old := c.suspicions[at]
+	old := c.suspicions[index]
 	merged := suspicion{
 		endpoint: s.endpoint,
 		crashes:  max(old.crashes, s.crashes),
@@ -63,12 +63,12 @@
 		return c, false
 	}
 	c.suspicions = slices.Clone(c.suspicions)
-	c.suspicions[at] = merged
+	c.suspicions[index] = merged
 	return c, true
 }
 
-// cleared returns the content as it is after having completed.
-func (c content) cleared(at time.Time) (content, bool) {
+// withClearance returns the content after a completion at the given time, and whether it has changed.
+func (c content) withClearance(at time.Time) (content, bool) {
 	if !at.After(c.clearedAt) {
 		return c, false
 	}
@@ -76,8 +76,8 @@
 	return content{suspicions: kept, clearedAt: at}, true
 }
 
-// crashes returns how often the content was at the endpoint's crashes.
-func (c content) crashes(endpoint uint64) int {
+// crashCount returns the number of the endpoint's crashes during which the content was running.
+func (c content) crashCount(endpoint uint64) int {
 	for _, s := range c.suspicions {
 		if s.endpoint == endpoint {
 			return s.crashes
@@ -86,8 +86,8 @@
 	return 0
 }
 
-// last returns the instant of the newest evidence.
-func (c content) last() time.Time {
+// lastEvidenceAt returns the time of the latest evidence.
+func (c content) lastEvidenceAt() time.Time {
 	last := c.clearedAt
 	for _, s := range c.suspicions {
 		if s.at.After(last) {
@@ -97,8 +97,8 @@
 	return last
 }
 
-// until returns the end of the quarantine from a score on, zero if there is none.
-func (c content) until(threshold int, first, most time.Duration) time.Time {
+// quarantinedUntil returns the end of the quarantine, zero if the score is below the threshold.
+func (c content) quarantinedUntil(threshold int, initial, limit time.Duration) time.Time {
 	score := 0
 	for _, s := range c.suspicions {
 		score += s.score()
@@ -106,14 +106,14 @@
 	if score < threshold {
 		return time.Time{}
 	}
-	length := first
-	for i := threshold; i < score && length < most; i++ {
+	length := initial
+	for i := threshold; i < score && length < limit; i++ {
 		length *= 2
 	}
-	return c.last().Add(min(length, most))
+	return c.lastEvidenceAt().Add(min(length, limit))
 }
 
-// evidence returns what there is to tell of the content.
+// evidence returns the evidence to send to other nodes.
 func (c content) evidence(now time.Time, fingerprint uint64) []Evidence {
 	var list []Evidence
 	if !c.clearedAt.IsZero() {
--- a/routing/quarantine/doc.go
+++ b/routing/quarantine/doc.go
@@ -1,12 +1,11 @@
-// Package quarantine recognises the contents that crash the endpoints that run
-// them, by a fingerprint that stays the same under another key, in another
-// session and at another node. It holds soft state only: evidence of crashes,
-// which expires, is bounded, and is spread to the other nodes without any promise
-// that it arrives.
+// Package quarantine identifies request contents that crash the endpoints that run them. Contents are
+// identified by a fingerprint that is independent of the key, the session and the node. It keeps soft
+// state only: evidence of crashes expires, is bounded, and is replicated to the other nodes on a
+// best-effort basis.
 //
-// A content that ran where an endpoint crashed is a suspect. It is quarantined
-// when its score reaches the threshold: when it was there at crashes of two
-// endpoints, at three of one, or alone at one. The quarantine is short at first
-// and doubles with each further crash, since a healthy neighbour may meet the
-// real cause twice; a content that completes anywhere is cleared everywhere.
+// A content that was running on an endpoint when it crashed is a suspect. It is quarantined when its
+// score reaches the threshold: after crashes of two endpoints, three crashes of one, or one crash with
+// no other content running. The quarantine is short at first and doubles with each further crash,
+// since an innocent content may run beside the cause twice. A content that completes on any endpoint
+// is cleared on all nodes.
 package quarantine
--- a/routing/quarantine/evidence.go
+++ b/routing/quarantine/evidence.go
@@ -7,24 +7,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Evidence is what one node tells another of one content.
+// Evidence is the state of one content with regard to one endpoint, or its clearance, as exchanged
+// between nodes.
 type Evidence struct {
 	Fingerprint uint64 `cbor:"1,keyasint"`
 	// Endpoint is a hash of the endpoint's identifier.
 	Endpoint uint64 `cbor:"2,keyasint,omitempty"`
-	// Crashes is the number of the endpoint's crashes at which the content was
-	// running there; 0 if the evidence clears the content.
+	// Crashes is the number of the endpoint's crashes during which the content was running; 0 if the
+	// evidence clears the content.
 	Crashes int `cbor:"3,keyasint,omitempty"`
-	// Alone is true if it once was the only one there.
+	// Alone is true if the content was the only one running during at least one of the crashes.
 	Alone bool `cbor:"4,keyasint,omitempty"`
-	// Age is the time since the last of them, or since the content completed.
+	// Age is the time since the last crash, or since the content completed.
 	Age time.Duration `cbor:"5,keyasint"`
 }
 
-// Clears reports whether the evidence says that the content completed.
+// Clears reports whether the evidence records a completion.
 func (e Evidence) Clears() bool { return e.Crashes == 0 }
 
-// hash returns a hash of all but the age.
+// hash returns a hash of all fields except the age.
 func (e Evidence) hash() uint64 {
 	var b [25]byte
 	binary.LittleEndian.PutUint64(b[0:], e.Fingerprint)
--- a/routing/quarantine/messages.go
+++ b/routing/quarantine/messages.go
@@ -7,22 +7,22 @@
 	methodPull   peer.Method = "quarantine.pull"
 )
 
-// maxEvidence bounds the evidence in one message.
-const maxEvidence = 256
+// maxMessageEvidence limits the number of evidence entries in one message.
+const maxMessageEvidence = 256
 
-// report spreads new evidence.
+// report distributes new evidence.
 type report struct {
 	Evidence []Evidence `cbor:"1,keyasint"`
-	// Relay asks the receiver to pass it on within its data centre.
+	// Relay asks the receiver to forward the evidence within its data centre.
 	Relay bool `cbor:"2,keyasint,omitempty"`
 }
 
-// pullRequest asks for all evidence of a peer that holds other evidence.
+// pullRequest asks a peer for all its evidence if its digest differs.
 type pullRequest struct {
 	Digest uint64 `cbor:"1,keyasint"`
 }
 
-// pullReply is empty if both hold the same.
+// pullReply is empty if the digests are equal.
 type pullReply struct {
 	Evidence []Evidence `cbor:"1,keyasint,omitempty"`
 }
--- a/routing/quarantine/options.go
+++ b/routing/quarantine/options.go
@@ -11,35 +11,33 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Options are the parts and numbers of a Service. Zero numbers are replaced by the
-// defaults below.
+// Options configures a Service. Zero values are replaced by the defaults below.
 type Options struct {
 	Transport  peer.Transport
 	Membership membership.View
-	// Metrics is where counters are registered; nil for a set of its own.
+	// Metrics is the set in which metrics are registered; nil for a private set.
 	Metrics *metrics.Set
 	Logger  zerolog.Logger
 
-	// First is the length of a content's first quarantine, Most the longest.
+	// InitialDuration is the length of a content's first quarantine, MaxDuration the maximum.
 	InitialDuration time.Duration
 	MaxDuration     time.Duration
-	// Memory is how long a crash is remembered.
+	// Retention is how long a crash is remembered.
 	Retention time.Duration
-	// Threshold is the score from which a content is quarantined: a first crash of an endpoint counts 2, each further one
-	// 1, and 2 more where the content was alone.
+	// Threshold is the score from which a content is quarantined: the first crash of an endpoint
+	// counts 2, each further one 1, and 2 more if the content was the only one running.
 	Threshold int
-	// Contents bounds the contents remembered; the oldest evidence goes first.
+	// MaxContents limits the number of contents tracked; those with the oldest evidence are evicted.
 	MaxContents int
-	// Flush is how long new evidence is gathered before it is sent.
+	// FlushDelay is how long new evidence is batched before it is sent.
 	FlushDelay time.Duration
-	// PullInterval is the interval at which one peer, each in turn, is asked whether it
-	// knows more.
+	// PullInterval is the interval at which evidence is pulled from one peer, in round-robin order.
 	PullInterval time.Duration
-	// CallTimeout bounds such a question.
+	// CallTimeout is the timeout of such a pull.
 	CallTimeout time.Duration
 }
 
-// The defaults of Options.
+// Default values of Options.
 const (
 	DefaultInitialDuration = 2 * time.Minute
 	DefaultMaxDuration     = 30 * time.Minute
--- a/routing/quarantine/quarantine_test.go
+++ b/routing/quarantine/quarantine_test.go
@@ -37,16 +37,16 @@
 		suspect bool
 		left    time.Duration
 	}{
-		"nothing":                 {nil, false, 0},
-		"one crash":               {steps{crash("a", 0, false)}, true, 0},
-		"two of one endpoint":     {steps{crash("a", 0, false), crash("a", 5*time.Second, false)}, true, 0},
-		"three of one endpoint":   {steps{crash("a", 0, false), crash("a", 0, false), crash("a", 10*time.Second, false)}, true, 2 * time.Minute},
-		"two endpoints":           {steps{crash("a", 0, false), crash("b", 10*time.Second, false)}, true, 2 * time.Minute},
-		"three endpoints":         {steps{crash("a", 0, false), crash("b", 0, false), crash("c", 10*time.Second, false)}, true, 8 * time.Minute},
-		"alone":                   {steps{crash("a", 10*time.Second, true)}, true, 2 * time.Minute},
-		"completed elsewhere":     {steps{crash("a", 0, false), crash("b", 0, false), clear(9 * time.Second)}, false, 0},
-		"crashed after completed": {steps{crash("a", 0, false), clear(9 * time.Second), crash("b", 10*time.Second, false)}, true, 0},
-		"older than completed":    {steps{crash("a", 0, false), clear(5 * time.Second), old}, false, 0},
+		"no evidence":                   {nil, false, 0},
+		"one crash":                     {steps{crash("a", 0, false)}, true, 0},
+		"two crashes of one endpoint":   {steps{crash("a", 0, false), crash("a", 5*time.Second, false)}, true, 0},
+		"three crashes of one endpoint": {steps{crash("a", 0, false), crash("a", 0, false), crash("a", 10*time.Second, false)}, true, 2 * time.Minute},
+		"two endpoints":                 {steps{crash("a", 0, false), crash("b", 10*time.Second, false)}, true, 2 * time.Minute},
+		"three endpoints":               {steps{crash("a", 0, false), crash("b", 0, false), crash("c", 10*time.Second, false)}, true, 8 * time.Minute},
+		"alone at one crash":            {steps{crash("a", 10*time.Second, true)}, true, 2 * time.Minute},
+		"completed elsewhere":           {steps{crash("a", 0, false), crash("b", 0, false), clear(9 * time.Second)}, false, 0},
+		"crash after completion":        {steps{crash("a", 0, false), clear(9 * time.Second), crash("b", 10*time.Second, false)}, true, 0},
+		"crash before completion":       {steps{crash("a", 0, false), clear(5 * time.Second), old}, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewSet(Options{})
@@ -62,9 +62,9 @@
 	}
 }
 
-func TestSetIsBoundedAndForgets(t *testing.T) {
+func TestSetIsBoundedAndExpires(t *testing.T) {
 	s := NewSet(Options{MaxContents: 3})
-	assert.Equal(t, len(s.Crashed(t0, "a", 0, true)), 0, "no content, no evidence")
+	assert.Equal(t, len(s.Crashed(t0, "a", 0, true)), 0, "fingerprint 0 is ignored")
 	for i := range uint64(5) {
 		s.Crashed(t0.Add(time.Duration(i)*time.Second), "a", i+1, false)
 	}
@@ -80,7 +80,7 @@
 	services []*Service
 }
 
-func run(t *testing.T, f func(t *testing.T, c *cluster)) {
+func runCluster(t *testing.T, f func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{network: peertest.NewNetwork()}
 		defer c.network.Close()
@@ -102,8 +102,8 @@
 	})
 }
 
-// suspecting counts the nodes that suspect the content.
-func (c *cluster) suspecting() int {
+// suspectingNodes returns the number of nodes on which the content is a suspect.
+func (c *cluster) suspectingNodes() int {
 	count := 0
 	for _, s := range c.services {
 		if s.Suspect(poison) {
@@ -114,13 +114,13 @@
 }
 
 func TestEvidenceReachesAllNodes(t *testing.T) {
-	run(t, func(t *testing.T, c *cluster) {
+	runCluster(t, func(t *testing.T, c *cluster) {
 		time.Sleep(time.Second)
 		c.network.ResetCounts()
 		c.services[0].Crashed("e1", poison, false)
 		time.Sleep(time.Second)
-		assert.Equal(t, c.suspecting(), 6)
-		assert.Equal(t, c.network.Total(methodReport).Messages, 5, "two here, one there and two passed on")
+		assert.Equal(t, c.suspectingNodes(), 6)
+		assert.Equal(t, c.network.Total(methodReport).Messages, 5, "two in the data centre, one to the other and two relayed")
 		c.services[4].Crashed("e2", poison, false)
 		time.Sleep(time.Second)
 		for _, s := range c.services {
@@ -128,60 +128,59 @@
 		}
 		c.services[5].Completed(poison)
 		time.Sleep(time.Second)
-		assert.Equal(t, c.suspecting(), 0)
+		assert.Equal(t, c.suspectingNodes(), 0)
 	})
 }
 
-func TestLostEvidenceIsAskedFor(t *testing.T) {
-	run(t, func(t *testing.T, c *cluster) {
+func TestLostEvidenceIsPulled(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
 		c.network.Partition([]domain.NodeID{"0", "1", "2"}, []domain.NodeID{"3", "4", "5"})
 		c.services[0].Crashed("e1", poison, false)
 		time.Sleep(time.Second)
-		assert.Equal(t, c.suspecting(), 3)
+		assert.Equal(t, c.suspectingNodes(), 3)
 		c.network.HealAll()
 		time.Sleep(6 * DefaultPullInterval)
-		assert.Equal(t, c.suspecting(), 6)
+		assert.Equal(t, c.suspectingNodes(), 6)
 		c.network.ResetCounts()
 		time.Sleep(DefaultPullInterval)
-		assert.Assert(t, c.network.Total(methodPull).Bytes < 6*2*16, "no evidence is repeated: %v", c.network.Total(methodPull))
+		assert.Assert(t, c.network.Total(methodPull).Bytes < 6*2*16, "equal digests transfer no evidence: %v", c.network.Total(methodPull))
 	})
 }
 
-// site is a pool of a data centre whose owner is one node; its endpoints crash
-// when they run the poison.
-type site struct {
+// testPool is a pool owned by one node, whose endpoints crash when they run the poison content.
+type testPool struct {
 	router  *routing.Router
 	states  []*capacity.EndpointState
 	running map[int][]capacity.Ask
 }
 
-func newSite(name string, q routing.Quarantine) *site {
-	s := &site{router: routing.NewRouter(routing.Options{Quarantine: q}), running: make(map[int][]capacity.Ask)}
+func newTestPool(name string, q routing.Quarantine) *testPool {
+	p := &testPool{router: routing.NewRouter(routing.Options{Quarantine: q}), running: make(map[int][]capacity.Ask)}
 	for i := range 2 {
-		s.states = append(s.states, &capacity.EndpointState{ID: domain.EndpointID(fmt.Sprint(name, i)), Row: &config.EndpointRow{ID: domain.EndpointID(fmt.Sprint(name, i))}})
+		p.states = append(p.states, &capacity.EndpointState{ID: domain.EndpointID(fmt.Sprint(name, i)), Row: &config.EndpointRow{ID: domain.EndpointID(fmt.Sprint(name, i))}})
 	}
-	return s
+	return p
 }
 
-// offer places an ask with the content, or reports that it was quarantined.
-func (s *site) offer(fingerprint uint64) bool {
+// submit places a request with the content and returns false if the content is quarantined.
+func (p *testPool) submit(fingerprint uint64) bool {
 	now := time.Now()
 	ask := capacity.Ask{Pool: "model/m", Fingerprint: fingerprint, PromptTokens: 100, AnswerTokens: 10}
-	if s.router.Admit(now, &ask) != nil {
+	if p.router.Admit(now, &ask) != nil {
 		return false
 	}
-	if at, ok := s.router.Choose(now, &capacity.Waiting{Ask: &ask}, s.states); ok {
-		s.router.Granted(now, s.states[at], &ask)
-		s.states[at].Requests++
-		s.running[at] = append(s.running[at], ask)
+	if at, ok := p.router.Choose(now, &capacity.Waiting{Ask: &ask}, p.states); ok {
+		p.router.Granted(now, p.states[at], &ask)
+		p.states[at].Requests++
+		p.running[at] = append(p.running[at], ask)
 	}
 	return true
 }
 
-// finish ends all that runs and returns how many endpoints crashed.
-func (s *site) finish() int {
+// finishAll ends all running requests and returns the number of crashes.
+func (p *testPool) finishAll() int {
 	crashes := 0
-	for at, asks := range s.running {
+	for at, asks := range p.running {
 		result := capacity.Result{Dispatched: true, Complete: true, FirstToken: time.Second, Total: 2 * time.Second, AnswerTokens: 10}
 		for _, ask := range asks {
 			if ask.Fingerprint == poison {
@@ -190,33 +189,33 @@
 			}
 		}
 		for _, ask := range asks {
-			s.states[at].Requests--
-			s.router.Observe(time.Now(), s.states[at], &ask, result)
+			p.states[at].Requests--
+			p.router.Observe(time.Now(), p.states[at], &ask, result)
 		}
 	}
-	clear(s.running)
+	clear(p.running)
 	return crashes
 }
 
-// TestPoisonIsStoppedAndNeighboursAreNot sends a poisonous content among healthy
-// ones to two data centres in turn, each with a retry of all that crashed.
-func TestPoisonIsStoppedAndNeighboursAreNot(t *testing.T) {
-	run(t, func(t *testing.T, c *cluster) {
-		sites := []*site{newSite("a", c.services[0]), newSite("b", c.services[3])}
+// TestPoisonContentIsQuarantinedAndNeighboursAreNot sends one crashing content among healthy ones to
+// two data centres alternately, and retries all that crashed.
+func TestPoisonContentIsQuarantinedAndNeighboursAreNot(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		pools := []*testPool{newTestPool("a", c.services[0]), newTestPool("b", c.services[3])}
 		crashes, refusals := 0, 0
 		for round := range 60 {
-			s := sites[round%2]
+			pool := pools[round%2]
 			for i := range uint64(16) {
-				if i == 5 && !s.offer(poison) {
+				if i == 5 && !pool.submit(poison) {
 					refusals++
 				}
-				assert.Assert(t, s.offer(1000+i), "a neighbour was quarantined in round %d", round)
+				assert.Assert(t, pool.submit(1000+i), "a healthy content was quarantined in round %d", round)
 			}
 			time.Sleep(2 * time.Second)
-			crashes += s.finish()
+			crashes += pool.finishAll()
 			time.Sleep(time.Second)
 		}
-		assert.Equal(t, crashes, 3, "two, and one more when the first quarantine ends")
+		assert.Equal(t, crashes, 3, "two, and one more after the first quarantine")
 		assert.Assert(t, refusals > 50, "%d", refusals)
 	})
 }
--- a/routing/quarantine/service.go
+++ b/routing/quarantine/service.go
@@ -15,25 +15,23 @@
 	"hawthornrill.example/hawthornrill/routing"
 )
 
-// Service is a node's Set, spread to the other nodes. New evidence goes to all
-// nodes of the data centre and to one node of each other, which passes it on
-// there. What is lost on the way, or came while a node was away, is found by
-// asking one peer from time to time.
+// Service replicates a node's Set to the other nodes. New evidence is sent to all nodes of the data
+// centre and to one node of each other data centre, which relays it there. Evidence that is lost, or
+// sent while a node is down, is recovered by periodic pulls from one peer.
 type Service struct {
 	options Options
 	set     *Set
 	crashes *metrics.Counter
 
-	mu      sync.Mutex
-	pending []Evidence
-	wake    chan struct{}
-	pulls   int
+	mu        sync.Mutex
+	pending   []Evidence
+	wake      chan struct{}
+	pullCount int
 }
 
 var _ routing.Quarantine = (*Service)(nil)
 
-// New returns a Service and registers its handlers; Run must run for it to spread
-// anything.
+// New returns a Service and registers its handlers. Evidence is replicated only while Run is running.
 func New(options Options) *Service {
 	o := options.withDefaults()
 	s := &Service{
@@ -64,21 +62,21 @@
 // Crashed implements routing.Quarantine.
 func (s *Service) Crashed(endpoint domain.EndpointID, fingerprint uint64, alone bool) {
 	s.crashes.Inc()
-	s.spread(s.set.Crashed(time.Now(), endpoint, fingerprint, alone))
-	if left := s.Quarantined(fingerprint); left > 0 {
-		s.options.Logger.Warn().Uint64("fingerprint", fingerprint).Dur("for", left).Msg("content quarantined")
+	s.enqueue(s.set.Crashed(time.Now(), endpoint, fingerprint, alone))
+	if remaining := s.Quarantined(fingerprint); remaining > 0 {
+		s.options.Logger.Warn().Uint64("fingerprint", fingerprint).Dur("for", remaining).Msg("content quarantined")
 	}
 }
 
 // Completed implements routing.Quarantine.
 func (s *Service) Completed(fingerprint uint64) {
 	if s.set.Len() > 0 {
-		s.spread(s.set.Completed(time.Now(), fingerprint))
+		s.enqueue(s.set.Completed(time.Now(), fingerprint))
 	}
 }
 
-// spread queues evidence for the next flush.
-func (s *Service) spread(evidence []Evidence) {
+// enqueue adds evidence to the next flush.
+func (s *Service) enqueue(evidence []Evidence) {
 	if len(evidence) == 0 {
 		return
 	}
@@ -91,7 +89,7 @@
 	}
 }
 
-// Run spreads evidence until the context ends, and then returns its error.
+// Run replicates evidence until the context ends, and returns the context's error.
 func (s *Service) Run(ctx context.Context) error {
 	ticker := time.NewTicker(s.options.PullInterval)
 	defer ticker.Stop()
@@ -108,7 +106,7 @@
 	}
 }
 
-// flush sends what has gathered.
+// flush waits for FlushDelay and sends the queued evidence.
 func (s *Service) flush(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -120,13 +118,13 @@
 	s.pending = nil
 	s.mu.Unlock()
 	for len(evidence) > 0 {
-		part := evidence[:min(len(evidence), maxEvidence)]
+		part := evidence[:min(len(evidence), maxMessageEvidence)]
 		evidence = evidence[len(part):]
 		s.broadcast(ctx, part)
 	}
 }
 
-// broadcast sends evidence to the data centre and to one node of each other.
+// broadcast sends evidence to the nodes of the data centre and to one node of each other.
 func (s *Service) broadcast(ctx context.Context, evidence []Evidence) {
 	groups := s.peers()
 	own := s.options.Transport.Self().DataCentre
@@ -142,12 +140,12 @@
 func (s *Service) send(ctx context.Context, members []domain.Member, r report) {
 	for _, m := range members {
 		if err := peer.Send(ctx, s.options.Transport, m, methodReport, r); err != nil {
-			s.options.Logger.Debug().Err(err).Stringer("peer", m).Msg("quarantine evidence not sent")
+			s.options.Logger.Debug().Err(err).Stringer("peer", m).Msg("failed to send quarantine evidence")
 		}
 	}
 }
 
-// peers returns the other nodes that answer, by data centre.
+// peers returns the other nodes that are alive or leaving, by data centre.
 func (s *Service) peers() map[domain.DataCentre][]domain.Member {
 	groups := make(map[domain.DataCentre][]domain.Member)
 	view := s.options.Membership.Current()
@@ -162,23 +160,23 @@
 	return groups
 }
 
-// handleReport takes evidence in and passes on what is new, if asked to.
+// handleReport merges the evidence and relays what is new if requested.
 func (s *Service) handleReport(_ context.Context, _ domain.Member, r report) (struct{}, error) {
-	news := s.set.Merge(time.Now(), r.Evidence)
-	if r.Relay && len(news) > 0 {
-		s.relay(report{Evidence: news})
+	added := s.set.Merge(time.Now(), r.Evidence)
+	if r.Relay && len(added) > 0 {
+		s.relay(report{Evidence: added})
 	}
 	return struct{}{}, nil
 }
 
-// relay passes a report on within the data centre.
+// relay forwards a report to the nodes of the data centre.
 func (s *Service) relay(r report) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.options.CallTimeout)
 	defer cancel()
 	s.send(ctx, s.peers()[s.options.Transport.Self().DataCentre], r)
 }
 
-// handlePull answers with all evidence if the asker holds other evidence.
+// handlePull returns all evidence if the digests differ.
 func (s *Service) handlePull(_ context.Context, _ domain.Member, r pullRequest) (pullReply, error) {
 	now := time.Now()
 	if s.set.Digest(now, s.options.PullInterval) == r.Digest {
@@ -188,7 +186,7 @@
 	return pullReply{Evidence: evidence}, nil
 }
 
-// pull asks one peer, each in turn.
+// pull fetches missing evidence from the next peer in round-robin order.
 func (s *Service) pull(ctx context.Context) {
 	var members []domain.Member
 	for _, group := range s.peers() {
@@ -197,22 +195,21 @@
 	if len(members) == 0 {
 		return
 	}
-	target := nth(members, s.pulls)
-	s.pulls++
+	target := memberByTurn(members, s.pullCount)
+	s.pullCount++
 	ctx, cancel := context.WithTimeout(ctx, s.options.CallTimeout)
 	defer cancel()
 	digest := s.set.Digest(time.Now(), s.options.PullInterval)
 	reply, err := peer.Call[pullRequest, pullReply](ctx, s.options.Transport, target, methodPull, pullRequest{Digest: digest})
 	if err != nil {
-		s.options.Logger.Debug().Err(err).Stringer("peer", target).Msg("quarantine evidence not asked for")
+		s.options.Logger.Debug().Err(err).Stringer("peer", target).Msg("failed to pull quarantine evidence")
 		return
 	}
 	s.set.Merge(time.Now(), reply.Evidence)
 }
 
-// nth returns a member by its turn, in an order that all lists of the same members
-// share.
-func nth(members []domain.Member, turn int) domain.Member {
+// memberByTurn returns the member for a turn, in an order that does not depend on that of the list.
+func memberByTurn(members []domain.Member, turn int) domain.Member {
 	slices.SortFunc(members, func(a, b domain.Member) int { return cmp.Compare(a.Node, b.Node) })
 	return members[turn%len(members)]
 }
--- a/routing/quarantine/tracker.go
+++ b/routing/quarantine/tracker.go
@@ -10,89 +10,91 @@
 )
 
 const (
-	// tellFor is for how long evidence is told, some ten reports between nodes of which some may be lost.
-	tellFor = 2 * time.Second
-	// toldMost bounds the evidence in one report, some 30 bytes each.
-	toldMost = 32
-	// boardThreshold quarantines a content at which three endpoints broke off: two do so by chance where many answers are
-	// lost, and operators allow three crashes.
-	boardThreshold = 6
+	// evidenceReportPeriod is how long evidence is included in reports: about ten reports between
+	// nodes, some of which may be lost.
+	evidenceReportPeriod = 2 * time.Second
+	// maxReportedEvidence limits the evidence in one report, at about 30 bytes each.
+	maxReportedEvidence = 32
+	// trackerThreshold quarantines a content after failures of three endpoints: two failures occur by
+	// chance when many answers are lost, and the operators' limit is three crashes.
+	trackerThreshold = 6
 )
 
-// Tracker is a node's Set for nodes that tell each other what they hold with their periodic reports. It is safe for
+// Tracker is a Set for nodes that exchange evidence in their periodic reports. It is safe for
 // concurrent use.
 type Tracker struct {
 	set *Set
 	log zerolog.Logger
 
-	mu   sync.Mutex
-	told []toldEvidence
+	mu     sync.Mutex
+	recent []timedEvidence
 }
 
-type toldEvidence struct {
+type timedEvidence struct {
 	evidence Evidence
 	at       time.Time
 }
 
-// NewTracker returns a board without evidence.
+// NewTracker returns a Tracker without evidence.
 func NewTracker(log zerolog.Logger) *Tracker {
-	return &Tracker{set: NewSet(Options{Threshold: boardThreshold}), log: log}
+	return &Tracker{set: NewSet(Options{Threshold: trackerThreshold}), log: log}
 }
 
-// Quarantined returns for how long the content must not be run, 0 if it may be.
-func (b *Tracker) Quarantined(fingerprint uint64) time.Duration {
-	if b.set.Len() == 0 {
+// Quarantined returns the remaining quarantine time of the content, 0 if it may run.
+func (t *Tracker) Quarantined(fingerprint uint64) time.Duration {
+	if t.set.Len() == 0 {
 		return 0
 	}
-	return b.set.Quarantined(time.Now(), fingerprint)
+	return t.set.Quarantined(time.Now(), fingerprint)
 }
 
-// Broke tells that the endpoint broke off while it ran the content.
-func (b *Tracker) RecordFailure(endpoint domain.EndpointID, fingerprint uint64) {
+// RecordFailure records that the endpoint failed while it was running the content.
+func (t *Tracker) RecordFailure(endpoint domain.EndpointID, fingerprint uint64) {
 	now := time.Now()
-	b.tell(now, b.set.Crashed(now, endpoint, fingerprint, false))
-	if left := b.set.Quarantined(now, fingerprint); left > 0 {
-		b.log.Warn().Uint64("content", fingerprint).Str("endpoint", string(endpoint)).Dur("for_ms", left).
+	t.addRecent(now, t.set.Crashed(now, endpoint, fingerprint, false))
+	if remaining := t.set.Quarantined(now, fingerprint); remaining > 0 {
+		t.log.Warn().Uint64("content", fingerprint).Str("endpoint", string(endpoint)).Dur("for_ms", remaining).
 			Msg("content breaks off endpoints, quarantined")
 	}
 }
 
-// Completed tells that the content was answered in full.
-func (b *Tracker) Completed(fingerprint uint64) {
-	if b.set.Len() > 0 {
+// Completed records that a request with the content was answered in full.
+func (t *Tracker) Completed(fingerprint uint64) {
+	if t.set.Len() > 0 {
 		now := time.Now()
-		b.tell(now, b.set.Completed(now, fingerprint))
+		t.addRecent(now, t.set.Completed(now, fingerprint))
 	}
 }
 
-func (b *Tracker) tell(now time.Time, evidence []Evidence) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Tracker) addRecent(now time.Time, evidence []Evidence) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, e := range evidence {
-		b.told = append(b.told, toldEvidence{e, now.Add(-e.Age)})
+		t.recent = append(t.recent, timedEvidence{e, now.Add(-e.Age)})
 	}
 }
 
-// News returns the latest evidence, for the other nodes.
-func (b *Tracker) RecentEvidence() []Evidence {
+// RecentEvidence returns the evidence to include in the next report.
+func (t *Tracker) RecentEvidence() []Evidence {
 	now := time.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for len(b.told) > 0 && (now.Sub(b.told[0].at) > tellFor || len(b.told) > toldMost) {
-		b.told = b.told[1:]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for len(t.recent) > 0 && (now.Sub(t.recent[0].at) > evidenceReportPeriod || len(t.recent) > maxReportedEvidence) {
+		t.recent = t.recent[1:]
 	}
-	var news []Evidence
-	for _, t := range b.told {
-		e := t.evidence
-		e.Age = now.Sub(t.at)
-		news = append(news, e)
+	var evidence []Evidence
+	for _, r := range t.recent {
+		e := r.evidence
+		e.Age = now.Sub(r.at)
+		evidence = append(evidence, e)
 	}
-	return news
+	return evidence
 }
 
-// Heard takes another node's evidence. Each node tells its own, so that none is passed on.
-func (b *Tracker) MergeEvidence(evidence []Evidence) {
+// MergeEvidence adds evidence from another node's report. It is not forwarded, since each node reports
+// its own.
+func (t *Tracker) MergeEvidence(evidence []Evidence) {
 	if len(evidence) > 0 {
-		b.set.Merge(time.Now(), evidence)
+		t.set.Merge(time.Now(), evidence)
 	}
 }
--- a/routing/quarantine/tracker_test.go
+++ b/routing/quarantine/tracker_test.go
@@ -9,34 +9,35 @@
 	"gotest.tools/v3/assert"
 )
 
-// Pattern: a request crashes each endpoint that runs it, and its caller sends it again at other nodes.
-func TestContentThatBreaksOffEndpointsIsKnownAtAllNodes(t *testing.T) {
+// Guards against a request that crashes each endpoint that runs it and is retried by its caller on
+// other nodes, each of which sees only some of the crashes.
+func TestTrackersExchangeCrashEvidence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, other := NewTracker(zerolog.Nop()), NewTracker(zerolog.Nop())
-		one.RecordFailure("a", poison)
-		other.RecordFailure("b", poison)
-		one.MergeEvidence(other.RecentEvidence())
-		assert.Equal(t, one.Quarantined(poison), time.Duration(0), "two endpoints may break off by chance")
+		a, b := NewTracker(zerolog.Nop()), NewTracker(zerolog.Nop())
+		a.RecordFailure("a", poison)
+		b.RecordFailure("b", poison)
+		a.MergeEvidence(b.RecentEvidence())
+		assert.Equal(t, a.Quarantined(poison), time.Duration(0), "two failures may occur by chance")
 		time.Sleep(time.Second)
-		one.RecordFailure("c", poison)
-		other.MergeEvidence(one.RecentEvidence())
-		assert.Assert(t, one.Quarantined(poison) > time.Minute && other.Quarantined(poison) > time.Minute)
-		assert.Equal(t, other.Quarantined(poison+1), time.Duration(0))
+		a.RecordFailure("c", poison)
+		b.MergeEvidence(a.RecentEvidence())
+		assert.Assert(t, a.Quarantined(poison) > time.Minute && b.Quarantined(poison) > time.Minute)
+		assert.Equal(t, b.Quarantined(poison+1), time.Duration(0))
 		time.Sleep(time.Millisecond)
-		one.Completed(poison)
-		other.MergeEvidence(one.RecentEvidence())
-		assert.Equal(t, other.Quarantined(poison), time.Duration(0), "it was answered after all")
-		time.Sleep(2 * tellFor)
-		assert.Equal(t, len(one.RecentEvidence()), 0)
+		a.Completed(poison)
+		b.MergeEvidence(a.RecentEvidence())
+		assert.Equal(t, b.Quarantined(poison), time.Duration(0), "a completion clears the content")
+		time.Sleep(2 * evidenceReportPeriod)
+		assert.Equal(t, len(a.RecentEvidence()), 0)
 	})
 }
 
-func TestNewsIsBounded(t *testing.T) {
+func TestRecentEvidenceIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewTracker(zerolog.Nop())
 		for i := range uint64(200) {
 			b.RecordFailure("a", i+1)
 		}
-		assert.Equal(t, len(b.RecentEvidence()), toldMost)
+		assert.Equal(t, len(b.RecentEvidence()), maxReportedEvidence)
 	})
 }
