--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -50,7 +50,7 @@
 	// limits are the organisations', endpointLimits those that endpoints name.
 	limits         *tokenlimit.Limiter
 	endpointLimits *endpointlimit.Limiter
-	desk           *places.Desk
+	desk           *places.Allocator
 	suspects       *quarantine.Board
 	endpoints      *exchange.Client
 	gateway        *gateway.Gateway
@@ -202,7 +202,7 @@
 	_, last := n.follower.Revision(follow.Endpoints)
 	report.Endpoints = uint64(last)
 	report.Changes, report.PassesOn = n.follower.PassOn()
-	n.desk.Fill(report)
+	n.desk.FillReport(report)
 	report.Broken = n.suspects.News()
 	n.limits.Fill(report)
 	n.endpointLimits.Fill(report)
@@ -210,7 +210,7 @@
 
 // heard takes another node's report.
 func (n *Node) heard(report *gossip.Report, sent boottime.Instant) {
-	n.desk.Heard(report)
+	n.desk.ApplyReport(report)
 	n.suspects.Heard(report.Broken)
 	n.limits.Heard(report)
 	n.endpointLimits.Heard(report)
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -37,7 +37,7 @@
 // BenchmarkEvent reads an event of 75 bytes, accounts for it and passes it on; the connections are left out.
 func BenchmarkEvent(b *testing.B) {
 	f := newFixture(b, nil, func(http.ResponseWriter, *http.Request) {})
-	place, err := f.gateway.parts.Places.Acquire(b.Context(), &places.Ask{
+	place, err := f.gateway.parts.Places.Acquire(b.Context(), &places.Request{
 		Service: "s", FirstByteDue: time.Now().Add(time.Minute), Due: time.Now().Add(time.Minute),
 	})
 	assert.NilError(b, err)
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -48,8 +48,8 @@
 	t.unacknowledged = false
 	t.endpoint, t.load, t.tokenTime = place.Endpoint.Incarnation(), place.Load, place.TokenTime
 	t.endpointLimit = place.Limit
-	if !place.Reported.IsZero() {
-		t.loadAge = time.Since(place.Reported)
+	if !place.ReportedAt.IsZero() {
+		t.loadAge = time.Since(place.ReportedAt)
 	}
 	t.tried = append(t.tried, place.Endpoint.Incarnation())
 	sent := t.gateway.parts.Clock()
@@ -155,7 +155,7 @@
 	d.last = now
 	if d.events == 0 {
 		d.first = now.Sub(d.started)
-		d.place.FirstEvent()
+		d.place.RecordFirstEvent()
 		if d.task.first == 0 {
 			d.task.first = now.Sub(d.task.started)
 		}
@@ -165,7 +165,7 @@
 		d.stall.Reset(max(stallFactor*d.task.route.EventGap, leastStall))
 	}
 	if d.events%progressEvents == 0 {
-		d.place.Produced(progressEvents * d.task.eventTokens())
+		d.place.RecordTokens(progressEvents * d.task.eventTokens())
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -49,7 +49,7 @@
 	// EndpointLimits takes the limits that endpoints name; Limits are the organisations'.
 	EndpointLimits *endpointlimit.Limiter
 	Retries        *retrybudget.Budget
-	Places         *places.Desk
+	Places         *places.Allocator
 	// Quarantine knows the contents that crash the endpoints that run them.
 	Quarantine *quarantine.Board
 	Endpoints  *exchange.Client
--- a/gateway/patience.go
+++ b/gateway/patience.go
@@ -19,7 +19,7 @@
 	// patienceSpread is the part by which the times that callers of a route state at their first attempt differ. In
 	// deployments seen they are spread evenly over the upper 0.15 of the greatest; without it more than half of all
 	// first attempts were taken for late ones. A refused caller comes back with three quarters of its time at the most,
-	// since it is told to wait for a quarter of it or more (see places.Ask).
+	// since it is told to wait for a quarter of it or more (see places.Request).
 	patienceSpread = 0.2
 )
 
--- a/gateway/task.go
+++ b/gateway/task.go
@@ -142,9 +142,9 @@
 	return t.dispatch(place)
 }
 
-func (t *task) ask() *places.Ask {
-	ask := &places.Ask{
-		Name:         t.call.ID,
+func (t *task) ask() *places.Request {
+	ask := &places.Request{
+		ID:           t.call.ID,
 		Service:      t.service,
 		Tier:         t.route.Tier,
 		RouteTier:    t.route.Tier,
@@ -162,7 +162,7 @@
 	if t.organisation != nil {
 		ask.Organisation = t.organisation.ID
 		if t.organisation.HasTier {
-			ask.Tier, ask.Within = t.organisation.Tier, t.route.Tier
+			ask.Tier, ask.SubTier = t.organisation.Tier, t.route.Tier
 		}
 	}
 	return ask
--- a/places/ask.go
+++ b/places/ask.go
@@ -7,15 +7,15 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Ask is a request for a place at an endpoint of a service.
-type Ask struct {
+// Request is a request for a place at an endpoint of a service.
+type Request struct {
 	// Name is the request's id, for the log.
-	Name         string
+	ID           string
 	Service      string
 	Organisation domain.OrganisationID
 	Tier         domain.Tier
 	// Within orders requests of the same tier: the route's where Tier is the organisation's.
-	Within domain.Tier
+	SubTier domain.Tier
 	// RouteTier is the route's, also where Tier is the organisation's.
 	RouteTier domain.Tier
 	// PromptTokens and AnswerTokens are estimates of the work; zero for a plain call.
@@ -42,7 +42,7 @@
 	routed *capacity.Ask
 }
 
-func (a *Ask) excludes(id domain.EndpointID) bool {
+func (a *Request) excludes(id domain.EndpointID) bool {
 	for _, e := range a.Excluded {
 		if e == id {
 			return true
@@ -51,9 +51,9 @@
 	return false
 }
 
-func (a *Ask) forRouter() *capacity.Ask {
+func (a *Request) forRouter() *capacity.Ask {
 	return &capacity.Ask{
-		Name:         a.Name,
+		Name:         a.ID,
 		Pool:         domain.PoolName(a.Service),
 		Organisation: a.Organisation,
 		Tier:         a.Tier,
--- a/places/choose.go
+++ b/places/choose.go
@@ -10,7 +10,7 @@
 
 // choose returns the endpoint for the ask, nil if none has room. The node's own part of the near endpoints goes first,
 // then the near ones, then all: bytes between data centres cost, and the way is longer.
-func (p *pool) choose(now time.Time, ask *Ask, d *Desk) *account {
+func (p *pool) choose(now time.Time, ask *Request, d *Allocator) *account {
 	fleet := d.fleet()
 	r := p.room(now, ask, fleet)
 	if a := p.chooseWithin(now, ask, r, d, fleet); a != nil {
@@ -31,7 +31,7 @@
 // one ends there, whosever that is. On nine overloaded runs with data centres of two to four nodes callers got 0.634 of what
 // they wanted with it and 0.632 without, the data centre with two nodes 0.81 and 0.79; on six of another deployment 0.632
 // and 0.621.
-func (p *pool) underShare(now time.Time, r room, d *Desk) bool {
+func (p *pool) underShare(now time.Time, r room, d *Allocator) bool {
 	if r.reserve > 0 || r.demand > 0 {
 		return false
 	}
@@ -39,7 +39,7 @@
 }
 
 // chooseWithin returns the endpoint for the ask within the room, nil if there is none.
-func (p *pool) chooseWithin(now time.Time, ask *Ask, r room, d *Desk, fleet gossip.Fleet) *account {
+func (p *pool) chooseWithin(now time.Time, ask *Request, r room, d *Allocator, fleet gossip.Fleet) *account {
 	p.collect(ask, r, d.options, fleet)
 	if !p.draw(now, ask, d.options, fleet) || len(p.scratch) == 0 {
 		return nil
@@ -55,7 +55,7 @@
 // room is what the ask may take. A node with much less than an equal part of the service's places may go beyond an
 // endpoint's, which keeps one that has just started from being shut out by the others. Requests that will be late leave
 // some places to those that can be on time, which would otherwise find none when they come.
-func (p *pool) room(now time.Time, ask *Ask, fleet gossip.Fleet) room {
+func (p *pool) room(now time.Time, ask *Request, fleet gossip.Fleet) room {
 	r := room{tokens: ask.PromptTokens + ask.AnswerTokens, cache: p.cache()}
 	if p.outstanding()*starvedPart < p.places/max(fleet.Known, 1) {
 		r.beyond = true
@@ -79,7 +79,7 @@
 // the other nodes would hear of it. Their reports then say what an endpoint had, not what it has, so that a node would
 // wait for places that are free. The endpoint's own queue costs a round of short work; it is used as far as that leaves
 // the request on time.
-func (p *pool) rounds(now time.Time, ask *Ask, fleet gossip.Fleet) float64 {
+func (p *pool) rounds(now time.Time, ask *Request, fleet gossip.Fleet) float64 {
 	if fleet.Known <= 1 || p.held.samples == 0 || p.held.value >= quickWork.Seconds() || ask.late(now, p.start(ask)) {
 		return 1
 	}
@@ -88,7 +88,7 @@
 }
 
 // collect takes the endpoints that have room for the ask.
-func (p *pool) collect(ask *Ask, r room, o Options, fleet gossip.Fleet) {
+func (p *pool) collect(ask *Request, r room, o Options, fleet gossip.Fleet) {
 	p.scratch, p.chosen = p.scratch[:0], p.chosen[:0]
 	for _, a := range p.list {
 		if a.endpoint.Leaving || ask.excludes(a.id()) || !a.hasRoom(r, a.mine(o, fleet)) || !o.Limits.Allows(a.endpoint) {
@@ -100,7 +100,7 @@
 }
 
 // other reports whether there is an endpoint, full or at its limit or not, that the ask could use and that is wanted.
-func (p *pool) other(ask *Ask, wanted func(*account) bool) bool {
+func (p *pool) other(ask *Request, wanted func(*account) bool) bool {
 	for _, a := range p.list {
 		if !a.endpoint.Leaving && !ask.excludes(a.id()) && !p.limits.Bars(a.endpoint) && wanted(a) {
 			return true
@@ -120,7 +120,7 @@
 // It reports false if none of them is such, but another endpoint, full now, would be. One that has crashed has many places
 // free, and under overload all that wait would go there: on a day on which 23 of 60 endpoints crashed in a burst under 72
 // nodes, that was 40,000 failed connections in four seconds, and one request in five refused for them.
-func (p *pool) draw(now time.Time, ask *Ask, o Options, fleet gossip.Fleet) bool {
+func (p *pool) draw(now time.Time, ask *Request, o Options, fleet gossip.Fleet) bool {
 	n := len(p.chosen)
 	if fleet.Known > sampleFrom {
 		n = sample
--- a/places/demand.go
+++ b/places/demand.go
@@ -86,7 +86,7 @@
 func newDemand() demand { return demand{tiers: make(map[tier]*tierDemand)} }
 
 // tierOf is the tier in which an ask is counted.
-func tierOf(ask *Ask) tier { return tier{ask.baseRank(), ask.RouteTier} }
+func tierOf(ask *Request) tier { return tier{ask.baseRank(), ask.RouteTier} }
 
 func (d *demand) of(of tier) *tierDemand {
 	t, ok := d.tiers[of]
--- a/places/demand_test.go
+++ b/places/demand_test.go
@@ -114,7 +114,7 @@
 		send := func(kind int, tier domain.Tier, held, objective time.Duration) {
 			asked[kind].Add(1)
 			ask := testAsk()
-			ask.Within, ask.RouteTier = tier, tier
+			ask.SubTier, ask.RouteTier = tier, tier
 			ask.PromptTokens, ask.AnswerTokens = 300, 30
 			ask.FirstByteDue, ask.Due = time.Now().Add(objective), time.Now().Add(4*objective)
 			go func() {
--- a/places/desk.go
+++ b/places/desk.go
@@ -22,8 +22,8 @@
 	"hawthornrill.example/hawthornrill/gossip"
 )
 
-// Desk gives out places. It is safe for concurrent use.
-type Desk struct {
+// Allocator gives out places. It is safe for concurrent use.
+type Allocator struct {
 	options   Options
 	directory *directory.Directory
 	fleet     func() gossip.Fleet
@@ -41,7 +41,7 @@
 }
 
 // New returns a desk. Fleet counts the nodes.
-func New(options Options, d *directory.Directory, fleet func() gossip.Fleet, set *metrics.Set) *Desk {
+func New(options Options, d *directory.Directory, fleet func() gossip.Fleet, set *metrics.Set) *Allocator {
 	options.Routing = defaultRouting(options.Routing)
 	if options.Limits == nil {
 		options.Limits = unlimited{}
@@ -49,7 +49,7 @@
 	if options.CacheTokens == nil {
 		options.CacheTokens = func(string) int { return 0 }
 	}
-	desk := &Desk{
+	desk := &Allocator{
 		options:   options,
 		directory: d,
 		fleet:     fleet,
@@ -65,7 +65,7 @@
 
 // Acquire waits for a place. It returns a *Refusal when there will be none in time, at once if that is foreseen, or
 // the context's cause.
-func (d *Desk) Acquire(ctx context.Context, ask *Ask) (*Place, error) {
+func (d *Allocator) Acquire(ctx context.Context, ask *Request) (*Place, error) {
 	place, w, err := d.enter(ask)
 	if place != nil || err != nil {
 		return place, err
@@ -92,7 +92,7 @@
 	return nil, err
 }
 
-func (d *Desk) received(w *waiter, place *Place, ok bool) (*Place, error) {
+func (d *Allocator) received(w *waiter, place *Place, ok bool) (*Place, error) {
 	if !ok {
 		d.refused.Inc()
 		return nil, &Refusal{Err: ErrOverloaded, RetryAfter: retryLeast}
@@ -102,7 +102,7 @@
 }
 
 // enter grants a place, refuses, or queues the ask.
-func (d *Desk) enter(ask *Ask) (*Place, *waiter, error) {
+func (d *Allocator) enter(ask *Request) (*Place, *waiter, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.follow()
@@ -131,7 +131,7 @@
 
 // refuse decides at arrival whether the ask would start too late: after its latency objective, or, if that is missed
 // already, so late that its caller may have left.
-func (p *pool) refuse(now time.Time, ask *Ask, ahead int) *Refusal {
+func (p *pool) refuse(now time.Time, ask *Request, ahead int) *Refusal {
 	if ask.Urgent {
 		return nil
 	}
@@ -146,7 +146,7 @@
 	return &Refusal{Err: ErrOverloaded, RetryAfter: ask.retryAfter(now), Wait: wait, Ahead: ahead, Free: p.free(), Limited: p.limited()}
 }
 
-func (d *Desk) enqueue(p *pool, now time.Time, ask *Ask) *waiter {
+func (d *Allocator) enqueue(p *pool, now time.Time, ask *Request) *waiter {
 	w := &waiter{ask: ask, since: now, granted: make(chan *Place, 1)}
 	w.item = queueItem(w, now, p.start(ask))
 	if evicted := p.waiting.Push(&w.item); evicted != nil {
@@ -156,14 +156,14 @@
 }
 
 // leave takes the waiter out of the queue and reports whether it was there.
-func (d *Desk) leave(w *waiter) bool {
+func (d *Allocator) leave(w *waiter) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.pool(w.ask.Service).waiting.Remove(&w.item)
 }
 
 // Waiting returns the number of asks that wait.
-func (d *Desk) Waiting() int {
+func (d *Allocator) Waiting() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := 0
@@ -173,7 +173,7 @@
 	return n
 }
 
-func (d *Desk) pool(service string) *pool {
+func (d *Allocator) pool(service string) *pool {
 	p, ok := d.pools[service]
 	if !ok {
 		p = newPool(service, d.options)
@@ -183,7 +183,7 @@
 }
 
 // follow brings the pools up to the directory.
-func (d *Desk) follow() {
+func (d *Allocator) follow() {
 	snapshot := d.directory.Current()
 	if snapshot == d.seen {
 		return
@@ -215,7 +215,7 @@
 }
 
 // Run serves the queues when the directory changes, and now and then, until the context ends.
-func (d *Desk) Run(ctx context.Context) error {
+func (d *Allocator) Run(ctx context.Context) error {
 	ticker := time.NewTicker(serveEvery)
 	defer ticker.Stop()
 	for {
@@ -232,7 +232,7 @@
 // serveEvery bounds how long a place that became free unnoticed stays unused.
 const serveEvery = 100 * time.Millisecond
 
-func (d *Desk) serve() {
+func (d *Allocator) serve() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
--- a/places/desk_test.go
+++ b/places/desk_test.go
@@ -23,7 +23,7 @@
 
 // bench is a desk with endpoints.
 type bench struct {
-	*Desk
+	*Allocator
 	t     *testing.T
 	list  *directory.Directory
 	fleet gossip.Fleet
@@ -34,7 +34,7 @@
 	for i := range endpoints {
 		b.set(i, false)
 	}
-	b.Desk = New(Options{Node: "n", DataCentre: "d"}, b.list, func() gossip.Fleet { return b.fleet }, metrics.NewSet())
+	b.Allocator = New(Options{Node: "n", DataCentre: "d"}, b.list, func() gossip.Fleet { return b.fleet }, metrics.NewSet())
 	return b
 }
 
@@ -44,13 +44,13 @@
 	}}, nil, 0)
 }
 
-func testAsk() *Ask {
+func testAsk() *Request {
 	now := time.Now()
-	return &Ask{Service: "s", FirstByteDue: now.Add(time.Minute), Due: now.Add(2 * time.Minute)}
+	return &Request{Service: "s", FirstByteDue: now.Add(time.Minute), Due: now.Add(2 * time.Minute)}
 }
 
 // take acquires a place that is free.
-func (b *bench) take(ask *Ask) *Place {
+func (b *bench) take(ask *Request) *Place {
 	b.t.Helper()
 	place, err := b.Acquire(b.t.Context(), ask)
 	assert.NilError(b.t, err)
@@ -71,7 +71,7 @@
 }
 
 // wait asks in the background.
-func (b *bench) wait(ask *Ask) chan error {
+func (b *bench) wait(ask *Request) chan error {
 	got := make(chan error, 1)
 	go func() {
 		_, err := b.Acquire(b.t.Context(), ask)
@@ -136,7 +136,7 @@
 		order := make(chan string, 10)
 		add := func(name string, tier domain.Tier, due time.Duration) {
 			ask := testAsk()
-			ask.Tier, ask.Name, ask.FirstByteDue = tier, name, time.Now().Add(due)
+			ask.Tier, ask.ID, ask.FirstByteDue = tier, name, time.Now().Add(due)
 			go func() {
 				if place, err := b.Acquire(b.t.Context(), ask); err == nil {
 					order <- name
@@ -164,7 +164,7 @@
 	for _, tier := range []domain.Tier{0, 1, maxTier} {
 		for _, within := range []domain.Tier{0, withinTiers - 1, 255} {
 			for _, due := range []time.Time{now.Add(time.Second), now} {
-				ask := Ask{Tier: tier, Within: within, FirstByteDue: due}
+				ask := Request{Tier: tier, SubTier: within, FirstByteDue: due}
 				rank := int(ask.rank(now, 0))
 				assert.Assert(t, rank > last || within == 255, "%d %d: %d", tier, within, rank)
 				last = rank
@@ -183,7 +183,7 @@
 		for within := range domain.Tier(3) {
 			for range 60 {
 				ask := testAsk()
-				ask.Within = within
+				ask.SubTier = within
 				go func() {
 					place, err := b.Acquire(ctx, ask)
 					if err != nil {
@@ -212,7 +212,7 @@
 		b := newBench(t, 2)
 		b.fleet = gossip.Fleet{Known: 2, Heard: 2, Near: 2}
 		report := &gossip.Report{From: "m", Loads: []gossip.Load{{Endpoint: "e0", Requests: testSlots}, {Endpoint: "e1", Requests: 1}}}
-		b.Heard(report)
+		b.ApplyReport(report)
 		for range testSlots - 1 {
 			assert.Equal(t, b.take(testAsk()).Endpoint.ID, domain.EndpointID("e1"))
 		}
@@ -235,7 +235,7 @@
 			time.Sleep(30 * time.Millisecond)
 			place.Release(served(30 * time.Millisecond))
 		}
-		b.Heard(&gossip.Report{From: "m", Loads: []gossip.Load{{Endpoint: "e0", Requests: testSlots}}})
+		b.ApplyReport(&gossip.Report{From: "m", Loads: []gossip.Load{{Endpoint: "e0", Requests: testSlots}}})
 		for range testSlots {
 			ask := testAsk()
 			ask.FirstByteDue = time.Now().Add(150 * time.Millisecond)
@@ -264,7 +264,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				b := newBench(t, 1)
 				b.fleet = gossip.Fleet{Known: 2, Heard: 2, Near: 2}
-				b.Heard(&gossip.Report{From: "m", Loads: []gossip.Load{{Endpoint: "e0", Requests: testSlots}}})
+				b.ApplyReport(&gossip.Report{From: "m", Loads: []gossip.Load{{Endpoint: "e0", Requests: testSlots}}})
 				b.take(testAsk())
 				ask := testAsk()
 				ask.AnswerTokens = test.tokens
@@ -292,7 +292,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, 1)
 		b.fleet = gossip.Fleet{Known: 2, Heard: 2, Near: 2}
-		b.Heard(&gossip.Report{From: "m", Loads: []gossip.Load{{Endpoint: "e0", Requests: testSlots}}})
+		b.ApplyReport(&gossip.Report{From: "m", Loads: []gossip.Load{{Endpoint: "e0", Requests: testSlots}}})
 		b.take(testAsk())
 		b.wait(testAsk())
 		assert.Equal(t, b.Waiting(), 1)
@@ -303,7 +303,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, 1)
 		b.options.CacheTokens = func(string) int { return 1000 }
-		large := func() *Ask {
+		large := func() *Request {
 			ask := testAsk()
 			ask.PromptTokens = 600
 			return ask
--- a/places/example_test.go
+++ b/places/example_test.go
@@ -22,7 +22,7 @@
 	alone := func() gossip.Fleet { return gossip.Fleet{Known: 1, Heard: 1, Near: 1} }
 	desk := places.New(places.Options{Node: "node-1", DataCentre: "north"}, endpoints, alone, metrics.NewSet())
 
-	ask := &places.Ask{
+	ask := &places.Request{
 		Service:      "chat",
 		PromptTokens: 600,
 		FirstByteDue: time.Now().Add(50 * time.Millisecond),
--- a/places/hand.go
+++ b/places/hand.go
@@ -7,7 +7,7 @@
 )
 
 // release gives a place back and hands out what has become free.
-func (d *Desk) release(place *Place, result capacity.Result) {
+func (d *Allocator) release(place *Place, result capacity.Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -29,7 +29,7 @@
 }
 
 // hand grants places to waiters in their order, as far as there is room.
-func (d *Desk) hand(p *pool, now time.Time) {
+func (d *Allocator) hand(p *pool, now time.Time) {
 	for {
 		w, a := d.match(p, now)
 		if w == nil {
@@ -44,7 +44,7 @@
 
 // match returns the first waiter for whom there is an endpoint, usually the one whose turn it is. If that one can't use
 // every endpoint that has room, it may be one behind it.
-func (d *Desk) match(p *pool, now time.Time) (*waiter, *account) {
+func (d *Allocator) match(p *pool, now time.Time) (*waiter, *account) {
 	first := p.next(now)
 	if first == nil {
 		return nil, nil
@@ -71,7 +71,7 @@
 }
 
 // handAll serves all queues.
-func (d *Desk) handAll(now time.Time) {
+func (d *Allocator) handAll(now time.Time) {
 	for _, p := range d.pools {
 		d.hand(p, now)
 	}
--- a/places/health_test.go
+++ b/places/health_test.go
@@ -35,11 +35,11 @@
 		place := b.take(testAsk())
 		place.Release(capacity.Result{Unreachable: true})
 		var report gossip.Report
-		b.Fill(&report)
+		b.FillReport(&report)
 		assert.DeepEqual(t, report.Failed, []domain.EndpointID{place.Endpoint.ID})
 		other := newBench(t, 2)
 		report.From = "m"
-		other.Heard(&report)
+		other.ApplyReport(&report)
 		for range testSlots {
 			assert.Assert(t, other.take(testAsk()).Endpoint.ID != place.Endpoint.ID)
 		}
@@ -71,8 +71,8 @@
 		replaced.Release(capacity.Result{Replaced: true})
 		time.Sleep(5 * time.Second)
 		report := gossip.Report{From: "m"}
-		b.Fill(&report)
-		other.Heard(&report)
+		b.FillReport(&report)
+		other.ApplyReport(&report)
 		for range testSlots {
 			assert.Assert(t, b.take(testAsk()).Endpoint.ID != replaced.Endpoint.ID)
 			assert.Assert(t, other.take(testAsk()).Endpoint.ID != replaced.Endpoint.ID)
@@ -116,13 +116,13 @@
 		b.set(1, true)
 		b.take(testAsk()).Release(served(time.Millisecond))
 		report := &gossip.Report{From: "m", Failed: []domain.EndpointID{"e0"}}
-		b.Heard(report)
+		b.ApplyReport(report)
 		b.set(1, false)
 		b.take(testAsk()).Release(served(time.Millisecond))
 		inService := func() bool { return b.pools["s"].accounts["e0"].inService(time.Now(), b.pools["s"].router) }
 		assert.Assert(t, inService())
 		time.Sleep(ownWord + time.Millisecond)
-		b.Heard(report)
+		b.ApplyReport(report)
 		assert.Assert(t, !inService())
 	})
 }
--- a/places/incarnation_test.go
+++ b/places/incarnation_test.go
@@ -27,9 +27,9 @@
 		first := b.restarted(1)
 		old := b.fill(testSlots)
 		told := &gossip.Report{From: "other", Loads: []gossip.Load{{Endpoint: first.Incarnation(), Requests: testSlots}}}
-		b.Heard(told)
+		b.ApplyReport(told)
 		second := b.restarted(2)
-		b.Heard(told)
+		b.ApplyReport(told)
 		fresh := b.fill(testSlots)
 		assert.Equal(t, fresh[0].Endpoint, second, "nothing of before is outstanding there, by this node's count or others'")
 		for _, place := range old {
@@ -49,7 +49,7 @@
 		b := newBench(t, 2)
 		first := b.restarted(1)
 		second := b.restarted(2)
-		b.Heard(&gossip.Report{From: "other", Failed: []domain.EndpointID{first.Incarnation(), "e1"}})
+		b.ApplyReport(&gossip.Report{From: "other", Failed: []domain.EndpointID{first.Incarnation(), "e1"}})
 		assert.Equal(t, b.take(testAsk()).Endpoint, second)
 	})
 }
--- a/places/others.go
+++ b/places/others.go
@@ -16,7 +16,7 @@
 	asked map[string]int
 }
 
-func (d *Desk) othersAt(id domain.EndpointID) load {
+func (d *Allocator) othersAt(id domain.EndpointID) load {
 	var sum load
 	for _, p := range d.peers {
 		sum.add(p.loads[id])
@@ -25,7 +25,7 @@
 }
 
 // Fill adds this node's outstanding requests to a report.
-func (d *Desk) Fill(report *gossip.Report) {
+func (d *Allocator) FillReport(report *gossip.Report) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,7 +53,7 @@
 }
 
 // Heard takes a peer's outstanding requests.
-func (d *Desk) Heard(report *gossip.Report) {
+func (d *Allocator) ApplyReport(report *gossip.Report) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -78,7 +78,7 @@
 }
 
 // expire drops the reports of silent peers.
-func (d *Desk) expire(now time.Time) {
+func (d *Allocator) expire(now time.Time) {
 	for id, p := range d.peers {
 		if now.Sub(p.heard) > p.freshFor {
 			d.replace(id, nil)
@@ -86,7 +86,7 @@
 	}
 }
 
-func (d *Desk) replace(id domain.NodeID, next *peerLoads) {
+func (d *Allocator) replace(id domain.NodeID, next *peerLoads) {
 	if old, ok := d.peers[id]; ok {
 		for endpoint, l := range old.loads {
 			d.adjust(endpoint, func(a *account) { a.others.subtract(l) })
@@ -105,7 +105,7 @@
 	d.peers[id] = next
 }
 
-func (d *Desk) adjust(id domain.EndpointID, edit func(*account)) {
+func (d *Allocator) adjust(id domain.EndpointID, edit func(*account)) {
 	for _, p := range d.pools {
 		if a, ok := p.accounts[id]; ok {
 			edit(a)
@@ -116,7 +116,7 @@
 }
 
 // shareOf is the part of what is asked of a service in the whole fleet that is asked of this node, zero if nothing is.
-func (d *Desk) shareOf(p *pool, now time.Time) float64 {
+func (d *Allocator) shareOf(p *pool, now time.Time) float64 {
 	own := p.demand.placeMillis(now)
 	all := own
 	for _, peer := range d.peers {
--- a/places/place.go
+++ b/places/place.go
@@ -16,14 +16,14 @@
 	Waited time.Duration
 	// Load is what was thought to be outstanding at the endpoint when the place was given, and Reported when the last
 	// report of another node came that counts in it, zero if there is none.
-	Load     int
-	Reported time.Time
+	Load       int
+	ReportedAt time.Time
 	// TokenTime is what the endpoint was thought to take for a token, zero if nothing was known.
 	TokenTime time.Duration
 	// Limit is the number of requests a second that the endpoint takes from all nodes together, zero if it named none.
 	Limit float64
 
-	desk    *Desk
+	desk    *Allocator
 	pool    *pool
 	account *account
 	ask     *capacity.Ask
@@ -36,18 +36,18 @@
 	once       sync.Once
 }
 
-func newPlace(d *Desk, p *pool, a *account, ask *Ask, now time.Time) *Place {
+func newPlace(d *Allocator, p *pool, a *account, ask *Request, now time.Time) *Place {
 	return &Place{
-		Endpoint:  a.endpoint,
-		desk:      d,
-		pool:      p,
-		account:   a,
-		ask:       ask.routed,
-		tier:      tierOf(ask),
-		granted:   now,
-		Load:      a.state.Requests,
-		Reported:  d.reportedAt,
-		TokenTime: a.pace.token(now),
+		Endpoint:   a.endpoint,
+		desk:       d,
+		pool:       p,
+		account:    a,
+		ask:        ask.routed,
+		tier:       tierOf(ask),
+		granted:    now,
+		Load:       a.state.Requests,
+		ReportedAt: d.reportedAt,
+		TokenTime:  a.pace.token(now),
 		load: load{
 			requests:      1,
 			prefillTokens: ask.PromptTokens,
@@ -57,8 +57,8 @@
 	}
 }
 
-// FirstEvent tells that the prompt has been read.
-func (p *Place) FirstEvent() {
+// RecordFirstEvent tells that the prompt has been read.
+func (p *Place) RecordFirstEvent() {
 	p.progress(func(now time.Time, l *load) {
 		l.prefillTokens = 0
 		p.producedAt = now
@@ -66,7 +66,7 @@
 }
 
 // Produced tells that so many more answer tokens have come.
-func (p *Place) Produced(tokens int) {
+func (p *Place) RecordTokens(tokens int) {
 	p.progress(func(now time.Time, l *load) {
 		l.answerTokens = max(l.answerTokens-tokens, 0)
 		p.account.pace.saw(now, tokens, now.Sub(p.producedAt))
--- a/places/pool.go
+++ b/places/pool.go
@@ -36,7 +36,7 @@
 // waiter is an ask in the queue.
 type waiter struct {
 	item  queue.Item[*waiter]
-	ask   *Ask
+	ask   *Request
 	since time.Time
 	// granted receives the place, or is closed if there will be none.
 	granted chan *Place
@@ -64,7 +64,7 @@
 }
 
 // grant gives the ask a place.
-func (p *pool) grant(d *Desk, now time.Time, ask *Ask, a *account) *Place {
+func (p *pool) grant(d *Allocator, now time.Time, ask *Request, a *account) *Place {
 	place := newPlace(d, p, a, ask, now)
 	place.Limit = p.limits.Take(a.endpoint)
 	p.demand.of(tierOf(ask)).served.add(now)
@@ -120,7 +120,7 @@
 
 // predictedWait is how long an ask with so many before it waits: by Little's law this node's places become free at the
 // rate of its outstanding requests by the mean time that they keep a place.
-func (p *pool) predictedWait(ask *Ask, ahead int) time.Duration {
+func (p *pool) predictedWait(ask *Request, ahead int) time.Duration {
 	outstanding := max(p.outstanding(), 1)
 	return time.Duration(float64(ahead+1) * p.heldFor(ask.routed) / float64(outstanding) * float64(time.Second))
 }
@@ -174,7 +174,7 @@
 }
 
 // start is the time that the request takes from its dispatch to its first byte.
-func (p *pool) start(ask *Ask) time.Duration { return p.firsts.of(ask.PromptTokens) }
+func (p *pool) start(ask *Request) time.Duration { return p.firsts.of(ask.PromptTokens) }
 
 // firstOfLower returns the first waiter of a tier below the highest that has any who can be on time, of each such tier in
 // rotation; nil if there is none.
--- a/places/prospect.go
+++ b/places/prospect.go
@@ -37,7 +37,7 @@
 func (p prospect) good() bool { return p.inTime && p.punctual && p.even && p.calm }
 
 // forecaster returns a function that tells an endpoint's prospect of the ask.
-func (p *pool) forecaster(now time.Time, ask *Ask) func(*account) prospect {
+func (p *pool) forecaster(now time.Time, ask *Request) func(*account) prospect {
 	if ask.AnswerTokens <= ask.EventTokens && ask.PromptTokens < slowPrompt {
 		return func(*account) prospect { return prospect{inTime: true, punctual: true, even: true, calm: true} }
 	}
--- a/places/prospect_test.go
+++ b/places/prospect_test.go
@@ -13,7 +13,7 @@
 )
 
 // streamAsk asks for an answer long enough that the pauses between its events matter.
-func streamAsk() *Ask {
+func streamAsk() *Request {
 	ask := testAsk()
 	ask.PromptTokens, ask.AnswerTokens = 500, 2*longAnswer
 	ask.EventGap, ask.EventTokens = 300*time.Millisecond, 8
@@ -27,10 +27,10 @@
 	place := b.take(ask)
 	assert.Equal(b.t, place.Endpoint.ID, id)
 	time.Sleep(50 * time.Millisecond)
-	place.FirstEvent()
+	place.RecordFirstEvent()
 	for range 4 {
 		time.Sleep(10 * interval)
-		place.Produced(10)
+		place.RecordTokens(10)
 	}
 	place.Release(served(50 * time.Millisecond))
 }
@@ -63,8 +63,8 @@
 			b.take(ask)
 		}
 		report := gossip.Report{From: "m"}
-		b.Fill(&report)
-		other.Heard(&report)
+		b.FillReport(&report)
+		other.ApplyReport(&report)
 		for range 2 * (testSlots - 1) {
 			assert.Assert(t, other.take(streamAsk()).Endpoint.ID != "e0")
 		}
@@ -116,7 +116,7 @@
 			first := time.Duration(tokens) * 40 * time.Microsecond
 			time.Sleep(first)
 			for _, place := range places {
-				place.FirstEvent()
+				place.RecordFirstEvent()
 				place.Release(served(first))
 			}
 		}
@@ -135,7 +135,7 @@
 		for range 2 {
 			ask := streamAsk()
 			ask.PromptTokens, ask.Excluded = 100, []domain.EndpointID{reading}
-			b.take(ask).FirstEvent()
+			b.take(ask).RecordFirstEvent()
 		}
 		another := *long
 		assert.Assert(t, b.take(&another).Endpoint.ID != reading, "9,000 tokens would be read in 360 ms")
--- a/places/share_test.go
+++ b/places/share_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, 3)
 		b.fleet = gossip.Fleet{Known: 4, Heard: 4, Near: 1}
-		b.Heard(&gossip.Report{
+		b.ApplyReport(&gossip.Report{
 			From: "m",
 			Loads: []gossip.Load{
 				{Endpoint: "e0", Requests: testSlots}, {Endpoint: "e1", Requests: testSlots}, {Endpoint: "e2", Requests: testSlots},
@@ -52,7 +52,7 @@
 		time.Sleep(200 * time.Millisecond)
 		place.Release(served(time.Millisecond))
 		var report gossip.Report
-		b.Fill(&report)
+		b.FillReport(&report)
 		assert.Equal(t, len(report.Asked), 1)
 		assert.Assert(t, report.Asked[0].PlaceMillis > 150 && report.Asked[0].PlaceMillis <= 200, "what was asked fades: %v", report.Asked)
 	})
