--- a/places/choose.go
+++ b/places/choose.go
@@ -8,156 +8,165 @@
 	"hawthornrill.example/hawthornrill/gossip"
 )
 
-// choose returns the endpoint for the ask, nil if none has room. The node's own part of the near endpoints goes first,
-// then the near ones, then all: bytes between data centres cost, and the way is longer.
-func (p *pool) choose(now time.Time, ask *Request, d *Allocator) *account {
-	fleet := d.fleet()
-	r := p.room(now, ask, fleet)
-	if a := p.chooseWithin(now, ask, r, d, fleet); a != nil {
-		return a
-	}
-	if r.beyond || r.rounds > 1 || !p.underShare(now, r, d) {
-		// More room is not to be had, or is there already: quick work may go further beyond the places.
+// choose returns the endpoint for the request, or nil if none has capacity. It prefers the node's own subset of the
+// local endpoints, then the local ones, then all: traffic between data centres costs money and has a longer round trip.
+func (p *pool) choose(now time.Time, request *Request, a *Allocator) *trackedEndpoint {
+	fleet := a.fleet()
+	limits := p.capacityLimits(now, request, fleet)
+	if ep := p.chooseWithLimits(now, request, limits, a, fleet); ep != nil {
+		return ep
+	}
+	if limits.overcommit || limits.queueFactor > 1 || !p.belowDemandShare(now, limits, a) {
+		// No further capacity may be used, or it has been allowed already: short work may exceed the slots by more.
 		return nil
 	}
-	r.beyond = true
-	return p.chooseWithin(now, ask, r, d, fleet)
+	limits.overcommit = true
+	return p.chooseWithLimits(now, request, limits, a, fleet)
 }
 
-// underShare reports whether the node has less of the service's places than its part of what is asked of it in the whole
-// fleet. Where all nodes have requests that wait, each goes on with the places that it had when the overload began, since
-// what it gives back goes to its own waiters first. A node of a data centre with few nodes, of which twice as much is asked
-// as of others, so refuses twice as many. It may then send one to an endpoint that is full, which begins it when the next
-// one ends there, whosever that is. On nine overloaded runs with data centres of two to four nodes callers got 0.634 of what
-// they wanted with it and 0.632 without, the data centre with two nodes 0.81 and 0.79; on six of another deployment 0.632
-// and 0.621.
-func (p *pool) underShare(now time.Time, r room, d *Allocator) bool {
-	if r.reserve > 0 || r.demand > 0 {
+// belowDemandShare reports whether the node holds fewer of the service's slots than its share of the demand of the
+// whole fleet. When requests wait at all nodes, each node keeps the slots that it had when the overload began, since it
+// grants a released slot to its own waiters first. A node in a data centre with few nodes, with twice the demand of the
+// others, then refuses twice as many requests. Below its share it may send a request to a full endpoint, which starts
+// it when the next request there ends, whichever node sent that one. On nine overloaded runs with data centres of two
+// to four nodes, the share of the requested worth that callers got was 0.634 with this rule and 0.632 without, in the
+// data centre with two nodes 0.81 and 0.79; on six runs of another deployment 0.632 and 0.621.
+func (p *pool) belowDemandShare(now time.Time, limits capacityLimits, a *Allocator) bool {
+	if limits.reserve > 0 || limits.demandReserve > 0 {
 		return false
 	}
-	return float64(p.outstanding()) < underShare*d.shareOf(p, now)*float64(p.places)
+	return float64(p.outstanding()) < demandShareFraction*a.demandShare(p, now)*float64(p.totalSlots)
 }
 
-// chooseWithin returns the endpoint for the ask within the room, nil if there is none.
-func (p *pool) chooseWithin(now time.Time, ask *Request, r room, d *Allocator, fleet gossip.Fleet) *account {
-	p.collect(ask, r, d.options, fleet)
-	if !p.draw(now, ask, d.options, fleet) || len(p.scratch) == 0 {
+// chooseWithLimits returns the endpoint for the request within the limits, or nil if there is none.
+func (p *pool) chooseWithLimits(
+	now time.Time, request *Request, limits capacityLimits, a *Allocator, fleet gossip.Fleet,
+) *trackedEndpoint {
+	p.collectCandidates(request, limits, a.options, fleet)
+	if !p.filterCandidates(now, request, a.options, fleet) || len(p.candidateStates) == 0 {
 		return nil
 	}
-	w := capacity.Waiting{Ask: ask.routed, Arrived: now, FirstTokenDue: ask.FirstByteDue, Due: ask.Due, Pressing: true}
-	at, ok := p.router.Choose(now, &w, p.scratch)
+	w := capacity.Waiting{
+		Ask: request.routerAsk, Arrived: now, FirstTokenDue: request.FirstByteDue, Due: request.Due, Pressing: true,
+	}
+	at, ok := p.router.Choose(now, &w, p.candidateStates)
 	if !ok {
 		return nil
 	}
-	return p.chosen[at]
+	return p.candidates[at]
 }
 
-// room is what the ask may take. A node with much less than an equal part of the service's places may go beyond an
-// endpoint's, which keeps one that has just started from being shut out by the others. Requests that will be late leave
-// some places to those that can be on time, which would otherwise find none when they come.
-func (p *pool) room(now time.Time, ask *Request, fleet gossip.Fleet) room {
-	r := room{tokens: ask.PromptTokens + ask.AnswerTokens, cache: p.cache()}
-	if p.outstanding()*starvedPart < p.places/max(fleet.Known, 1) {
-		r.beyond = true
-		return r
-	}
-	r.rounds = p.rounds(now, ask, fleet)
-	if fleet.Known > sampleFrom {
-		r.foreign = foreignReserve
-	}
-	if ask.Urgent {
-		return r
-	}
-	r.demand = p.demand.reserve(now, tierOf(ask))
-	if ask.late(now, p.start(ask)) {
-		r.reserve = lateReserve
-	}
-	return r
+// capacityLimits returns what the request may use. A node with much less than an equal share of the service's slots may
+// overcommit endpoints, so that a node that has just started is not shut out by its peers. Requests that will be late
+// leave a reserve for those that can be on time, which would otherwise find no free slot on arrival.
+func (p *pool) capacityLimits(now time.Time, request *Request, fleet gossip.Fleet) capacityLimits {
+	limits := capacityLimits{requestTokens: request.PromptTokens + request.AnswerTokens, cacheTokens: p.cacheTokens()}
+	if p.outstanding()*underservedDivisor < p.totalSlots/max(fleet.Known, 1) {
+		limits.overcommit = true
+		return limits
+	}
+	limits.queueFactor = p.queueFactor(now, request, fleet)
+	if fleet.Known > sampleMinNodes {
+		limits.foreignReserve = foreignReserve
+	}
+	if request.Urgent {
+		return limits
+	}
+	limits.demandReserve = p.demand.reserve(now, demandTierOf(request))
+	if request.late(now, p.firstByteTime(request)) {
+		limits.reserve = lateReserve
+	}
+	return limits
 }
 
-// rounds is how many requests for each of its places an endpoint may have: more than one only for work that ends before
-// the other nodes would hear of it. Their reports then say what an endpoint had, not what it has, so that a node would
-// wait for places that are free. The endpoint's own queue costs a round of short work; it is used as far as that leaves
-// the request on time.
-func (p *pool) rounds(now time.Time, ask *Request, fleet gossip.Fleet) float64 {
-	if fleet.Known <= 1 || p.held.samples == 0 || p.held.value >= quickWork.Seconds() || ask.late(now, p.start(ask)) {
+// queueFactor is the number of requests per slot that an endpoint may have. It exceeds one only for work that ends
+// before the other nodes' reports of it would arrive: those reports show what an endpoint had, not what it has, and a
+// node that relied on them would wait for slots that are free. The endpoint's own queue costs one round of short work;
+// it is used as far as the request stays on time.
+func (p *pool) queueFactor(now time.Time, request *Request, fleet gossip.Fleet) float64 {
+	if fleet.Known <= 1 || p.holdTime.samples == 0 || p.holdTime.value >= shortWork.Seconds() ||
+		request.late(now, p.firstByteTime(request)) {
 		return 1
 	}
-	left := quickPart * ask.FirstByteDue.Sub(now).Seconds()
-	return min(max(left/p.held.value, 1), quickRounds)
+	left := shortWorkTimeFraction * request.FirstByteDue.Sub(now).Seconds()
+	return min(max(left/p.holdTime.value, 1), maxQueueFactor)
 }
 
-// collect takes the endpoints that have room for the ask.
-func (p *pool) collect(ask *Request, r room, o Options, fleet gossip.Fleet) {
-	p.scratch, p.chosen = p.scratch[:0], p.chosen[:0]
-	for _, a := range p.list {
-		if a.endpoint.Leaving || ask.excludes(a.id()) || !a.hasRoom(r, a.mine(o, fleet)) || !o.Limits.Allows(a.endpoint) {
+// collectCandidates collects the endpoints that have capacity for the request.
+func (p *pool) collectCandidates(request *Request, limits capacityLimits, o Options, fleet gossip.Fleet) {
+	p.candidateStates, p.candidates = p.candidateStates[:0], p.candidates[:0]
+	for _, ep := range p.endpointList {
+		if ep.endpoint.Leaving || request.excludes(ep.id()) || !ep.hasCapacity(limits, ep.inSubset(o, fleet)) ||
+			!o.Limits.Allows(ep.endpoint) {
 			continue
 		}
-		p.scratch = append(p.scratch, &a.state)
-		p.chosen = append(p.chosen, a)
+		p.candidateStates = append(p.candidateStates, &ep.state)
+		p.candidates = append(p.candidates, ep)
 	}
 }
 
-// other reports whether there is an endpoint, full or at its limit or not, that the ask could use and that is wanted.
-func (p *pool) other(ask *Request, wanted func(*account) bool) bool {
-	for _, a := range p.list {
-		if !a.endpoint.Leaving && !ask.excludes(a.id()) && !p.limits.Bars(a.endpoint) && wanted(a) {
+// hasUsable reports whether the request could use any accepted endpoint, including those that are full or at their
+// limit.
+func (p *pool) hasUsable(request *Request, accept func(*trackedEndpoint) bool) bool {
+	for _, ep := range p.endpointList {
+		if !ep.endpoint.Leaving && !request.excludes(ep.id()) && !p.limits.Bars(ep.endpoint) && accept(ep) {
 			return true
 		}
 	}
 	return false
 }
 
-// draw leaves the candidates among which the router chooses: the node's own part of the near endpoints if there are any,
-// else the near ones, else all, and in a large fleet some of these by chance. Only those count that nothing is known
-// against, that are likely to end the answer while the caller still waits (one that is cut off has kept its place for
-// nothing), and, as long as any of them has room, to begin it and to keep the pauses between its events within the objectives.
-// Before that counted, a node filled all of its part evenly, and half of the streams at hardware six times as slow as the
-// fastest were late. On days with trouble of two large deployments it raised what callers got of the worth that they wanted
-// from 0.803 to 0.845 and from 0.796 to 0.827, under overload from 0.618 to 0.623 and from 0.631 to 0.638.
+// filterCandidates reduces the candidates to those from which the router chooses: the node's own subset of the local
+// endpoints if it has any, else the local ones, else all, and in a large fleet a random sample of these. Candidates
+// must be in service and likely to finish the answer while the caller still waits, since an answer that is cut off has
+// used its slot for nothing. As long as any such endpoint has capacity, they must also be likely to start the answer
+// and to keep the gaps between its events within the objectives. Without that last rule a node filled its subset
+// evenly, and half of the streams on hardware six times as slow as the fastest were late. On runs with faults of two
+// large deployments it raised the share of the requested worth that callers got from 0.803 to 0.845 and from 0.796 to
+// 0.827, under overload from 0.618 to 0.623 and from 0.631 to 0.638.
 //
-// It reports false if none of them is such, but another endpoint, full now, would be. One that has crashed has many places
-// free, and under overload all that wait would go there: on a day on which 23 of 60 endpoints crashed in a burst under 72
-// nodes, that was 40,000 failed connections in four seconds, and one request in five refused for them.
-func (p *pool) draw(now time.Time, ask *Request, o Options, fleet gossip.Fleet) bool {
-	n := len(p.chosen)
-	if fleet.Known > sampleFrom {
-		n = sample
-	}
-	forecast := p.forecaster(now, ask)
-	sound := func(a *account) bool { return a.inService(now, p.router) }
-	fit := func(a *account) bool { return sound(a) && forecast(a).inTime }
-	good := func(a *account) bool { return sound(a) && forecast(a).good() }
-	if p.pickNear(n, o, fleet, good) || p.pick(n, good) || p.pickNear(n, o, fleet, fit) || p.pick(n, fit) {
+// It returns false if no candidate qualifies but an endpoint without free capacity would. A crashed endpoint has many
+// free slots, and under overload all waiting requests would go to it: when 23 of 60 endpoints crashed in a burst under
+// 72 nodes, this caused 40,000 failed connections in four seconds, and one request in five was refused because of them.
+func (p *pool) filterCandidates(now time.Time, request *Request, o Options, fleet gossip.Fleet) bool {
+	n := len(p.candidates)
+	if fleet.Known > sampleMinNodes {
+		n = sampleSize
+	}
+	forecast := p.predictor(now, request)
+	inService := func(ep *trackedEndpoint) bool { return ep.inService(now, p.router) }
+	finishesInTime := func(ep *trackedEndpoint) bool { return inService(ep) && forecast(ep).finishesInTime }
+	meetsObjectives := func(ep *trackedEndpoint) bool { return inService(ep) && forecast(ep).meetsObjectives() }
+	if p.keepLocal(n, o, fleet, meetsObjectives) || p.keep(n, meetsObjectives) ||
+		p.keepLocal(n, o, fleet, finishesInTime) || p.keep(n, finishesInTime) {
 		return true
 	}
-	if p.other(ask, fit) {
+	if p.hasUsable(request, finishesInTime) {
 		return false
 	}
-	if !p.pick(n, sound) && p.other(ask, sound) {
+	if !p.keep(n, inService) && p.hasUsable(request, inService) {
 		return false
 	}
-	p.pick(n, func(*account) bool { return true })
+	p.keep(n, func(*trackedEndpoint) bool { return true })
 	return true
 }
 
-// pickNear leaves up to n of the wanted candidates near by: of the node's own part if there are any.
-func (p *pool) pickNear(n int, o Options, fleet gossip.Fleet, wanted func(*account) bool) bool {
-	near := func(a *account) bool { return a.near(o) && wanted(a) }
-	mine := func(a *account) bool { return a.near(o) && a.mine(o, fleet) && wanted(a) }
-	return fleet.Near > sharers && p.pick(n, mine) || p.pick(n, near)
+// keepLocal keeps up to n accepted local candidates, those of the node's own subset if there are any.
+func (p *pool) keepLocal(n int, o Options, fleet gossip.Fleet, accept func(*trackedEndpoint) bool) bool {
+	local := func(ep *trackedEndpoint) bool { return ep.preferLocal(o) && accept(ep) }
+	inSubset := func(ep *trackedEndpoint) bool { return ep.preferLocal(o) && ep.inSubset(o, fleet) && accept(ep) }
+	return fleet.Near > nodesPerEndpoint && p.keep(n, inSubset) || p.keep(n, local)
 }
 
-// pick leaves up to n of the wanted candidates, by chance if there are more, and reports whether there are any. It looks
-// at no more than it needs.
-func (p *pool) pick(n int, wanted func(*account) bool) bool {
+// keep keeps up to n accepted candidates, a random sample if there are more, and reports whether there are any. It
+// examines no more candidates than it needs.
+func (p *pool) keep(n int, accept func(*trackedEndpoint) bool) bool {
 	kept := 0
-	for i := 0; i < len(p.chosen) && kept < n; i++ {
-		if n < len(p.chosen) {
-			p.swap(i, i+rand.IntN(len(p.chosen)-i))
+	for i := 0; i < len(p.candidates) && kept < n; i++ {
+		if n < len(p.candidates) {
+			p.swap(i, i+rand.IntN(len(p.candidates)-i))
 		}
-		if wanted(p.chosen[i]) {
+		if accept(p.candidates[i]) {
 			p.swap(kept, i)
 			kept++
 		}
@@ -165,11 +174,11 @@
 	if kept == 0 {
 		return false
 	}
-	p.chosen, p.scratch = p.chosen[:kept], p.scratch[:kept]
+	p.candidates, p.candidateStates = p.candidates[:kept], p.candidateStates[:kept]
 	return true
 }
 
 func (p *pool) swap(i, j int) {
-	p.chosen[i], p.chosen[j] = p.chosen[j], p.chosen[i]
-	p.scratch[i], p.scratch[j] = p.scratch[j], p.scratch[i]
+	p.candidates[i], p.candidates[j] = p.candidates[j], p.candidates[i]
+	p.candidateStates[i], p.candidateStates[j] = p.candidateStates[j], p.candidateStates[i]
 }
--- a/places/demand.go
+++ b/places/demand.go
@@ -7,148 +7,152 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Trunk reservation, by what is observed. Pattern: a burst of requests, of which those of the lowest tier are long: each
-// holds a place several times as long as one of a higher tier. Such a request gets a place in any moment in which no other
-// one waits, and keeps it through the seconds in which many of the higher tiers come and are refused. Therefore it leaves
-// some places free while others are in demand. Short requests of a lower tier leave none: their places are free again when
-// the next one comes. Nor does a request of a more urgent route leave any to those of less urgent ones, though of organisations
-// of a higher tier: of the shorter ones of its own organisation many would take them.
+// Trunk reservation based on observed demand. It addresses bursts of requests in which those of the lowest tier are
+// long and hold a slot several times as long as those of a higher tier. A long request gets a slot at any moment at
+// which no other request waits, and keeps it for the seconds in which many higher-tier requests arrive and are refused.
+// It therefore leaves some slots free while higher tiers are in demand. Short requests of a lower tier reserve nothing:
+// their slots are free again when the next request arrives. A request of a more urgent route reserves nothing for less
+// urgent routes either, even for those of organisations of a higher tier: shorter requests of its own organisation
+// would take many of the reserved slots.
 //
-// Under overload and trouble (four days, three seeds) callers of a deployment whose long streams hold a place three times as
-// long as what goes before them got 0.663 of what they wanted, on time, with it and 0.640 without; of two deployments whose
-// most urgent requests are the longest (three days, two seeds) 0.635 and 0.630, 0.621 and 0.621.
+// Under overload and faults (four days, three seeds), in a deployment whose long streams hold a slot three times as
+// long as higher-priority requests, the share of the requested worth that callers got on time was 0.663 with the
+// reserve and 0.640 without. In two deployments whose most urgent requests are the longest (three days, two seeds) it
+// was 0.635 against 0.630, and 0.621 against 0.621.
 
 const (
-	// demandMemory is the time after which a request counts for a third in what is in demand: bursts last for seconds.
-	demandMemory = 2 * time.Second
-	// reserveMost is the part of an endpoint's places left free by requests that hold theirs for at least mostLonger times as
-	// long as those of the higher tiers; those below leastLonger leave none: a place kept free for a request that holds it as
-	// long serves nobody more.
-	// On the nine heaviest runs of the first deployment callers got 0.632, with a half in its place 0.617.
-	reserveMost = 0.35
-	leastLonger = 2
-	mostLonger  = 3
-	// leastAsked is the number of requests within demandMemory below which nothing is in demand.
-	leastAsked = 1
-	// fairShare is the part of the share of all requests that are served below which the share of a tier must not fall:
-	// below it a request leaves no places free. Operators ask that no kind of request is served less than a quarter as often
-	// as all.
-	fairShare = 0.4
+	// demandDecay is the time constant of the demand counts, after which a request counts for a third: bursts last for
+	// seconds.
+	demandDecay = 2 * time.Second
+	// maxReserve is the fraction of an endpoint's slots left free by requests that hold their slots at least
+	// maxHoldRatio times as long as those of the higher tiers. Below minHoldRatio nothing is reserved: a slot kept free
+	// for a request that holds it as long serves no more requests. On the nine heaviest runs of the first deployment
+	// callers got a share of 0.632 with this value and 0.617 with a half.
+	maxReserve   = 0.35
+	minHoldRatio = 2
+	maxHoldRatio = 3
+	// minDemand is the number of requests within demandDecay below which a tier is not in demand.
+	minDemand = 1
+	// minServedRatio is the lowest ratio of a tier's served fraction to that of all requests; below it the tier
+	// reserves nothing. Operators require that no kind of request is served less than a quarter as often as all.
+	minServedRatio = 0.4
 )
 
-// demand is what is asked of a pool, by tier.
+// demand tracks the demand on a pool, by tier.
 type demand struct {
-	tiers map[tier]*tierDemand
+	tiers map[demandTier]*tierDemand
 }
 
-// tier is that in which an ask is counted: the rank by which it waits, and its route's tier.
-type tier struct {
+// demandTier is the key by which requests are counted: queue rank and route tier.
+type demandTier struct {
 	rank  domain.Tier
 	route domain.Tier
 }
 
-// above reports whether requests of the tier go before those of another, by rank and by route.
-func (t tier) above(other tier) bool { return t.rank < other.rank && t.route < other.route }
+// above reports whether requests of the tier precede those of another, both by rank and by route.
+func (t demandTier) above(other demandTier) bool { return t.rank < other.rank && t.route < other.route }
 
-// tierDemand is what is asked in one tier. The counts fade with demandMemory.
+// tierDemand is the demand of one tier. The counts decay with demandDecay.
 type tierDemand struct {
-	asked, served fading
-	// held is the mean time in seconds that a request keeps its place.
-	held mean
+	requested, served decayingCount
+	// holdTime is the mean time in seconds that a request holds its slot.
+	holdTime mean
 }
 
-// fading is a count that fades with time.
-type fading struct {
+// decayingCount is an exponentially decaying count.
+type decayingCount struct {
 	value float64
 	at    time.Time
 }
 
-func (f *fading) now(now time.Time) float64 {
+func (f *decayingCount) valueAt(now time.Time) float64 {
 	if f.value == 0 {
 		return 0
 	}
-	return f.value * math.Exp(-now.Sub(f.at).Seconds()/demandMemory.Seconds())
+	return f.value * math.Exp(-now.Sub(f.at).Seconds()/demandDecay.Seconds())
 }
 
-func (f *fading) add(now time.Time) {
-	f.value = f.now(now) + 1
+func (f *decayingCount) add(now time.Time) {
+	f.value = f.valueAt(now) + 1
 	f.at = now
 }
 
-// kept takes the time in seconds that a request kept its place; the first one is what the mean begins with.
-func (t *tierDemand) kept(held float64) {
-	if t.held.samples == 0 {
-		t.held.value = held
+// recordHold adds a hold time in seconds; the first sample is the mean's initial value.
+func (t *tierDemand) recordHold(holdTime float64) {
+	if t.holdTime.samples == 0 {
+		t.holdTime.value = holdTime
 	}
-	t.held.add(held)
+	t.holdTime.add(holdTime)
 }
 
-func newDemand() demand { return demand{tiers: make(map[tier]*tierDemand)} }
+func newDemand() demand { return demand{tiers: make(map[demandTier]*tierDemand)} }
 
-// tierOf is the tier in which an ask is counted.
-func tierOf(ask *Request) tier { return tier{ask.baseRank(), ask.RouteTier} }
+// demandTierOf returns the tier in which a request is counted.
+func demandTierOf(request *Request) demandTier {
+	return demandTier{request.baseRank(), request.RouteTier}
+}
 
-func (d *demand) of(of tier) *tierDemand {
-	t, ok := d.tiers[of]
+func (d *demand) forTier(tier demandTier) *tierDemand {
+	t, ok := d.tiers[tier]
 	if !ok {
 		t = &tierDemand{}
-		d.tiers[of] = t
+		d.tiers[tier] = t
 	}
 	return t
 }
 
-// reserve is the part of an endpoint's places that an ask of the tier leaves free, by how much longer it holds its place than
-// what is asked in the tiers above it. It is compared with the tiers above each tier down to its own, so that of two
-// requests that hold a place as long the one of the lower tier leaves no less.
-func (d *demand) reserve(now time.Time, of tier) float64 {
-	own := d.of(of)
-	if own.held.samples == 0 || d.starved(now, own) {
+// reserve is the fraction of an endpoint's slots that a request of the tier leaves free, by the ratio of its hold time
+// to that of the tiers above it. The ratio is taken against the tiers above each tier down to its own, so that of two
+// requests with equal hold times the one of the lower tier reserves no less.
+func (d *demand) reserve(now time.Time, tier demandTier) float64 {
+	own := d.forTier(tier)
+	if own.holdTime.samples == 0 || d.starved(now, own) {
 		return 0
 	}
 	var longest float64
 	for other := range d.tiers {
-		if other.rank > of.rank {
+		if other.rank > tier.rank {
 			continue
 		}
-		if above := d.heldAbove(now, other); above > 0 {
-			longest = max(longest, own.held.value/above)
+		if above := d.holdTimeAbove(now, other); above > 0 {
+			longest = max(longest, own.holdTime.value/above)
 		}
 	}
-	return reserveMost * min(max((longest-leastLonger)/(mostLonger-leastLonger), 0), 1)
+	return maxReserve * min(max((longest-minHoldRatio)/(maxHoldRatio-minHoldRatio), 0), 1)
 }
 
-// heldAbove is the mean time in seconds for which what is asked in the tiers above holds a place, zero if next to nothing
-// is asked there.
-func (d *demand) heldAbove(now time.Time, of tier) float64 {
-	var held, asked float64
+// holdTimeAbove is the mean hold time in seconds of the requests of the tiers above, or zero if these have almost no
+// demand.
+func (d *demand) holdTimeAbove(now time.Time, tier demandTier) float64 {
+	var held, requested float64
 	for other, t := range d.tiers {
-		if other.above(of) && t.held.samples > 0 {
-			n := t.asked.now(now)
-			asked += n
-			held += n * t.held.value
+		if other.above(tier) && t.holdTime.samples > 0 {
+			n := t.requested.valueAt(now)
+			requested += n
+			held += n * t.holdTime.value
 		}
 	}
-	if asked < leastAsked {
+	if requested < minDemand {
 		return 0
 	}
-	return held / asked
+	return held / requested
 }
 
-// starved reports whether the tier is served much less often than all.
+// starved reports whether the tier's served fraction is far below that of all tiers.
 func (d *demand) starved(now time.Time, own *tierDemand) bool {
-	var asked, served float64
+	var requested, served float64
 	for _, t := range d.tiers {
-		asked += t.asked.now(now)
-		served += t.served.now(now)
+		requested += t.requested.valueAt(now)
+		served += t.served.valueAt(now)
 	}
-	return own.served.now(now)*asked < fairShare*served*own.asked.now(now)
+	return own.served.valueAt(now)*requested < minServedRatio*served*own.requested.valueAt(now)
 }
 
-// placeMillis is what is asked in all tiers, in milliseconds of a place.
+// placeMillis is the demand of all tiers in slot-milliseconds.
 func (d *demand) placeMillis(now time.Time) int {
 	var sum float64
 	for _, t := range d.tiers {
-		sum += t.asked.now(now) * t.held.value
+		sum += t.requested.valueAt(now) * t.holdTime.value
 	}
 	return int(sum * 1000)
 }
--- a/places/demand_test.go
+++ b/places/demand_test.go
@@ -13,112 +13,112 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// tierOfRank is the tier of an organisation's requests that wait by the rank.
-func tierOfRank(rank domain.Tier) tier { return tier{rank, rank / ranks % withinTiers} }
+// tierOfRank returns the demand tier of an organisation's requests that are queued with the rank.
+func tierOfRank(rank domain.Tier) demandTier { return demandTier{rank, rank / ranksPerTier % subTiers} }
 
-// holds makes the demand of a tier: so many requests just asked for and served, each holding its place for so long.
-func (d *demand) holds(now time.Time, rank domain.Tier, asked, served int, held time.Duration) {
-	t := d.of(tierOfRank(rank))
-	for range asked {
-		t.asked.add(now)
+// addTraffic adds requests of a tier, each holding its slot for the given time.
+func (d *demand) addTraffic(now time.Time, rank domain.Tier, requested, served int, held time.Duration) {
+	t := d.forTier(tierOfRank(rank))
+	for range requested {
+		t.requested.add(now)
 	}
 	for range served {
 		t.served.add(now)
 	}
 	for range 10 {
-		t.kept(held.Seconds())
+		t.recordHold(held.Seconds())
 	}
 }
 
-func TestReserveByHowLongARequestHoldsItsPlace(t *testing.T) {
+func TestReserveGrowsWithHoldTimeRatio(t *testing.T) {
 	now := time.Now()
 	for name, test := range map[string]struct {
 		held time.Duration
 		want float64
 	}{
-		"as long":               {500 * time.Millisecond, 0},
-		"shorter":               {50 * time.Millisecond, 0},
-		"twice as long":         {time.Second, 0},
-		"two and a half":        {1250 * time.Millisecond, reserveMost / 2},
-		"three times":           {1500 * time.Millisecond, reserveMost},
-		"ten times, no further": {5 * time.Second, reserveMost},
+		"equal":               {500 * time.Millisecond, 0},
+		"shorter":             {50 * time.Millisecond, 0},
+		"twice as long":       {time.Second, 0},
+		"2.5 times as long":   {1250 * time.Millisecond, maxReserve / 2},
+		"three times as long": {1500 * time.Millisecond, maxReserve},
+		"ten times as long":   {5 * time.Second, maxReserve},
 	} {
 		d := newDemand()
-		d.holds(now, 0, 10, 10, 500*time.Millisecond)
-		d.holds(now, 4, 10, 10, test.held)
+		d.addTraffic(now, 0, 10, 10, 500*time.Millisecond)
+		d.addTraffic(now, 4, 10, 10, test.held)
 		assert.Assert(t, diff(d.reserve(now, tierOfRank(4)), test.want) < 1e-6, "%s: %v", name, d.reserve(now, tierOfRank(4)))
-		assert.Equal(t, d.reserve(now, tierOfRank(0)), 0.0, "the highest tier leaves none: %s", name)
+		assert.Equal(t, d.reserve(now, tierOfRank(0)), 0.0, "the highest tier reserves nothing: %s", name)
 	}
 }
 
 func diff(a, b float64) float64 { return max(a-b, b-a) }
 
-func TestNothingIsReservedWhenNothingHigherIsAsked(t *testing.T) {
+func TestNoReserveWithoutHigherTierDemand(t *testing.T) {
 	now := time.Now()
 	d := newDemand()
-	d.holds(now, 0, 10, 10, 100*time.Millisecond)
-	d.holds(now, 4, 10, 10, time.Second)
-	assert.Equal(t, d.reserve(now, tierOfRank(4)), reserveMost)
-	assert.Equal(t, d.reserve(now.Add(10*demandMemory), tierOfRank(4)), 0.0)
+	d.addTraffic(now, 0, 10, 10, 100*time.Millisecond)
+	d.addTraffic(now, 4, 10, 10, time.Second)
+	assert.Equal(t, d.reserve(now, tierOfRank(4)), maxReserve)
+	assert.Equal(t, d.reserve(now.Add(10*demandDecay), tierOfRank(4)), 0.0)
 }
 
-// Of requests that hold a place as long, those of a lower tier leave no less; short ones may use what long ones leave.
-func TestReserveOfLowerTiers(t *testing.T) {
+// Of requests with equal hold times those of a lower tier reserve no less; short requests may use the reserved slots.
+func TestLowerTierReservesNoLess(t *testing.T) {
 	now := time.Now()
 	d := newDemand()
-	d.holds(now, 0, 10, 10, 100*time.Millisecond)
-	d.holds(now, 4, 50, 50, time.Second)
-	d.holds(now, 8, 10, 10, 100*time.Millisecond)
-	d.holds(now, 12, 10, 10, time.Second)
+	d.addTraffic(now, 0, 10, 10, 100*time.Millisecond)
+	d.addTraffic(now, 4, 50, 50, time.Second)
+	d.addTraffic(now, 8, 10, 10, 100*time.Millisecond)
+	d.addTraffic(now, 12, 10, 10, time.Second)
 	assert.Equal(t, d.reserve(now, tierOfRank(12)), d.reserve(now, tierOfRank(4)))
 	assert.Equal(t, d.reserve(now, tierOfRank(8)), 0.0)
 }
 
-// Pattern: the most urgent requests are the longest, and most of what is asked are short ones of less urgent routes. Those of
-// organisations of a lower tier leave no places free for the short ones of a higher: the short ones of their own
-// organisations would take them.
-func TestUrgentRoutesLeaveNothingForLessUrgentOnes(t *testing.T) {
+// The most urgent requests are the longest, and most of the demand is short requests of less urgent routes. Long
+// requests of lower-tier organisations reserve nothing for the short ones of a higher tier: short requests of their own
+// organisations would take the reserved slots.
+func TestNoReserveForLessUrgentRoutes(t *testing.T) {
 	now := time.Now()
 	d := newDemand()
-	d.holds(now, 0, 5, 5, time.Second)
-	d.holds(now, 4, 50, 50, 100*time.Millisecond)
-	d.holds(now, 8, 5, 5, time.Second)
-	d.holds(now, 12, 50, 50, 100*time.Millisecond)
+	d.addTraffic(now, 0, 5, 5, time.Second)
+	d.addTraffic(now, 4, 50, 50, 100*time.Millisecond)
+	d.addTraffic(now, 8, 5, 5, time.Second)
+	d.addTraffic(now, 12, 50, 50, 100*time.Millisecond)
 	assert.Equal(t, d.reserve(now, tierOfRank(8)), 0.0)
 }
 
-func TestStarvedTierLeavesNothingFree(t *testing.T) {
+func TestStarvedTierReservesNothing(t *testing.T) {
 	now := time.Now()
 	d := newDemand()
-	d.holds(now, 0, 100, 100, 100*time.Millisecond)
-	d.holds(now, 4, 100, 20, time.Second)
+	d.addTraffic(now, 0, 100, 100, 100*time.Millisecond)
+	d.addTraffic(now, 4, 100, 20, time.Second)
 	assert.Equal(t, d.reserve(now, tierOfRank(4)), 0.0)
-	d.holds(now, 4, 0, 40, time.Second)
-	assert.Equal(t, d.reserve(now, tierOfRank(4)), reserveMost)
+	d.addTraffic(now, 4, 0, 40, time.Second)
+	assert.Equal(t, d.reserve(now, tierOfRank(4)), maxReserve)
 }
 
-// mixedLoad plays ten seconds in which short requests of the highest tier and ones of the lowest that hold their places six
-// times as long come at 1.5 times what the places serve, and returns which part of each is served.
-func mixedLoad(t *testing.T) (short, long float64) {
+// runMixedLoad simulates ten seconds at 1.5 times the capacity, with short requests of the highest tier and requests of
+// the lowest tier that hold their slots six times as long. It returns the served fraction of each.
+func runMixedLoad(t *testing.T) (short, long float64) {
 	const (
 		endpoints = 6
 		shortHeld = 250 * time.Millisecond
 		longHeld  = 1500 * time.Millisecond
-		// Of each hundred places' time 65 are asked for by short requests, 85 by long ones.
+		// Of 100 slots' time short requests demand 65 and long ones 85.
 		shortEvery = shortHeld * 100 / 65 / (endpoints * testSlots)
 		longEvery  = longHeld * 100 / 85 / (endpoints * testSlots)
 	)
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, endpoints)
-		var asked, got [2]atomic.Int64
+		f := newFixture(t, endpoints)
+		var requested, got [2]atomic.Int64
 		send := func(kind int, tier domain.Tier, held, objective time.Duration) {
-			asked[kind].Add(1)
-			ask := testAsk()
-			ask.SubTier, ask.RouteTier = tier, tier
-			ask.PromptTokens, ask.AnswerTokens = 300, 30
-			ask.FirstByteDue, ask.Due = time.Now().Add(objective), time.Now().Add(4*objective)
+			requested[kind].Add(1)
+			request := testRequest()
+			request.SubTier, request.RouteTier = tier, tier
+			request.PromptTokens, request.AnswerTokens = 300, 30
+			request.FirstByteDue, request.Due = time.Now().Add(objective), time.Now().Add(4*objective)
 			go func() {
-				place, err := b.Acquire(context.Background(), ask)
+				place, err := f.Acquire(context.Background(), request)
 				if err != nil {
 					return
 				}
@@ -138,14 +138,14 @@
 		go stream(longEvery, 1, 2, longHeld)
 		stream(shortEvery, 0, 0, shortHeld)
 		time.Sleep(10 * time.Second)
-		short = float64(got[0].Load()) / float64(asked[0].Load())
-		long = float64(got[1].Load()) / float64(asked[1].Load())
+		short = float64(got[0].Load()) / float64(requested[0].Load())
+		long = float64(got[1].Load()) / float64(requested[1].Load())
 	})
 	return short, long
 }
 
-func TestShortRequestsOfAHigherTierAreServedBesideLongOnes(t *testing.T) {
-	short, long := mixedLoad(t)
+func TestHigherTierShortRequestsServedBesideLongOnes(t *testing.T) {
+	short, long := runMixedLoad(t)
 	t.Logf("served: short %.3f, long %.3f", short, long)
 	assert.Assert(t, short > 0.93, "%v", short)
 	assert.Assert(t, long > short/4, "%v", long)
--- a/places/example_test.go
+++ b/places/example_test.go
@@ -14,30 +14,30 @@
 	"hawthornrill.example/hawthornrill/places"
 )
 
-// A program that embeds the desk tells it of endpoints, asks it for a place before each send, and gives the place back
-// with what it saw.
+// A program that embeds the allocator lists its endpoints in the directory, acquires a place before each dispatch, and
+// releases it with the result.
 func Example() {
 	endpoints := directory.New()
 	endpoints.Apply(0, []*directory.Endpoint{{ID: "engine-1", Service: "chat", DataCentre: "north", Slots: 1}}, nil, 0)
 	alone := func() gossip.Fleet { return gossip.Fleet{Known: 1, Heard: 1, Near: 1} }
-	desk := places.New(places.Options{Node: "node-1", DataCentre: "north"}, endpoints, alone, metrics.NewSet())
+	allocator := places.New(places.Options{Node: "node-1", DataCentre: "north"}, endpoints, alone, metrics.NewSet())
 
-	ask := &places.Request{
+	request := &places.Request{
 		Service:      "chat",
 		PromptTokens: 600,
 		FirstByteDue: time.Now().Add(50 * time.Millisecond),
 		Due:          time.Now().Add(10 * time.Second),
 	}
-	place, err := desk.Acquire(context.Background(), ask)
+	place, err := allocator.Acquire(context.Background(), request)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	fmt.Println("send to", place.Endpoint.ID)
 
-	// The only place is taken, and the next request would start too late: it is told so at once.
+	// The only slot is taken and the next request would start too late, so it is refused at once.
 	var refusal *places.Refusal
-	if _, err = desk.Acquire(context.Background(), ask); errors.As(err, &refusal) {
+	if _, err = allocator.Acquire(context.Background(), request); errors.As(err, &refusal) {
 		fmt.Println(refusal, "- come back later:", refusal.RetryAfter > 0)
 	}
 
--- a/places/health_test.go
+++ b/places/health_test.go
@@ -14,115 +14,115 @@
 	"hawthornrill.example/hawthornrill/gossip"
 )
 
-func TestLeavingAndExcludedEndpoints(t *testing.T) {
+func TestLeavingAndExcludedEndpointsAreNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 3)
-		b.set(0, true)
-		ask := testAsk()
-		ask.Excluded = []domain.EndpointID{"e1"}
+		f := newFixture(t, 3)
+		f.setEndpoint(0, true)
+		request := testRequest()
+		request.Excluded = []domain.EndpointID{"e1"}
 		for range testSlots {
-			assert.Equal(t, b.take(ask).Endpoint.ID, domain.EndpointID("e2"))
+			assert.Equal(t, f.take(request).Endpoint.ID, domain.EndpointID("e2"))
 		}
-		ask.Excluded = append(ask.Excluded, "e2")
-		_, err := b.Acquire(b.t.Context(), ask)
+		request.Excluded = append(request.Excluded, "e2")
+		_, err := f.Acquire(f.t.Context(), request)
 		assert.ErrorIs(t, err, ErrNoEndpoint)
 	})
 }
 
-func TestFailuresAreToldAndPassedOver(t *testing.T) {
+func TestReportedFailuresAreAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 2)
-		place := b.take(testAsk())
+		f := newFixture(t, 2)
+		place := f.take(testRequest())
 		place.Release(capacity.Result{Unreachable: true})
 		var report gossip.Report
-		b.FillReport(&report)
+		f.FillReport(&report)
 		assert.DeepEqual(t, report.Failed, []domain.EndpointID{place.Endpoint.ID})
-		other := newBench(t, 2)
+		other := newFixture(t, 2)
 		report.From = "m"
 		other.ApplyReport(&report)
 		for range testSlots {
-			assert.Assert(t, other.take(testAsk()).Endpoint.ID != place.Endpoint.ID)
+			assert.Assert(t, other.take(testRequest()).Endpoint.ID != place.Endpoint.ID)
 		}
 	})
 }
 
-func TestFailedEndpointIsNotUsedWhileOthersAreFull(t *testing.T) {
+func TestFailedEndpointNotUsedWhileOthersAreFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 2)
-		failed := b.take(testAsk())
+		f := newFixture(t, 2)
+		failed := f.take(testRequest())
 		failed.Release(capacity.Result{Unreachable: true})
 		for range testSlots {
-			assert.Assert(t, b.take(testAsk()).Endpoint.ID != failed.Endpoint.ID)
+			assert.Assert(t, f.take(testRequest()).Endpoint.ID != failed.Endpoint.ID)
 		}
-		got := b.wait(testAsk())
-		assert.Equal(t, b.Waiting(), 1)
-		time.Sleep(5 * time.Second) // it may be tried again
-		b.serve()
+		got := f.acquireAsync(testRequest())
+		assert.Equal(t, f.Waiting(), 1)
+		time.Sleep(5 * time.Second) // a probe is allowed
+		f.serveQueues()
 		assert.NilError(t, <-got)
-		b.wait(testAsk())
-		assert.Equal(t, b.Waiting(), 1, "by one request at a time")
+		f.acquireAsync(testRequest())
+		assert.Equal(t, f.Waiting(), 1, "one probe at a time")
 	})
 }
 
-func TestReplacedEndpointIsPassedOverByAllNodes(t *testing.T) {
+func TestReplacedEndpointAvoidedByAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, other := newBench(t, 2), newBench(t, 2)
-		replaced := b.take(testAsk())
+		f, other := newFixture(t, 2), newFixture(t, 2)
+		replaced := f.take(testRequest())
 		replaced.Release(capacity.Result{Replaced: true})
 		time.Sleep(5 * time.Second)
 		report := gossip.Report{From: "m"}
-		b.FillReport(&report)
+		f.FillReport(&report)
 		other.ApplyReport(&report)
 		for range testSlots {
-			assert.Assert(t, b.take(testAsk()).Endpoint.ID != replaced.Endpoint.ID)
-			assert.Assert(t, other.take(testAsk()).Endpoint.ID != replaced.Endpoint.ID)
+			assert.Assert(t, f.take(testRequest()).Endpoint.ID != replaced.Endpoint.ID)
+			assert.Assert(t, other.take(testRequest()).Endpoint.ID != replaced.Endpoint.ID)
 		}
-		b.wait(testAsk())
-		assert.Equal(t, b.Waiting(), 1)
+		f.acquireAsync(testRequest())
+		assert.Equal(t, f.Waiting(), 1)
 	})
 }
 
-func TestBeliefsAboutEndpointsAreLoggedWhenTheyChange(t *testing.T) {
+func TestEndpointHealthChangesAreLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
+		f := newFixture(t, 1)
 		var out strings.Builder
-		b.options.Log = zerolog.New(&out)
+		f.options.Log = zerolog.New(&out)
 		for range 3 {
-			b.take(testAsk()).Release(capacity.Result{Unreachable: true})
+			f.take(testRequest()).Release(capacity.Result{Unreachable: true})
 		}
-		b.take(testAsk()).Release(served(time.Millisecond))
-		b.take(testAsk()).Release(capacity.Result{Replaced: true})
+		f.take(testRequest()).Release(served(time.Millisecond))
+		f.take(testRequest()).Release(capacity.Result{Replaced: true})
 		assert.Equal(t, strings.Count(out.String(), "\n"), 3, out.String())
-		for _, belief := range []string{"endpoint failed, passed over", "serves again", "replaced by another life"} {
-			assert.Equal(t, strings.Count(out.String(), belief), 1, out.String())
+		for _, message := range []string{"endpoint failed; avoiding it", "endpoint recovered", "endpoint restarted with a new incarnation"} {
+			assert.Equal(t, strings.Count(out.String(), message), 1, out.String())
 		}
 	})
 }
 
-func TestAllEndpointsFailed(t *testing.T) {
+func TestFailedEndpointsUsedWhenNoneIsHealthy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 2)
+		f := newFixture(t, 2)
 		for range 2 {
-			b.take(testAsk()).Release(capacity.Result{Unreachable: true})
+			f.take(testRequest()).Release(capacity.Result{Unreachable: true})
 		}
-		// There is nothing better: the caller gets its answer by trying, not by waiting.
-		b.take(testAsk())
+		// No endpoint is healthy: a dispatch to a failed one gets the caller an answer sooner than waiting.
+		f.take(testRequest())
 	})
 }
 
-func TestOwnWordGoesBeforeAnothersForAWhile(t *testing.T) {
+func TestOwnRecentResultOverridesPeerReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
-		b.set(1, true)
-		b.take(testAsk()).Release(served(time.Millisecond))
+		f := newFixture(t, 1)
+		f.setEndpoint(1, true)
+		f.take(testRequest()).Release(served(time.Millisecond))
 		report := &gossip.Report{From: "m", Failed: []domain.EndpointID{"e0"}}
-		b.ApplyReport(report)
-		b.set(1, false)
-		b.take(testAsk()).Release(served(time.Millisecond))
-		inService := func() bool { return b.pools["s"].accounts["e0"].inService(time.Now(), b.pools["s"].router) }
+		f.ApplyReport(report)
+		f.setEndpoint(1, false)
+		f.take(testRequest()).Release(served(time.Millisecond))
+		inService := func() bool { return f.pools["s"].endpoints["e0"].inService(time.Now(), f.pools["s"].router) }
 		assert.Assert(t, inService())
-		time.Sleep(ownWord + time.Millisecond)
-		b.ApplyReport(report)
+		time.Sleep(ownResultFreshFor + time.Millisecond)
+		f.ApplyReport(report)
 		assert.Assert(t, !inService())
 	})
 }
--- a/places/item.go
+++ b/places/item.go
@@ -8,68 +8,71 @@
 	"hawthornrill.example/hawthornrill/queue"
 )
 
-// ranks is the number of ranks of each tier: requests that can still be on time go before those that can't.
-const ranks = 2
+// ranksPerTier is the number of queue ranks of each tier: requests that can still be on time precede those that can't.
+const ranksPerTier = 2
 
 func queueItem(w *waiter, now time.Time, start time.Duration) queue.Item[*waiter] {
-	ask := w.ask
+	request := w.request
 	return queue.Item[*waiter]{
 		Value:        w,
-		Tier:         ask.rank(now, start),
-		Organisation: ask.Organisation,
+		Tier:         request.rank(now, start),
+		Organisation: request.Organisation,
 		Weight:       1,
 		Cost:         1,
-		Due:          ask.FirstByteDue.Add(-start),
+		Due:          request.FirstByteDue.Add(-start),
 	}
 }
 
-// rank is the ask's place in the order of tiers, if a request takes start to its first byte.
+// rank is the request's queue rank, given the predicted time from dispatch to first byte.
 //
-// Requests of one tier are ordered by Within. Where organisations share a tier, the routes' tiers would count for nothing
-// otherwise: with them, mean worth on overloaded days rose from 0.603 to 0.614, 0.603 to 0.608 (two small deployments),
-// 0.295 to 0.299 and 0.261 to 0.268 (small copies of two large ones); 1 is all that callers wanted, on time.
-func (a *Request) rank(now time.Time, start time.Duration) domain.Tier {
-	rank := a.baseRank()
-	if a.late(now, start) {
+// SubTier orders the requests of one tier. Without it the routes' tiers would have no effect where organisations share
+// a tier: with it, mean worth on overloaded days rose from 0.603 to 0.614 and from 0.603 to 0.608 (two small
+// deployments), from 0.295 to 0.299 and from 0.261 to 0.268 (small copies of two large ones), where 1 is all that
+// callers requested, on time.
+func (r *Request) rank(now time.Time, start time.Duration) domain.Tier {
+	rank := r.baseRank()
+	if r.late(now, start) {
 		rank++
 	}
 	return rank
 }
 
-// baseRank is the rank of an ask that can be on time.
-func (a *Request) baseRank() domain.Tier {
-	return domain.Tier(ranks * (withinTiers*min(int(a.Tier), maxTier) + min(int(a.SubTier), withinTiers-1)))
+// baseRank is the rank of a request that can be on time.
+func (r *Request) baseRank() domain.Tier {
+	return domain.Tier(ranksPerTier * (subTiers*min(int(r.Tier), maxTier) + min(int(r.SubTier), subTiers-1)))
 }
 
 const (
-	// maxTier is the lowest tier that is told from those below it, withinTiers the number of steps within a tier that are
-	// told apart. A rank is one byte.
-	maxTier     = 31
-	withinTiers = 4
+	// maxTier is the lowest tier that is distinguished from those below it, subTiers the number of levels distinguished
+	// within a tier. A rank must fit in one byte.
+	maxTier  = 31
+	subTiers = 4
 )
 
-// late reports whether the latency objective would be missed if the request were sent now.
-func (a *Request) late(now time.Time, start time.Duration) bool {
-	return !now.Add(start).Before(a.FirstByteDue)
+// late reports whether a request dispatched now would miss its latency objective.
+func (r *Request) late(now time.Time, start time.Duration) bool {
+	return !now.Add(start).Before(r.FirstByteDue)
 }
 
-// choosy reports whether there may be room that the ask can't use: it leaves the last places to those that can be on
-// time, waits for an endpoint that is fast enough or has the memory, or has tried some.
-func (a *Request) choosy(now time.Time, start time.Duration, reserves bool) bool {
-	return a.late(now, start) || reserves || a.AnswerTokens >= longAnswer || a.PromptTokens >= longPrompt || len(a.Excluded) > 0
+// selective reports whether there may be capacity that the request can't use: it leaves a reserve for requests that can
+// be on time, needs an endpoint that is fast enough or has enough cache memory, or excludes some endpoints.
+func (r *Request) selective(now time.Time, start time.Duration, reserves bool) bool {
+	return r.late(now, start) || reserves || r.AnswerTokens >= longAnswerTokens ||
+		r.PromptTokens >= longPromptTokens || len(r.Excluded) > 0
 }
 
-// patience is how long the ask may wait.
-func (a *Request) patience(now time.Time) time.Duration {
-	if a.Urgent {
-		return a.Due.Sub(now)
+// maxWait is how long the request may stay in the queue.
+func (r *Request) maxWait(now time.Time) time.Duration {
+	if r.Urgent {
+		return r.Due.Sub(now)
 	}
-	return min(max(a.FirstByteDue.Sub(now), 0)+lateMost, a.Due.Sub(now))
+	return min(max(r.FirstByteDue.Sub(now), 0)+maxLateWait, r.Due.Sub(now))
 }
 
-// retryAfter is when a refused caller is told to come back. A third of what is left is the longest that callers wait
-// when told to; the later they come, the more likely is the overload over, and an answer on time is lost anyway.
-func (a *Request) retryAfter(now time.Time) time.Duration {
-	most := min(a.Due.Sub(now)/3, retryMost)
-	return max(most-rand.N(max(most/4, 1)), retryLeast)
+// retryAfter is the delay after which a refused caller is told to retry. It is up to a third of the remaining time, the
+// longest that callers wait when told to: a later retry is more likely to come after the overload, and an answer on
+// time is no longer possible anyway.
+func (r *Request) retryAfter(now time.Time) time.Duration {
+	most := min(r.Due.Sub(now)/3, maxRetryAfter)
+	return max(most-rand.N(max(most/4, 1)), minRetryAfter)
 }
--- a/places/limits.go
+++ b/places/limits.go
@@ -2,17 +2,17 @@
 
 import "hawthornrill.example/hawthornrill/directory"
 
-// Limits are the endpoints' own limits on what all nodes together send them.
+// Limits are the endpoints' own rate limits on requests from all nodes together.
 type Limits interface {
-	// Bars reports whether this node is to send the endpoint nothing for as long as its limit is in force.
+	// Bars reports whether this node must send the endpoint nothing while its limit is in force.
 	Bars(e *directory.Endpoint) bool
-	// Allows reports whether this node may send the endpoint one request more now.
+	// Allows reports whether this node may send the endpoint one more request now.
 	Allows(e *directory.Endpoint) bool
-	// Take counts a request that is sent, and returns the limit in requests a second, zero if there is none.
+	// Take counts a dispatched request and returns the limit in requests per second, zero if there is none.
 	Take(e *directory.Endpoint) (perSecond float64)
 }
 
-// unlimited is for endpoints that name no limits.
+// unlimited is used when no limits are configured.
 type unlimited struct{}
 
 func (unlimited) Bars(*directory.Endpoint) bool    { return false }
--- a/places/limits_test.go
+++ b/places/limits_test.go
@@ -11,20 +11,20 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// allowances are what a node may still send to endpoints; those that are missing have no limit.
-type allowances struct {
+// fakeLimits holds the number of requests left per endpoint; endpoints that are not listed are unlimited.
+type fakeLimits struct {
 	left   map[domain.EndpointID]int
 	barred map[domain.EndpointID]bool
 }
 
-func (a *allowances) Bars(e *directory.Endpoint) bool { return a.barred[e.ID] }
+func (a *fakeLimits) Bars(e *directory.Endpoint) bool { return a.barred[e.ID] }
 
-func (a *allowances) Allows(e *directory.Endpoint) bool {
+func (a *fakeLimits) Allows(e *directory.Endpoint) bool {
 	left, limited := a.left[e.ID]
 	return !a.barred[e.ID] && (!limited || left > 0)
 }
 
-func (a *allowances) Take(e *directory.Endpoint) float64 {
+func (a *fakeLimits) Take(e *directory.Endpoint) float64 {
 	if _, limited := a.left[e.ID]; !limited {
 		return 0
 	}
@@ -32,17 +32,17 @@
 	return 4
 }
 
-func newLimitedBench(t *testing.T, endpoints int, limits *allowances) *bench {
-	b := newBench(t, endpoints)
-	b.options.Limits = limits
-	return b
+func newLimitedFixture(t *testing.T, endpoints int, limits *fakeLimits) *fixture {
+	f := newFixture(t, endpoints)
+	f.options.Limits = limits
+	return f
 }
 
-func TestLimitedEndpointGetsWhatItsLimitAllows(t *testing.T) {
+func TestEndpointLimitIsRespected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newLimitedBench(t, 2, &allowances{left: map[domain.EndpointID]int{"e0": 1}})
+		f := newLimitedFixture(t, 2, &fakeLimits{left: map[domain.EndpointID]int{"e0": 1}})
 		taken := map[domain.EndpointID]int{}
-		for _, place := range b.fill(testSlots + 1) {
+		for _, place := range f.fill(testSlots + 1) {
 			taken[place.Endpoint.ID]++
 			if place.Endpoint.ID == "e0" {
 				assert.Equal(t, place.Limit, 4.0)
@@ -52,25 +52,25 @@
 	})
 }
 
-func TestRequestWaitsUntilALimitAllowsIt(t *testing.T) {
+func TestRequestWaitsForEndpointLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limits := &allowances{left: map[domain.EndpointID]int{"e0": 0}}
-		b := newLimitedBench(t, 1, limits)
-		go func() { _ = b.Run(t.Context()) }()
-		got := b.wait(testAsk())
-		assert.Equal(t, b.Waiting(), 1)
-		b.mu.Lock()
+		limits := &fakeLimits{left: map[domain.EndpointID]int{"e0": 0}}
+		f := newLimitedFixture(t, 1, limits)
+		go func() { _ = f.Run(t.Context()) }()
+		got := f.acquireAsync(testRequest())
+		assert.Equal(t, f.Waiting(), 1)
+		f.mu.Lock()
 		limits.left["e0"] = 1
-		b.mu.Unlock()
-		time.Sleep(serveEvery)
+		f.mu.Unlock()
+		time.Sleep(queuePollInterval)
 		assert.NilError(t, <-got)
 	})
 }
 
-func TestEndpointWhoseLimitIsOtherNodesIsNotWaitedFor(t *testing.T) {
+func TestBarredEndpointIsNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newLimitedBench(t, 1, &allowances{barred: map[domain.EndpointID]bool{"e0": true}})
-		_, err := b.Acquire(t.Context(), testAsk())
+		f := newLimitedFixture(t, 1, &fakeLimits{barred: map[domain.EndpointID]bool{"e0": true}})
+		_, err := f.Acquire(t.Context(), testRequest())
 		assert.ErrorIs(t, err, ErrNoEndpoint)
 	})
 }
--- a/places/load.go
+++ b/places/load.go
@@ -2,23 +2,26 @@
 
 import "hawthornrill.example/hawthornrill/gossip"
 
-// load is what is outstanding at an endpoint.
+// load is the outstanding work at an endpoint.
 type load struct {
 	requests      int
 	prefillTokens int
 	promptTokens  int
 	answerTokens  int
-	// tokenMicros is the sum of the times for a token in microseconds that so many nodes tell.
+	// tokenMicros is the sum of the times per token in microseconds over the nodes that report one, reporters their
+	// number.
 	tokenMicros int
-	tellers     int
+	reporters   int
 }
 
-func loadOf(l gossip.Load) load {
-	told := load{requests: l.Requests, prefillTokens: l.PrefillTokens, promptTokens: l.PromptTokens, answerTokens: l.AnswerTokens}
+func loadFromReport(l gossip.Load) load {
+	converted := load{
+		requests: l.Requests, prefillTokens: l.PrefillTokens, promptTokens: l.PromptTokens, answerTokens: l.AnswerTokens,
+	}
 	if l.TokenMicros > 0 {
-		told.tokenMicros, told.tellers = l.TokenMicros, 1
+		converted.tokenMicros, converted.reporters = l.TokenMicros, 1
 	}
-	return told
+	return converted
 }
 
 func (l *load) add(o load) {
@@ -27,7 +30,7 @@
 	l.promptTokens += o.promptTokens
 	l.answerTokens += o.answerTokens
 	l.tokenMicros += o.tokenMicros
-	l.tellers += o.tellers
+	l.reporters += o.reporters
 }
 
 func (l *load) subtract(o load) {
@@ -36,5 +39,5 @@
 	l.promptTokens -= o.promptTokens
 	l.answerTokens -= o.answerTokens
 	l.tokenMicros -= o.tokenMicros
-	l.tellers -= o.tellers
+	l.reporters -= o.reporters
 }
--- a/places/options.go
+++ b/places/options.go
@@ -10,90 +10,93 @@
 )
 
 const (
-	// maxWaiting bounds the asks that wait for one service at one node.
+	// maxWaiting bounds the queue of one service at one node.
 	maxWaiting = 512
-	// lookBehind is the number of waiters looked at behind one for whom there is no endpoint.
-	lookBehind = 8
-	// lowerTurn is the number of turns of which one goes to a tier below the first that waits.
-	lowerTurn = 5
-	// localFill is the part of an endpoint's places up to which the node's own data centre goes first.
-	localFill = 0.7
-	// overfill is how far beyond its places an endpoint is filled by nodes that have less than a starvedPart-th of an
-	// equal part of them.
-	overfill    = 1.25
-	starvedPart = 2
-	// underShare is the part of its share of an overloaded service's places below which a node may exceed an endpoint's places
-	// by overfill: what is asked changes by about a tenth from one second to the next.
-	underShare = 0.9
-	// quickWork is the time below which work ends before the other nodes' reports of it are of use: they are 0.1 to 0.5 s
-	// old. quickPart is the part of the time left that such work may spend at an endpoint, queueing included, and
-	// quickRounds how many requests for each of its places an endpoint may have then; endpoints queue "a few more" than
-	// they have places and reject the rest.
-	quickWork   = 150 * time.Millisecond
-	quickPart   = 0.6
-	quickRounds = 2
-	// lateReserve is the part of an endpoint's places that requests which will be late leave free.
+	// maxLookahead is the number of waiters examined behind one for which there is no endpoint.
+	maxLookahead = 8
+	// lowerTierInterval is the number of grants of which one goes to a tier below the highest that waits.
+	lowerTierInterval = 5
+	// localFillLimit is the fraction of an endpoint's slots up to which the node's own data centre is preferred.
+	localFillLimit = 0.7
+	// overcommitFactor is how far nodes with less than 1/underservedDivisor of an equal share of the slots fill an
+	// endpoint beyond its slots.
+	overcommitFactor   = 1.25
+	underservedDivisor = 2
+	// demandShareFraction is the fraction of a node's demand share of an overloaded service's slots below which it may
+	// exceed an endpoint's slots by overcommitFactor: demand changes by about a tenth from one second to the next.
+	demandShareFraction = 0.9
+	// shortWork is the duration below which work ends before the other nodes' reports of it are of use: these are 0.1
+	// to 0.5 s old. shortWorkTimeFraction is the fraction of the remaining time that such work may spend at an
+	// endpoint, queueing included, and maxQueueFactor the number of requests per slot that an endpoint may then have:
+	// endpoints queue "a few more" requests than they have slots and reject the rest.
+	shortWork             = 150 * time.Millisecond
+	shortWorkTimeFraction = 0.6
+	maxQueueFactor        = 2
+	// lateReserve is the fraction of an endpoint's slots that late requests leave free.
 	lateReserve = 0.3
-	// sharers is the number of nodes that share an endpoint in a large fleet. Each node then keeps to a part of the
-	// endpoints, so that it knows more of their load by itself and needs fewer connections. foreignReserve is the part of
-	// the places of all other endpoints that it leaves free: by reports a third of a second old, many nodes would take
-	// the last places at a time. Up to the 20th second of an overloaded day with 72 nodes callers got 0.537 of the worth
-	// they wanted with 0.1, 0.552 with 0.25 and 0.563 with 0.4; but the less spills, the worse the most loaded data centre
-	// is served: 0.502, 0.479, 0.473.
-	sharers        = 4
-	foreignReserve = 0.25
-	// sample is the number of endpoints among which the router chooses in a fleet larger than sampleFrom. All nodes see
-	// about the same reports; if all chose the best by them, they would meet there before the next report.
-	sample     = 4
-	sampleFrom = 10
-	// tellFailure is how long an endpoint's failure is told to the other nodes, shunFor how long they pass it over after
-	// they were last told. Without that each node finds out for itself: on a day on which a quarter of 90 endpoints
-	// crashed under 69 nodes, 178 of 600 requests in two seconds at six nodes were refused after six failed connections.
-	tellFailure = time.Second
-	shunFor     = 600 * time.Millisecond
-	// replacedFor is how long an endpoint is passed over after another life answered at its address: the directory drops
-	// the old one within seconds, when its entry in the store ends.
-	replacedFor = 10 * time.Second
-	// ownWord is how long what this node has seen of an endpoint goes before what another node tells of it: reports are
-	// up to half a second old.
-	ownWord = time.Second
-	// longPrompt is the number of tokens from which on a prompt may have to wait for an endpoint's memory: engines seen
-	// hold 500,000 tokens and work on about ten requests at a time.
-	longPrompt = 16000
-	// lateWait is the longest predicted wait of a request that will miss its latency objective in any case, and lateMost how
-	// long it may really wait. It is served if a place is free, and else told soon when to come back, since what it waits
-	// for is taken from requests that can be on time: with 0.8 s and 1.7 s, and a reserve of 0.2, overloaded days of small
-	// copies of two large deployments had a mean worth of 0.231 and 0.245 (1 is all that callers wanted, on time), with
-	// these 0.265 and 0.272.
-	lateWait = 50 * time.Millisecond
-	lateMost = 300 * time.Millisecond
-	// retryLeast and retryMost bound the time after which a refused caller is told to come back.
-	retryLeast = 300 * time.Millisecond
-	retryMost  = 10 * time.Second
+	// nodesPerEndpoint is the number of nodes that share an endpoint in a large fleet. Each node then prefers a subset
+	// of the endpoints, so that it knows more of their load itself and needs fewer connections. foreignReserve is the
+	// fraction of the slots of all other endpoints that it leaves free: with reports a third of a second old, many
+	// nodes would take the last slots at the same time. Up to the 20th second of an overloaded day with 72 nodes the
+	// share of the requested worth that callers got was 0.537 with 0.1, 0.552 with 0.25 and 0.563 with 0.4. But the
+	// less work goes to other subsets, the worse is the share in the most loaded data centre: 0.502, 0.479, 0.473.
+	nodesPerEndpoint = 4
+	foreignReserve   = 0.25
+	// sampleSize is the number of endpoints from which the router chooses in a fleet of more than sampleMinNodes nodes.
+	// All nodes have about the same reports; if each chose the best endpoint by them, all would choose the same one
+	// before the next report.
+	sampleSize     = 4
+	sampleMinNodes = 10
+	// reportFailureFor is how long an endpoint's failure is reported to the other nodes, avoidFor how long they avoid
+	// it after the last such report. Without it each node detects the failure by itself: when a quarter of 90 endpoints
+	// crashed under 69 nodes, 178 of 600 requests in two seconds at six nodes were refused after six failed
+	// connections.
+	reportFailureFor = time.Second
+	avoidFor         = 600 * time.Millisecond
+	// avoidReplacedFor is how long an endpoint is avoided after another incarnation answered at its address: the
+	// directory removes the old one within seconds, when its store entry expires.
+	avoidReplacedFor = 10 * time.Second
+	// ownResultFreshFor is how long this node's own results at an endpoint override a peer's report of its failure:
+	// reports are up to half a second old.
+	ownResultFreshFor = time.Second
+	// longPromptTokens is the length from which on a prompt may have to wait for an endpoint's cache memory: observed
+	// engines hold 500,000 tokens and run about ten requests at a time.
+	longPromptTokens = 16000
+	// maxPredictedLateWait is the longest predicted wait of a request that will miss its latency objective in any case,
+	// and maxLateWait the longest actual wait. Such a request is served if a slot is free and is otherwise told soon
+	// when to retry, since its wait takes capacity from requests that can be on time. With 0.8 s and 1.7 s, and a
+	// reserve of 0.2, overloaded days of small copies of two large deployments had a mean worth of 0.231 and 0.245 (1
+	// is all that callers requested, on time); with these values 0.265 and 0.272.
+	maxPredictedLateWait = 50 * time.Millisecond
+	maxLateWait          = 300 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the delay after which a refused caller is told to retry.
+	minRetryAfter = 300 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
 )
 
-// Options are a Desk's settings.
+// Options are an Allocator's settings.
 type Options struct {
-	// Node is this node, DataCentre where it stands.
+	// Node is this node's ID, DataCentre its location.
 	Node       domain.NodeID
 	DataCentre domain.DataCentre
-	// CacheTokens returns the memory in tokens of each endpoint of a service, zero if it is not known; nil for none.
+	// CacheTokens returns the cache memory in tokens of each endpoint of a service, zero if unknown. It may be nil.
 	CacheTokens func(service string) int
-	// Limits are the endpoints' own limits on what they are sent; nil for none.
+	// Limits are the endpoints' own rate limits. It may be nil.
 	Limits Limits
-	// Routing are the router's numbers; zero values mean defaultRouting.
+	// Routing holds the router's options. New replaces some of them, see defaultRouting.
 	Routing routing.Options
-	// Log tells what the node comes to believe of endpoints; the zero value writes nothing.
+	// Log receives changes of the endpoints' assumed health; the zero value logs nothing.
 	Log zerolog.Logger
 }
 
-// defaultRouting are the router's numbers where requests are accounted by each node for itself.
+// defaultRouting sets the router's options for nodes that each account for requests by themselves.
 func defaultRouting(o routing.Options) routing.Options {
-	// A place is granted at once or not at all: waiting for a better endpoint needs one node to decide for all.
+	// A request is granted a place at once or queued: holding it back for a better endpoint requires one node that
+	// decides for all.
 	o.HoldRatio = -1
-	// The endpoint's places bound its batch.
+	// The endpoint's slots bound its batch.
 	o.TokenInterval = -1
-	// Progress is seen with each event, so silence shows soon.
+	// Each event shows progress, so that a silent endpoint is detected soon.
 	o.Silence = time.Second
 	o.EjectFirst = 500 * time.Millisecond
 	o.EjectMost = 4 * time.Second
--- a/places/place.go
+++ b/places/place.go
@@ -8,84 +8,85 @@
 	"hawthornrill.example/hawthornrill/directory"
 )
 
-// Place is a right to have one request at an endpoint. It must be released.
+// Place is the right to have one request at an endpoint. It must be released.
 type Place struct {
-	// Endpoint is where to send. It may have left since: ask the directory before sending.
+	// Endpoint is the endpoint to send to. It may have left since: check the directory before the dispatch.
 	Endpoint *directory.Endpoint
-	// Waited is how long the ask waited for the place.
+	// Waited is how long the request was queued.
 	Waited time.Duration
-	// Load is what was thought to be outstanding at the endpoint when the place was given, and Reported when the last
-	// report of another node came that counts in it, zero if there is none.
+	// Load is the assumed number of outstanding requests at the endpoint when the place was granted. ReportedAt is when
+	// the last peer report included in it was received, zero if there is none.
 	Load       int
 	ReportedAt time.Time
-	// TokenTime is what the endpoint was thought to take for a token, zero if nothing was known.
+	// TokenTime is the estimated time per token of the endpoint, zero if unknown.
 	TokenTime time.Duration
-	// Limit is the number of requests a second that the endpoint takes from all nodes together, zero if it named none.
+	// Limit is the number of requests per second that the endpoint accepts from all nodes together, zero if it stated
+	// none.
 	Limit float64
 
-	desk    *Allocator
-	pool    *pool
-	account *account
-	ask     *capacity.Ask
-	// tier is the one in which the ask was counted.
-	tier    tier
+	allocator *Allocator
+	pool      *pool
+	tracked   *trackedEndpoint
+	routerAsk *capacity.Ask
+	// tier is the one in which the request was counted.
+	tier    demandTier
 	granted time.Time
-	// producedAt is when answer tokens came last.
-	producedAt time.Time
-	load       load
-	once       sync.Once
+	// lastTokensAt is when answer tokens last arrived.
+	lastTokensAt time.Time
+	load         load
+	once         sync.Once
 }
 
-func newPlace(d *Allocator, p *pool, a *account, ask *Request, now time.Time) *Place {
+func newPlace(a *Allocator, p *pool, ep *trackedEndpoint, request *Request, now time.Time) *Place {
 	return &Place{
-		Endpoint:   a.endpoint,
-		desk:       d,
+		Endpoint:   ep.endpoint,
+		allocator:  a,
 		pool:       p,
-		account:    a,
-		ask:        ask.routed,
-		tier:       tierOf(ask),
+		tracked:    ep,
+		routerAsk:  request.routerAsk,
+		tier:       demandTierOf(request),
 		granted:    now,
-		Load:       a.state.Requests,
-		ReportedAt: d.reportedAt,
-		TokenTime:  a.pace.token(now),
+		Load:       ep.state.Requests,
+		ReportedAt: a.reportedAt,
+		TokenTime:  ep.tokenTime.estimate(now),
 		load: load{
 			requests:      1,
-			prefillTokens: ask.PromptTokens,
-			promptTokens:  ask.PromptTokens,
-			answerTokens:  ask.AnswerTokens,
+			prefillTokens: request.PromptTokens,
+			promptTokens:  request.PromptTokens,
+			answerTokens:  request.AnswerTokens,
 		},
 	}
 }
 
-// RecordFirstEvent tells that the prompt has been read.
+// RecordFirstEvent records that the prompt has been prefilled.
 func (p *Place) RecordFirstEvent() {
-	p.progress(func(now time.Time, l *load) {
+	p.updateLoad(func(now time.Time, l *load) {
 		l.prefillTokens = 0
-		p.producedAt = now
+		p.lastTokensAt = now
 	})
 }
 
-// Produced tells that so many more answer tokens have come.
+// RecordTokens records that this many more answer tokens have arrived.
 func (p *Place) RecordTokens(tokens int) {
-	p.progress(func(now time.Time, l *load) {
+	p.updateLoad(func(now time.Time, l *load) {
 		l.answerTokens = max(l.answerTokens-tokens, 0)
-		p.account.pace.saw(now, tokens, now.Sub(p.producedAt))
-		p.producedAt = now
+		p.tracked.tokenTime.addOwn(now, tokens, now.Sub(p.lastTokensAt))
+		p.lastTokensAt = now
 	})
 }
 
-func (p *Place) progress(edit func(time.Time, *load)) {
-	p.desk.mu.Lock()
-	defer p.desk.mu.Unlock()
+func (p *Place) updateLoad(edit func(time.Time, *load)) {
+	p.allocator.mu.Lock()
+	defer p.allocator.mu.Unlock()
 	now := time.Now()
-	p.account.servedAt = now
-	p.account.own.subtract(p.load)
+	p.tracked.servedAt = now
+	p.tracked.ownLoad.subtract(p.load)
 	edit(now, &p.load)
-	p.account.own.add(p.load)
-	p.account.refresh()
+	p.tracked.ownLoad.add(p.load)
+	p.tracked.refreshState()
 }
 
-// Release gives the place back and tells how it was used. Only the first call counts.
+// Release returns the place with the outcome of the request. Only the first call has an effect.
 func (p *Place) Release(result capacity.Result) {
-	p.once.Do(func() { p.desk.release(p, result) })
+	p.once.Do(func() { p.allocator.release(p, result) })
 }
--- a/places/pool.go
+++ b/places/pool.go
@@ -9,100 +9,100 @@
 	"hawthornrill.example/hawthornrill/routing"
 )
 
-// pool is one service's endpoints and the asks that wait for them. The desk's mutex guards it.
+// pool holds one service's endpoints and its queue of requests. It is guarded by the allocator's mutex.
 type pool struct {
-	service  string
-	accounts map[domain.EndpointID]*account
-	// list holds the same accounts, to go through them: three times as fast as the map.
-	list    []*account
-	router  *routing.Router
-	waiting *queue.Queue[*waiter]
-	// held is the mean time in seconds that a request of this node keeps a place.
-	held mean
-	// firsts are the mean times from a dispatch to the first byte.
-	firsts firstBytes
-	demand demand
-	limits Limits
-	turns  int
-	// cache returns the memory in tokens of each endpoint, zero if it is not known.
-	cache func() int
-	// places is the sum over the endpoints that are not leaving.
-	places int
-	// scratch and chosen are used again by each decision.
-	scratch []*capacity.EndpointState
-	chosen  []*account
+	service   string
+	endpoints map[domain.EndpointID]*trackedEndpoint
+	// endpointList holds the same endpoints for iteration, which is three times as fast as over the map.
+	endpointList []*trackedEndpoint
+	router       *routing.Router
+	waiting      *queue.Queue[*waiter]
+	// holdTime is the mean time in seconds that a request of this node holds a slot.
+	holdTime mean
+	// firstByteTimes are the mean times from dispatch to first byte.
+	firstByteTimes firstByteTimes
+	demand         demand
+	limits         Limits
+	queuedGrants   int
+	// cacheTokens returns the cache memory in tokens of each endpoint, zero if unknown.
+	cacheTokens func() int
+	// totalSlots is the sum over the endpoints that are not leaving.
+	totalSlots int
+	// candidateStates and candidates are buffers reused by each decision.
+	candidateStates []*capacity.EndpointState
+	candidates      []*trackedEndpoint
 }
 
-// waiter is an ask in the queue.
+// waiter is a queued request.
 type waiter struct {
-	item  queue.Item[*waiter]
-	ask   *Request
-	since time.Time
-	// granted receives the place, or is closed if there will be none.
+	item    queue.Item[*waiter]
+	request *Request
+	since   time.Time
+	// granted receives the place, or is closed if the request was evicted.
 	granted chan *Place
 }
 
 const (
-	// defaultHeld is the time that a place at an engine is thought to be kept until it is measured, and plainHeld that at
-	// a plain service: of 15,977 and 4,864 plain calls on two days the middle one took 36 and 26 ms, nine in ten less than
-	// 88 and 56 ms.
-	defaultHeld = 500 * time.Millisecond
-	plainHeld   = 50 * time.Millisecond
+	// defaultHoldTime is the assumed hold time of a slot at an engine until it is measured, plainHoldTime that at a
+	// plain service: of 15,977 and 4,864 plain calls on two days the median was 36 and 26 ms, the 90th percentile 88
+	// and 56 ms.
+	defaultHoldTime = 500 * time.Millisecond
+	plainHoldTime   = 50 * time.Millisecond
 )
 
 func newPool(service string, options Options) *pool {
 	return &pool{
-		service:  service,
-		accounts: make(map[domain.EndpointID]*account),
-		router:   routing.NewRouter(options.Routing),
-		cache:    func() int { return options.CacheTokens(service) },
-		waiting:  queue.New[*waiter](maxWaiting),
-		firsts:   newFirstBytes(),
-		demand:   newDemand(),
-		limits:   options.Limits,
+		service:        service,
+		endpoints:      make(map[domain.EndpointID]*trackedEndpoint),
+		router:         routing.NewRouter(options.Routing),
+		cacheTokens:    func() int { return options.CacheTokens(service) },
+		waiting:        queue.New[*waiter](maxWaiting),
+		firstByteTimes: newFirstByteTimes(),
+		demand:         newDemand(),
+		limits:         options.Limits,
 	}
 }
 
-// grant gives the ask a place.
-func (p *pool) grant(d *Allocator, now time.Time, ask *Request, a *account) *Place {
-	place := newPlace(d, p, a, ask, now)
-	place.Limit = p.limits.Take(a.endpoint)
-	p.demand.of(tierOf(ask)).served.add(now)
-	a.own.add(place.load)
-	a.refresh()
-	p.router.Granted(now, &a.state, place.ask)
+// grant grants the request a place.
+func (p *pool) grant(a *Allocator, now time.Time, request *Request, ep *trackedEndpoint) *Place {
+	place := newPlace(a, p, ep, request, now)
+	place.Limit = p.limits.Take(ep.endpoint)
+	p.demand.forTier(demandTierOf(request)).served.add(now)
+	ep.ownLoad.add(place.load)
+	ep.refreshState()
+	p.router.Granted(now, &ep.state, place.routerAsk)
 	return place
 }
 
-// relist brings the list of accounts up to date and sums their places up.
-func (p *pool) relist() {
-	p.list, p.places = p.list[:0], 0
-	for _, a := range p.accounts {
-		p.list = append(p.list, a)
+// rebuildList rebuilds the list of endpoints and the sum of their slots.
+func (p *pool) rebuildList() {
+	p.endpointList, p.totalSlots = p.endpointList[:0], 0
+	for _, ep := range p.endpoints {
+		p.endpointList = append(p.endpointList, ep)
 	}
-	for _, a := range p.list {
-		if !a.endpoint.Leaving {
-			p.places += a.endpoint.Slots
+	for _, ep := range p.endpointList {
+		if !ep.endpoint.Leaving {
+			p.totalSlots += ep.endpoint.Slots
 		}
 	}
 }
 
-// free counts the places that nobody holds.
-func (p *pool) free() int {
+// freeSlots counts the unused slots.
+func (p *pool) freeSlots() int {
 	n := 0
-	for _, a := range p.list {
-		if !a.endpoint.Leaving {
-			n += a.free()
+	for _, ep := range p.endpointList {
+		if !ep.endpoint.Leaving {
+			n += ep.freeSlots()
 		}
 	}
 	return n
 }
 
-// limited counts the endpoints at which their own limit leaves this node nothing now.
-func (p *pool) limited() int {
+// limitedEndpoints counts the endpoints whose own limit allows this node no request now.
+func (p *pool) limitedEndpoints() int {
 	n := 0
-	for _, a := range p.list {
-		if !a.endpoint.Leaving && !p.limits.Allows(a.endpoint) {
+	for _, ep := range p.endpointList {
+		if !ep.endpoint.Leaving && !p.limits.Allows(ep.endpoint) {
 			n++
 		}
 	}
@@ -112,50 +112,51 @@
 // outstanding counts this node's own requests.
 func (p *pool) outstanding() int {
 	n := 0
-	for _, a := range p.list {
-		n += a.own.requests
+	for _, ep := range p.endpointList {
+		n += ep.ownLoad.requests
 	}
 	return n
 }
 
-// predictedWait is how long an ask with so many before it waits: by Little's law this node's places become free at the
-// rate of its outstanding requests by the mean time that they keep a place.
-func (p *pool) predictedWait(ask *Request, ahead int) time.Duration {
+// predictedWait is the predicted wait of a request with the given number of requests ahead of it. By Little's law this
+// node's slots become free at the rate of its outstanding requests divided by their mean hold time.
+func (p *pool) predictedWait(request *Request, ahead int) time.Duration {
 	outstanding := max(p.outstanding(), 1)
-	return time.Duration(float64(ahead+1) * p.heldFor(ask.routed) / float64(outstanding) * float64(time.Second))
+	return time.Duration(float64(ahead+1) * p.expectedHoldTime(request.routerAsk) / float64(outstanding) * float64(time.Second))
 }
 
-// heldFor is the mean time in seconds that a request keeps a place, a guess from the ask's kind until there is a sample. With
-// the engines' guess for plain calls too, nodes that had just been restarted refused them: 585 in the second after all 69
-// nodes of a large deployment had been restarted, though half of the plain calls of that second were answered in 44 ms.
-func (p *pool) heldFor(ask *capacity.Ask) float64 {
+// expectedHoldTime is the mean time in seconds that a request holds a slot, a default by the kind of request until
+// there is a sample. With the engines' default for plain calls too, nodes that had just been restarted refused them:
+// 585 in the second after all 69 nodes of a large deployment had been restarted, though half of the plain calls of that
+// second were answered in 44 ms.
+func (p *pool) expectedHoldTime(ask *capacity.Ask) float64 {
 	switch {
-	case p.held.samples > 0:
-		return p.held.value
+	case p.holdTime.samples > 0:
+		return p.holdTime.value
 	case ask.PromptTokens == 0 && ask.AnswerTokens == 0:
-		return plainHeld.Seconds()
+		return plainHoldTime.Seconds()
 	default:
-		return defaultHeld.Seconds()
+		return defaultHoldTime.Seconds()
 	}
 }
 
-// keep counts the time in seconds that the ask's request kept a place.
-func (p *pool) keep(ask *capacity.Ask, of tier, held float64) {
-	p.held.value = p.heldFor(ask)
-	p.held.add(held)
-	p.demand.of(of).kept(held)
+// recordHold records the time in seconds that the request held a slot.
+func (p *pool) recordHold(ask *capacity.Ask, tier demandTier, holdTime float64) {
+	p.holdTime.value = p.expectedHoldTime(ask)
+	p.holdTime.add(holdTime)
+	p.demand.forTier(tier).recordHold(holdTime)
 }
 
-// next returns the waiter whose turn it is. Of each lowerTurn turns one goes to a tier below the first, to each in
-// rotation, so that no tier is shut out altogether while another has more requests than there are places.
+// next returns the waiter whose turn it is. One of every lowerTierInterval grants goes to a tier below the highest, to
+// each in rotation, so that no tier is starved while a higher one has more requests than there are slots.
 func (p *pool) next(now time.Time) *waiter {
 	for p.waiting.Len() > 0 {
-		item := p.turn()
+		item := p.nextItem()
 		w := item.Value
-		if rank := w.ask.rank(now, p.start(w.ask)); rank != item.Tier {
-			// It can't be on time any more: those that can go first.
+		if rank := w.request.rank(now, p.firstByteTime(w.request)); rank != item.Tier {
+			// The request can no longer be on time: requeue it behind those that can.
 			p.waiting.Remove(item)
-			w.item = queueItem(w, now, p.start(w.ask))
+			w.item = queueItem(w, now, p.firstByteTime(w.request))
 			p.waiting.Push(&w.item)
 			continue
 		}
@@ -164,24 +165,26 @@
 	return nil
 }
 
-func (p *pool) turn() *queue.Item[*waiter] {
-	if (p.turns+1)%lowerTurn == 0 {
-		if item := p.firstOfLower((p.turns + 1) / lowerTurn); item != nil {
+func (p *pool) nextItem() *queue.Item[*waiter] {
+	if (p.queuedGrants+1)%lowerTierInterval == 0 {
+		if item := p.firstOfLowerTier((p.queuedGrants + 1) / lowerTierInterval); item != nil {
 			return item
 		}
 	}
 	return p.waiting.Peek(func(*queue.Item[*waiter]) bool { return true })
 }
 
-// start is the time that the request takes from its dispatch to its first byte.
-func (p *pool) start(ask *Request) time.Duration { return p.firsts.of(ask.PromptTokens) }
+// firstByteTime is the predicted time from the request's dispatch to its first byte.
+func (p *pool) firstByteTime(request *Request) time.Duration {
+	return p.firstByteTimes.mean(request.PromptTokens)
+}
 
-// firstOfLower returns the first waiter of a tier below the highest that has any who can be on time, of each such tier in
-// rotation; nil if there is none.
-func (p *pool) firstOfLower(rotation int) *queue.Item[*waiter] {
+// firstOfLowerTier returns the first waiter of a tier below the highest that has any that can be on time, of each such
+// tier in rotation, or nil if there is none.
+func (p *pool) firstOfLowerTier(rotation int) *queue.Item[*waiter] {
 	var waiting []domain.Tier
 	for rank, count := range p.waiting.Tiers() {
-		if count > 0 && rank%ranks == 0 {
+		if count > 0 && rank%ranksPerTier == 0 {
 			waiting = append(waiting, rank)
 		}
 	}
--- a/places/refusal.go
+++ b/places/refusal.go
@@ -6,27 +6,27 @@
 )
 
 var (
-	// ErrNoEndpoint means that the service has no endpoint in service that the request has not tried.
+	// ErrNoEndpoint means that the service has no endpoint in service that the request has not excluded.
 	ErrNoEndpoint = errors.New("places: no endpoint in service")
 	// ErrOverloaded means that the request would start too late.
 	ErrOverloaded = errors.New("places: the request would start too late")
 )
 
-// Refusal says why there is no place and when to come back. It wraps one of the errors above.
+// Refusal is the error for a request that gets no place. It wraps ErrNoEndpoint or ErrOverloaded.
 type Refusal struct {
 	Err error
-	// RetryAfter is when a place is likely.
+	// RetryAfter is the delay after which a slot is likely to be free.
 	RetryAfter time.Duration
-	// Wait is the predicted wait, Ahead the number of requests waiting before this one, Free the number of places free,
-	// Limited that of endpoints at which their own limit leaves this node nothing now.
+	// Wait is the predicted wait, Ahead the number of requests queued before this one, Free the number of free slots,
+	// Limited the number of endpoints whose own limit allows this node no request now.
 	Wait    time.Duration
 	Ahead   int
 	Free    int
 	Limited int
 }
 
-// Error returns the reason's text.
+// Error implements error.
 func (r *Refusal) Error() string { return r.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the wrapped error.
 func (r *Refusal) Unwrap() error { return r.Err }
--- /dev/null
+++ b/places/request.go
@@ -0,0 +1,67 @@
+package places
+
+import (
+	"time"
+
+	"hawthornrill.example/hawthornrill/capacity"
+	"hawthornrill.example/hawthornrill/domain"
+)
+
+// Request is a request for a place at an endpoint of a service.
+type Request struct {
+	// ID is the request's ID, for the log.
+	ID           string
+	Service      string
+	Organisation domain.OrganisationID
+	Tier         domain.Tier
+	// SubTier orders requests of the same tier: it is the route's tier where Tier is the organisation's.
+	SubTier domain.Tier
+	// RouteTier is always the route's tier, even where Tier is the organisation's.
+	RouteTier domain.Tier
+	// PromptTokens and AnswerTokens are estimates of the work; zero for a plain call.
+	PromptTokens int
+	AnswerTokens int
+	// Blocks are prefix hashes of the prompt's blocks, each covering all blocks before it; BlockTokens are the blocks'
+	// token counts.
+	Blocks      []uint64
+	BlockTokens []int
+	// Fingerprint identifies the attempt.
+	Fingerprint uint64
+	// EventGap is the longest allowed gap between two events of the answer, zero for no bound. An event holds
+	// EventTokens tokens.
+	EventGap    time.Duration
+	EventTokens int
+	// FirstByteDue is the deadline of the latency objective, Due the time at which the caller gives up.
+	FirstByteDue time.Time
+	Due          time.Time
+	// Excluded endpoints must not be chosen.
+	Excluded []domain.EndpointID
+	// Urgent requests continue an answer that has begun: they are not refused for a long queue.
+	Urgent bool
+
+	// routerAsk is the router's form of the request, built once on arrival.
+	routerAsk *capacity.Ask
+}
+
+func (r *Request) excludes(id domain.EndpointID) bool {
+	for _, e := range r.Excluded {
+		if e == id {
+			return true
+		}
+	}
+	return false
+}
+
+func (r *Request) toRouterAsk() *capacity.Ask {
+	return &capacity.Ask{
+		Name:         r.ID,
+		Pool:         domain.PoolName(r.Service),
+		Organisation: r.Organisation,
+		Tier:         r.Tier,
+		PromptTokens: r.PromptTokens,
+		AnswerTokens: r.AnswerTokens,
+		Blocks:       r.Blocks,
+		BlockTokens:  r.BlockTokens,
+		Fingerprint:  r.Fingerprint,
+	}
+}
--- a/places/share_test.go
+++ b/places/share_test.go
@@ -10,27 +10,27 @@
 	"hawthornrill.example/hawthornrill/gossip"
 )
 
-// takenBeside is how many places a node of four gets at three endpoints that are full of another one's requests, if so much
-// is asked of each of the two.
-func takenBeside(t *testing.T, own, other int) int {
+// countPlacesBeside returns how many places one of four nodes gets at three endpoints that are full of a peer's
+// requests, given the demand at both nodes.
+func countPlacesBeside(t *testing.T, own, other int) int {
 	taken := 0
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 3)
-		b.fleet = gossip.Fleet{Known: 4, Heard: 4, Near: 1}
-		b.ApplyReport(&gossip.Report{
+		f := newFixture(t, 3)
+		f.fleet = gossip.Fleet{Known: 4, Heard: 4, Near: 1}
+		f.ApplyReport(&gossip.Report{
 			From: "m",
 			Loads: []gossip.Load{
 				{Endpoint: "e0", Requests: testSlots}, {Endpoint: "e1", Requests: testSlots}, {Endpoint: "e2", Requests: testSlots},
 			},
 			Asked: []gossip.Asked{{Service: "s", PlaceMillis: other}},
 		})
-		b.mu.Lock()
-		b.pool("s").demand.holds(time.Now(), 0, own, own, time.Second)
-		b.mu.Unlock()
+		f.mu.Lock()
+		f.pool("s").demand.addTraffic(time.Now(), 0, own, own, time.Second)
+		f.mu.Unlock()
 		for {
-			ask := testAsk()
-			ask.FirstByteDue = time.Now().Add(100 * time.Millisecond)
-			if _, err := b.Acquire(t.Context(), ask); err != nil {
+			request := testRequest()
+			request.FirstByteDue = time.Now().Add(100 * time.Millisecond)
+			if _, err := f.Acquire(t.Context(), request); err != nil {
 				return
 			}
 			taken++
@@ -39,21 +39,21 @@
 	return taken
 }
 
-// Pattern: a data centre with few nodes, of which more is asked than of the others, when all endpoints are full.
-func TestNodeOfWhichMoreIsAskedGetsMorePlaces(t *testing.T) {
-	assert.Equal(t, takenBeside(t, 1, 90_000), 2, "half of an equal part, as any node")
-	assert.Equal(t, takenBeside(t, 9, 1000), 3, "up to a quarter beyond what each endpoint has")
+// A data centre with few nodes has more demand than the others when all endpoints are full.
+func TestNodeWithMoreDemandGetsMorePlaces(t *testing.T) {
+	assert.Equal(t, countPlacesBeside(t, 1, 90_000), 2, "half of an equal share, as for any node")
+	assert.Equal(t, countPlacesBeside(t, 9, 1000), 3, "up to a quarter more than each endpoint has slots")
 }
 
-func TestWhatIsAskedIsTold(t *testing.T) {
+func TestDemandIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1)
-		place := b.take(testAsk())
+		f := newFixture(t, 1)
+		place := f.take(testRequest())
 		time.Sleep(200 * time.Millisecond)
 		place.Release(served(time.Millisecond))
 		var report gossip.Report
-		b.FillReport(&report)
+		f.FillReport(&report)
 		assert.Equal(t, len(report.Asked), 1)
-		assert.Assert(t, report.Asked[0].PlaceMillis > 150 && report.Asked[0].PlaceMillis <= 200, "what was asked fades: %v", report.Asked)
+		assert.Assert(t, report.Asked[0].PlaceMillis > 150 && report.Asked[0].PlaceMillis <= 200, "demand decays: %v", report.Asked)
 	})
 }
