--- a/queue/bench_test.go
+++ b/queue/bench_test.go
@@ -11,24 +11,23 @@
 
 const organisations = 2900
 
-// fill returns a queue with so many waiting items of 2,900 organisations in
-// three tiers.
-func fill(waiting int) *Queue[int] {
+// newFilledQueue returns a queue with the given number of items, of 2,900 organisations in three tiers.
+func newFilledQueue(waiting int) *Queue[int] {
 	q := New[int](1 << 30)
 	for i := range waiting {
-		q.Push(numbered(i))
+		q.Push(testItem(i))
 	}
 	return q
 }
 
-func numbered(i int) *Item[int] {
+func testItem(i int) *Item[int] {
 	return &Item[int]{
-		Value: i, Tier: domain.Tier(i % 3), Organisation: names[i*7919%organisations], Weight: 1 + i%5,
+		Value: i, Tier: domain.Tier(i % 3), Organisation: organisationIDs[i*7919%organisations], Weight: 1 + i%5,
 		Cost: int64(1 + i*31%4000), Due: epoch.Add(time.Duration(i*104729%60000) * time.Millisecond),
 	}
 }
 
-var names = func() []domain.OrganisationID {
+var organisationIDs = func() []domain.OrganisationID {
 	all := make([]domain.OrganisationID, organisations)
 	for i := range all {
 		all[i] = domain.OrganisationID(fmt.Sprintf("organisation-%d", i))
@@ -36,15 +35,15 @@
 	return all
 }()
 
-// BenchmarkSlopePushPop measures a push and a pop by the number waiting.
+// BenchmarkSlopePushPop measures a push and a pop by queue length.
 func BenchmarkSlopePushPop(b *testing.B) {
 	for _, waiting := range []int{100, 1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
-			q := fill(waiting)
+			q := newFilledQueue(waiting)
 			b.ReportAllocs()
 			i := waiting
 			for b.Loop() {
-				q.Push(numbered(i))
+				q.Push(testItem(i))
 				q.Pop(func(*Item[int]) bool { return true })
 				i++
 			}
@@ -52,14 +51,13 @@
 	}
 }
 
-// BenchmarkSlopeMemory measures bytes per waiting item and per organisation that
-// waits.
+// BenchmarkSlopeMemory measures the memory per waiting item, including that of its organisation.
 func BenchmarkSlopeMemory(b *testing.B) {
 	for _, waiting := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			for b.Loop() {
 				before := heapBytes()
-				q := fill(waiting)
+				q := newFilledQueue(waiting)
 				used := heapBytes() - before
 				b.ReportMetric(float64(used)/float64(waiting), "B/waiting")
 				runtime.KeepAlive(q)
--- a/queue/finishheap.go
+++ b/queue/finishheap.go
@@ -1,13 +1,12 @@
 package queue
 
-// finishHeap orders backlogs by finish time, the latest first. It implements
-// heap.Interface.
+// finishHeap orders backlogs by finish time, the latest first. It implements heap.Interface.
 type finishHeap[T any] []*backlog[T]
 
 func (h finishHeap[T]) Len() int { return len(h) }
 
 func (h finishHeap[T]) Less(i, j int) bool {
-	a, b := h[i].finish(), h[j].finish()
+	a, b := h[i].finishTime(), h[j].finishTime()
 	if a != b {
 		return a > b
 	}
@@ -16,14 +15,14 @@
 
 func (h finishHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].rank = i
-	h[j].rank = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
 func (h *finishHeap[T]) Push(x any) {
 	b := x.(*backlog[T])
-	b.rank = len(*h)
+	b.heapIndex = len(*h)
 	*h = append(*h, b)
 }
 
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,6 +1,6 @@
-// Package queue orders waiting asks: by tier strictly, within a tier between
-// organisations by weight (start-time fair queueing), within an organisation by
-// earliest deadline. It is a bounded data structure without I/O, clock or lock.
+// Package queue orders waiting requests: by strict tier priority, within a tier between organisations by
+// weighted start-time fair queueing, and within an organisation by earliest deadline. It is a bounded data
+// structure without I/O, clock or lock.
 package queue
 
 import (
@@ -24,7 +24,7 @@
 // New returns an empty queue for at most bound items.
 func New[T any](bound int) *Queue[T] { return &Queue[T]{bound: bound} }
 
-// SetBound changes the bound; items above it leave only by the next Push.
+// SetBound changes the bound. Items in excess of it are not evicted before the next Push.
 func (q *Queue[T]) SetBound(bound int) { q.bound = bound }
 
 // Len returns the number of waiting items.
@@ -40,13 +40,12 @@
 	return 0
 }
 
-// Push adds the item. If the queue is then longer than its bound, one item is
-// taken out and returned: of the lowest tier that waits, the one that would be
-// served last. This may be the pushed item itself.
+// Push adds the item. If the queue then exceeds its bound, one item is evicted and returned: the one of the
+// lowest non-empty tier that would be served last. This may be the pushed item itself.
 func (q *Queue[T]) Push(item *Item[T]) (evicted *Item[T]) {
 	q.sequence++
 	item.sequence = q.sequence
-	q.tier(item.Tier).push(item)
+	q.tier(item.Tier).insert(item)
 	q.length++
 	if q.length <= q.bound {
 		return nil
@@ -56,7 +55,7 @@
 	return evicted
 }
 
-// Last returns the item that the next eviction would take, or nil.
+// Last returns the item that the next eviction would remove, or nil.
 func (q *Queue[T]) Last() *Item[T] {
 	for _, t := range slices.Backward(q.tiers) {
 		if t.count > 0 {
@@ -66,7 +65,7 @@
 	return nil
 }
 
-// Peek returns the first item in order that fits, or nil.
+// Peek returns the first item in service order that fits, or nil.
 func (q *Queue[T]) Peek(fits func(*Item[T]) bool) *Item[T] {
 	for item := range q.Ordered() {
 		if fits(item) {
@@ -76,8 +75,8 @@
 	return nil
 }
 
-// Pop takes the first item in order that fits and charges its organisation for
-// it. It returns nil if none does.
+// Pop removes the first item in service order that fits and charges its organisation for it. It returns nil
+// if none fits.
 func (q *Queue[T]) Pop(fits func(*Item[T]) bool) *Item[T] {
 	item := q.Peek(fits)
 	if item != nil {
@@ -92,7 +91,7 @@
 	q.length--
 }
 
-// Remove takes a waiting item out without charge. It reports whether it waited.
+// Remove removes a waiting item without charge. It reports whether the item was queued.
 func (q *Queue[T]) Remove(item *Item[T]) bool {
 	if !item.Waiting() {
 		return false
@@ -102,7 +101,7 @@
 	return true
 }
 
-// Expire takes out all items that are due at now or before, without charge.
+// Expire removes all items that are due at now or before, without charge.
 func (q *Queue[T]) Expire(now time.Time) []*Item[T] {
 	var expired []*Item[T]
 	for item := range q.Ordered() {
@@ -116,8 +115,8 @@
 	return expired
 }
 
-// Ordered yields the items in order of service, as if each organisation's turn
-// came once. The queue must not change while it is ranged over.
+// Ordered yields the items in service order, approximated by one turn per organisation. The queue must not
+// change during the iteration.
 func (q *Queue[T]) Ordered() iter.Seq[*Item[T]] {
 	return func(yield func(*Item[T]) bool) {
 		for item := range q.Positions() {
@@ -128,8 +127,8 @@
 	}
 }
 
-// Positions yields each item as Ordered does, with an estimate of the number of
-// items that will be served before it.
+// Positions yields the items in the order of Ordered, each with an estimate of the number of items that will
+// be served before it.
 func (q *Queue[T]) Positions() iter.Seq2[*Item[T], int] {
 	return func(yield func(*Item[T], int) bool) {
 		higher := 0
@@ -142,7 +141,7 @@
 	}
 }
 
-// TierPositions yields what Positions does of one tier.
+// TierPositions is like Positions for the items of one tier.
 func (q *Queue[T]) TierPositions(rank domain.Tier) iter.Seq2[*Item[T], int] {
 	return func(yield func(*Item[T], int) bool) {
 		higher := 0
@@ -156,7 +155,7 @@
 	}
 }
 
-// Tiers yields the tiers, the highest first, with the number of items that wait.
+// Tiers yields the tiers, the highest first, each with its number of waiting items.
 func (q *Queue[T]) Tiers() iter.Seq2[domain.Tier, int] {
 	return func(yield func(domain.Tier, int) bool) {
 		for _, t := range q.tiers {
@@ -168,7 +167,7 @@
 }
 
 func (t *tier[T]) positions(higher int, yield func(*Item[T], int) bool) bool {
-	for _, b := range t.order {
+	for _, b := range t.byStart {
 		for i, item := range b.items {
 			if !yield(item, higher+t.ahead(b, i)) {
 				return false
@@ -178,7 +177,7 @@
 	return true
 }
 
-// Ahead estimates how many items will be served before the given waiting one.
+// Ahead estimates how many items will be served before the given waiting item.
 func (q *Queue[T]) Ahead(item *Item[T]) int {
 	higher := 0
 	for _, t := range q.tiers {
@@ -190,8 +189,7 @@
 	return higher
 }
 
-// AheadOf estimates how many items would be served before a new one of the
-// tier and organisation.
+// AheadOf estimates how many items would be served before a new item of the tier and organisation.
 func (q *Queue[T]) AheadOf(rank domain.Tier, organisation domain.OrganisationID, weight int) int {
 	ahead := 0
 	for _, t := range q.tiers {
@@ -212,7 +210,7 @@
 	if ok && len(b.items) > 0 {
 		return min(t.ahead(b, len(b.items)), t.count)
 	}
-	return min(int(t.weights/weight/2), t.count)
+	return min(int(t.totalWeight/weight/2), t.count)
 }
 
 func (q *Queue[T]) tier(rank domain.Tier) *tier[T] {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -15,8 +15,8 @@
 
 var epoch = time.Unix(0, 0)
 
-// item reads "name tier organisation weight due"; the cost is 10.
-func item(text string) *Item[string] {
+// parseItem parses "name tier organisation weight due"; the cost is 10.
+func parseItem(text string) *Item[string] {
 	var name, organisation string
 	var tier, weight, due int
 	if _, err := fmt.Sscan(text, &name, &tier, &organisation, &weight, &due); err != nil {
@@ -30,7 +30,7 @@
 
 func always(*Item[string]) bool { return true }
 
-// drain pops everything and returns the names in order.
+// drain pops all items and returns their names in order.
 func drain(q *Queue[string]) string {
 	var names []string
 	for q.Len() > 0 {
@@ -47,21 +47,21 @@
 		order   string
 		evicted string
 	}{
-		{"tiers strictly", 9, []string{"a 2 o 1 1", "b 0 o 1 9", "c 1 o 1 5"}, "b c a", ""},
+		{"strict tier priority", 9, []string{"a 2 o 1 1", "b 0 o 1 9", "c 1 o 1 5"}, "b c a", ""},
 		{"deadline within an organisation", 9, []string{"a 0 o 1 3", "b 0 o 1 1", "c 0 o 1 2", "d 0 o 1 1"}, "b d c a", ""},
-		{"turns between organisations", 9, []string{"a 0 x 1 1", "b 0 x 1 2", "c 0 x 1 3", "d 0 y 1 9", "e 0 y 1 9"}, "a d b e c", ""},
-		{"turns by weight", 9, []string{"a 0 x 2 1", "b 0 x 2 2", "c 0 x 2 3", "d 0 x 2 4", "e 0 y 1 1", "f 0 y 1 2"}, "a e b c f d", ""},
+		{"organisations take turns", 9, []string{"a 0 x 1 1", "b 0 x 1 2", "c 0 x 1 3", "d 0 y 1 9", "e 0 y 1 9"}, "a d b e c", ""},
+		{"organisations take turns by weight", 9, []string{"a 0 x 2 1", "b 0 x 2 2", "c 0 x 2 3", "d 0 x 2 4", "e 0 y 1 1", "f 0 y 1 2"}, "a e b c f d", ""},
 		{"lowest tier is evicted", 2, []string{"a 1 o 1 1", "b 2 o 1 1", "c 0 o 1 1"}, "c a", "b"},
-		{"an arrival of the lowest tier is evicted", 2, []string{"a 0 o 1 1", "b 0 o 1 1", "c 2 o 1 1"}, "a b", "c"},
-		{"the longest backlog is cut, latest deadline first", 3, []string{"a 0 x 1 1", "b 0 x 1 5", "c 0 x 1 3", "d 0 y 1 9"}, "a d c", "b"},
-		{"the longest backlog counts by weight", 4, []string{"a 0 x 3 1", "b 0 x 3 2", "c 0 x 3 3", "d 0 y 1 1", "e 0 y 1 2"}, "a d b c", "e"},
+		{"a new item of the lowest tier is evicted", 2, []string{"a 0 o 1 1", "b 0 o 1 1", "c 2 o 1 1"}, "a b", "c"},
+		{"latest deadline of the longest backlog is evicted", 3, []string{"a 0 x 1 1", "b 0 x 1 5", "c 0 x 1 3", "d 0 y 1 9"}, "a d c", "b"},
+		{"longest backlog is measured by weight", 4, []string{"a 0 x 3 1", "b 0 x 3 2", "c 0 x 3 3", "d 0 y 1 1", "e 0 y 1 2"}, "a d b c", "e"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			q := New[string](test.bound)
 			evicted := ""
 			for _, text := range test.items {
-				if e := q.Push(item(text)); e != nil {
+				if e := q.Push(parseItem(text)); e != nil {
 					evicted += e.Value
 				}
 			}
@@ -74,7 +74,7 @@
 func TestPredicateExpiryAndRemoval(t *testing.T) {
 	q := New[string](9)
 	for _, text := range []string{"a 0 o 1 5", "b 0 o 1 1", "c 1 o 1 2", "d 1 o 1 9"} {
-		q.Push(item(text))
+		q.Push(parseItem(text))
 	}
 	notB := func(i *Item[string]) bool { return i.Value != "b" }
 	assert.Equal(t, q.Peek(notB).Value, "a")
@@ -83,27 +83,27 @@
 	var expired []string
 	for _, i := range q.Expire(epoch.Add(2 * time.Second)) {
 		expired = append(expired, i.Value)
-		assert.Assert(t, !q.Remove(i), "expired items wait no more")
+		assert.Assert(t, !q.Remove(i), "expired items are no longer queued")
 	}
 	assert.DeepEqual(t, expired, []string{"b", "c"})
 	assert.Equal(t, drain(q), "d")
 }
 
-// An organisation that was idle gets no credit for it.
-func TestIdleOrganisationsSaveNothing(t *testing.T) {
+// An organisation that was idle earns no credit for that time.
+func TestIdleOrganisationsEarnNoCredit(t *testing.T) {
 	q := New[string](99)
-	q.Push(item("y 0 y 1 1"))
+	q.Push(parseItem("y 0 y 1 1"))
 	q.Pop(always)
 	for i := range 5 {
-		q.Push(item(fmt.Sprintf("x%d 0 x 1 %d", i, i)))
+		q.Push(parseItem(fmt.Sprintf("x%d 0 x 1 %d", i, i)))
 	}
 	for range 4 {
 		q.Pop(always)
 	}
-	q.Push(item("y1 0 y 1 1"))
-	q.Push(item("y2 0 y 1 2"))
-	q.Push(item("y3 0 y 1 3"))
-	q.Push(item("x5 0 x 1 9"))
+	q.Push(parseItem("y1 0 y 1 1"))
+	q.Push(parseItem("y2 0 y 1 2"))
+	q.Push(parseItem("y3 0 y 1 3"))
+	q.Push(parseItem("x5 0 x 1 9"))
 	assert.Equal(t, drain(q), "y1 x4 y2 x5 y3")
 }
 
@@ -129,26 +129,25 @@
 		for i := range work {
 			work[i] /= float64(weights[i])
 		}
-		// Start-time fair queueing: two backlogged organisations differ by no more
-		// than one greatest cost over the weight of each.
+		// Start-time fair queueing: two backlogged organisations differ by at most one maximum cost over the
+		// weight of each.
 		assert.Assert(t, slices.Max(work)-slices.Min(work) <= 200, "%v by %v", work, weights)
 	})
 }
 
-// The queue agrees with its own counts under random use, and estimates of
-// positions stay within it.
-func TestRandomUse(t *testing.T) {
+// The queue's counts match its contents under random use, and estimated positions stay within its length.
+func TestCountsAndPositionsUnderRandomUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[string](rapid.IntRange(1, 20).Draw(t, "bound"))
 		waiting := make(map[*Item[string]]bool)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			i := item(fmt.Sprintf("i %d o%d %d %d", rapid.IntRange(0, 2).Draw(t, "tier"),
+			i := parseItem(fmt.Sprintf("i %d o%d %d %d", rapid.IntRange(0, 2).Draw(t, "tier"),
 				rapid.IntRange(0, 4).Draw(t, "organisation"), rapid.IntRange(1, 3).Draw(t, "weight"), rapid.IntRange(0, 9).Draw(t, "due")))
 			waiting[i] = true
 			if evicted := q.Push(i); evicted != nil {
 				delete(waiting, evicted)
 				for other := range waiting {
-					assert.Assert(t, !evicted.Tier.Above(other.Tier), "evicted above a waiting one")
+					assert.Assert(t, !evicted.Tier.Above(other.Tier), "evicted an item of a higher tier than a waiting one")
 				}
 			}
 			last := q.Last()
--- a/queue/tier.go
+++ b/queue/tier.go
@@ -7,39 +7,37 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// firstSweep is the number of organisations in a tier's index at which it first
-// looks for idle ones to forget.
-const firstSweep = 64
+// minSweepSize is the number of organisations in a tier's index at which idle ones are first removed.
+const minSweepSize = 64
 
-// tier shares its turn between organisations by start-time fair queueing
-// (Goyal, Vin and Cheng 1996).
+// tier divides service between organisations by start-time fair queueing (Goyal, Vin and Cheng 1996).
 type tier[T any] struct {
 	rank domain.Tier
-	// order holds the organisations with waiting asks, sorted by compareBacklogs.
-	order []*backlog[T]
+	// byStart holds the organisations with waiting items, sorted by compareBacklogs.
+	byStart []*backlog[T]
 	// byFinish holds the same organisations, the latest finish time first.
 	byFinish finishHeap[T]
-	// index also holds idle organisations whose start time lies ahead.
+	// index also holds idle organisations whose start time lies ahead of the virtual time.
 	index map[domain.OrganisationID]*backlog[T]
-	// virtual is the start time of the ask served last.
-	virtual float64
-	count   int
-	// sweepAt is the size of the index at which idle organisations are forgotten.
-	sweepAt int
-	// weights is the sum over order.
-	weights float64
+	// virtualTime is the start time of the item served last.
+	virtualTime float64
+	count       int
+	// sweepSize is the size of the index at which idle organisations are removed.
+	sweepSize int
+	// totalWeight is the sum of the weights over byStart.
+	totalWeight float64
 }
 
 func newTier[T any](rank domain.Tier) *tier[T] {
-	return &tier[T]{rank: rank, index: make(map[domain.OrganisationID]*backlog[T]), sweepAt: firstSweep}
+	return &tier[T]{rank: rank, index: make(map[domain.OrganisationID]*backlog[T]), sweepSize: minSweepSize}
 }
 
-func (t *tier[T]) push(item *Item[T]) {
+func (t *tier[T]) insert(item *Item[T]) {
 	b := t.backlog(item.Organisation)
 	t.detach(b)
 	b.weight = float64(max(item.Weight, 1))
 	if len(b.items) == 0 {
-		b.start = max(b.start, t.virtual)
+		b.startTime = max(b.startTime, t.virtualTime)
 	}
 	b.insert(item)
 	item.backlog = b
@@ -51,39 +49,38 @@
 func (t *tier[T]) take(item *Item[T]) {
 	b := item.backlog
 	t.detach(b)
-	t.virtual = max(t.virtual, b.start)
-	b.start += item.cost() / b.weight
-	t.drop(b, item)
+	t.virtualTime = max(t.virtualTime, b.startTime)
+	b.startTime += item.cost() / b.weight
+	t.discard(b, item)
 }
 
-// remove takes an item out without charge.
+// remove removes an item without charge.
 func (t *tier[T]) remove(item *Item[T]) {
 	b := item.backlog
 	t.detach(b)
-	t.drop(b, item)
+	t.discard(b, item)
 }
 
-func (t *tier[T]) drop(b *backlog[T], item *Item[T]) {
+func (t *tier[T]) discard(b *backlog[T], item *Item[T]) {
 	b.remove(item)
 	item.backlog = nil
 	t.count--
 	if len(b.items) == 0 {
-		b.items, b.work = nil, 0
-		t.forgetIdle()
+		b.items, b.totalCost = nil, 0
+		t.removeIdle()
 		return
 	}
 	t.attach(b)
 }
 
-// last returns the item that would be served last: the latest deadline of the
-// organisation that has most work waiting for its weight.
+// last returns the item that would be served last: the one with the latest deadline of the organisation with
+// the latest finish time.
 func (t *tier[T]) last() *Item[T] { return t.byFinish[0].last() }
 
-// ahead estimates how many of the tier's items are served before the one at the
-// given index of its backlog.
+// ahead estimates how many of the tier's items are served before the one at the given index of its backlog.
 func (t *tier[T]) ahead(b *backlog[T], index int) int {
-	fair := float64(index) * t.weights / b.weight
-	others := t.weights/b.weight - 1
+	fair := float64(index) * t.totalWeight / b.weight
+	others := t.totalWeight/b.weight - 1
 	return min(int(fair+max(others, 0)/2), t.count-1)
 }
 
@@ -97,9 +94,9 @@
 }
 
 func (t *tier[T]) attach(b *backlog[T]) {
-	at, _ := slices.BinarySearchFunc(t.order, b, compareBacklogs[T])
-	t.order = slices.Insert(t.order, at, b)
-	t.weights += b.weight
+	at, _ := slices.BinarySearchFunc(t.byStart, b, compareBacklogs[T])
+	t.byStart = slices.Insert(t.byStart, at, b)
+	t.totalWeight += b.weight
 	heap.Push(&t.byFinish, b)
 }
 
@@ -107,22 +104,22 @@
 	if len(b.items) == 0 {
 		return
 	}
-	at, _ := slices.BinarySearchFunc(t.order, b, compareBacklogs[T])
-	t.order = slices.Delete(t.order, at, at+1)
-	t.weights -= b.weight
-	heap.Remove(&t.byFinish, b.rank)
+	at, _ := slices.BinarySearchFunc(t.byStart, b, compareBacklogs[T])
+	t.byStart = slices.Delete(t.byStart, at, at+1)
+	t.totalWeight -= b.weight
+	heap.Remove(&t.byFinish, b.heapIndex)
 }
 
-// forgetIdle drops idle organisations that have no charge ahead, each time that
-// the index has doubled.
-func (t *tier[T]) forgetIdle() {
-	if len(t.index) < t.sweepAt {
+// removeIdle removes idle organisations whose start time is not ahead of the virtual time, each time that the
+// index has doubled.
+func (t *tier[T]) removeIdle() {
+	if len(t.index) < t.sweepSize {
 		return
 	}
 	for id, b := range t.index {
-		if len(b.items) == 0 && b.start <= t.virtual {
+		if len(b.items) == 0 && b.startTime <= t.virtualTime {
 			delete(t.index, id)
 		}
 	}
-	t.sweepAt = max(2*len(t.index), firstSweep)
+	t.sweepSize = max(2*len(t.index), minSweepSize)
 }
