--- a/retrybudget/budget.go
+++ b/retrybudget/budget.go
@@ -1,6 +1,6 @@
-// Package retrybudget bounds how often requests are sent to a second endpoint, so that retries can't multiply an
-// overload. The bound holds over all nodes without a message: each node has its own requests' part, and an equal part
-// of what is allowed in any case.
+// Package retrybudget bounds how often requests are sent to a second endpoint, so that retries can't multiply
+// an overload. The bound holds across all nodes without communication: each node may use the ratio of its own
+// requests and an equal share of the slack.
 package retrybudget
 
 import (
@@ -12,18 +12,19 @@
 
 // Options are the operators' bounds.
 type Options struct {
-	// Ratio of retries to requests in Window, and Slack on top, over all nodes.
+	// Ratio is the allowed ratio of retries to requests within Window, Slack the number of retries allowed in
+	// addition, both over all nodes.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// keep is the part of the bound that is used. The rest covers a node that restarts within a window and has forgotten
-// what it sent.
-const keep = 0.75
+// usableFraction is the fraction of the bound that is used. The rest covers a node that restarts within a
+// window and has lost its counts.
+const usableFraction = 0.75
 
-// buckets is the number of parts of a window.
-const buckets = 10
+// bucketCount is the number of buckets of a window.
+const bucketCount = 10
 
 // Budget counts requests and retries of each service. It is safe for concurrent use.
 type Budget struct {
@@ -35,26 +36,26 @@
 	services map[string]*window
 }
 
-// window counts over the last parts of a window.
+// window holds the counts of a sliding window in buckets.
 type window struct {
-	requests, retries [buckets]int
-	part              int64
+	requests, retries [bucketCount]int
+	bucket            int64
 }
 
-// New returns a budget. Nodes returns the number of nodes that may be alive.
+// New returns a budget. The nodes function returns the number of nodes that may be running.
 func New(options Options, clock boottime.Clock, nodes func() int) *Budget {
 	return &Budget{options: options, clock: clock, nodes: nodes, services: make(map[string]*window)}
 }
 
-// Request counts a first send.
+// Request counts a first dispatch.
 func (b *Budget) Request(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(service)
-	w.requests[w.part%buckets]++
+	w.requests[w.bucket%bucketCount]++
 }
 
-// Retry counts a further send and reports whether it is allowed.
+// Retry reports whether a further dispatch is allowed, and counts it if so.
 func (b *Budget) Retry(service string) bool {
 	nodes := max(b.nodes(), 1)
 	b.mu.Lock()
@@ -63,11 +64,11 @@
 	if !b.allows(w, nodes) {
 		return false
 	}
-	w.retries[w.part%buckets]++
+	w.retries[w.bucket%bucketCount]++
 	return true
 }
 
-// Available reports whether a further send would be allowed now.
+// Available reports whether a further dispatch would be allowed now.
 func (b *Budget) Available(service string) bool {
 	nodes := max(b.nodes(), 1)
 	b.mu.Lock()
@@ -76,7 +77,7 @@
 }
 
 func (b *Budget) allows(w *window, nodes int) bool {
-	allowed := keep * (b.options.Ratio*float64(sum(w.requests)) + b.options.Slack/float64(nodes))
+	allowed := usableFraction * (b.options.Ratio*float64(sum(w.requests)) + b.options.Slack/float64(nodes))
 	return float64(sum(w.retries)+1) <= allowed
 }
 
@@ -86,22 +87,22 @@
 		w = &window{}
 		b.services[service] = w
 	}
-	w.advance(int64(b.clock()) / int64(max(b.options.Window/buckets, 1)))
+	w.advance(int64(b.clock()) / int64(max(b.options.Window/bucketCount, 1)))
 	return w
 }
 
-func (w *window) advance(part int64) {
-	for w.part < part {
-		if part-w.part > buckets {
-			w.part = part - buckets
+func (w *window) advance(bucket int64) {
+	for w.bucket < bucket {
+		if bucket-w.bucket > bucketCount {
+			w.bucket = bucket - bucketCount
 		}
-		w.part++
-		w.requests[w.part%buckets] = 0
-		w.retries[w.part%buckets] = 0
+		w.bucket++
+		w.requests[w.bucket%bucketCount] = 0
+		w.retries[w.bucket%bucketCount] = 0
 	}
 }
 
-func sum(counts [buckets]int) int {
+func sum(counts [bucketCount]int) int {
 	total := 0
 	for _, n := range counts {
 		total += n
--- a/retrybudget/budget_test.go
+++ b/retrybudget/budget_test.go
@@ -14,12 +14,12 @@
 		name     string
 		requests int
 		nodes    int
-		// allowed is the number of retries at once: three quarters of 0.2 x requests + 40 / nodes.
+		// allowed is the number of immediate retries: three quarters of 0.2 x requests + 40 / nodes.
 		allowed int
 	}{
-		{"slack alone", 0, 1, 30},
-		{"an equal part of the slack", 0, 4, 7},
-		{"a part of the requests", 100, 4, 22},
+		{"slack only", 0, 1, 30},
+		{"equal share of the slack", 0, 4, 7},
+		{"ratio of the requests and share of the slack", 100, 4, 22},
 		{"unknown fleet counts as one node", 0, 0, 30},
 	}
 	for _, test := range tests {
@@ -29,17 +29,17 @@
 			for range test.requests {
 				b.Request("s")
 			}
-			assert.Equal(t, drain(b), test.allowed)
+			assert.Equal(t, retryUntilRefused(b), test.allowed)
 			assert.Assert(t, !b.Available("s"))
 			assert.Assert(t, b.Available("another"))
 			// Requests and retries leave the window together.
 			clock = clock.Add(11 * time.Second)
-			assert.Equal(t, drain(b), int(keep*40/float64(max(test.nodes, 1))))
+			assert.Equal(t, retryUntilRefused(b), int(usableFraction*40/float64(max(test.nodes, 1))))
 		})
 	}
 }
 
-func drain(b *Budget) int {
+func retryUntilRefused(b *Budget) int {
 	n := 0
 	for b.Retry("s") {
 		n++
--- a/retrybudget/example_test.go
+++ b/retrybudget/example_test.go
@@ -8,7 +8,7 @@
 	"hawthornrill.example/hawthornrill/retrybudget"
 )
 
-// Of two nodes each has its own requests' part and half of what is allowed in any case.
+// With two nodes, each may use the ratio of its own requests and half of the slack.
 func Example() {
 	nodes := func() int { return 2 }
 	budget := retrybudget.New(retrybudget.Options{Ratio: 0.2, Slack: 4, Window: 10 * time.Second}, boottime.Now, nodes)
