--- a/cmd/hawthornrill-soak/limit_test.go
+++ b/cmd/hawthornrill-soak/limit_test.go
@@ -29,8 +29,8 @@
 	}
 	for _, l := range s.limits {
 		counted := s.countedArrivals(l, nodes)
-		allowed := limittest.Allowed(float64(l.perSecond))
-		if most := limittest.Most(counted); float64(most) > allowed {
+		allowed := limittest.MaxRequests(float64(l.perSecond))
+		if most := limittest.MaxInWindow(counted); float64(most) > allowed {
 			o := outcome{id: l.endpoint.ID, sent: l.from, ended: l.to}
 			s.t.Errorf("endpoint %s named a limit of %d a second and got %d requests in %v, allowed %v\n%s\nlogs in %s", l.endpoint.ID,
 				l.perSecond, most, limittest.Window, allowed, s.record.timeline(o), s.dir)
--- a/endpointlimit/example_test.go
+++ b/endpointlimit/example_test.go
@@ -21,12 +21,12 @@
 	endpoint := &directory.Endpoint{ID: "e", Service: "s", DataCentre: "palermo", Slots: 8}
 	list.Apply(now, []*directory.Endpoint{endpoint}, nil, 0)
 	both := []domain.Member{{Node: "palermo-1", DataCentre: "palermo"}, {Node: "palermo-2", DataCentre: "palermo"}}
-	limiter := endpointlimit.New(endpointlimit.Parts{
+	limiter := endpointlimit.New(endpointlimit.Config{
 		Self: "palermo-2", Clock: func() boottime.Instant { return now }, Members: func() []domain.Member { return both },
 		Directory: list, Log: zerolog.Nop(), Metrics: metrics.NewSet(),
 	})
 	fmt.Println(limiter.Allows(endpoint))
-	limiter.Heard(&gossip.Report{From: "palermo-1", Limits: []gossip.EndpointLimit{{Endpoint: "e", PerSecond: 4}}})
+	limiter.ApplyReport(&gossip.Report{From: "palermo-1", Limits: []gossip.EndpointLimit{{Endpoint: "e", PerSecond: 4}}})
 	fmt.Println(limiter.Allows(endpoint))
 	now = now.Add(500 * time.Millisecond) // its share is two a second
 	fmt.Println(limiter.Allows(endpoint), limiter.Take(endpoint), limiter.Allows(endpoint))
--- a/endpointlimit/fleet_test.go
+++ b/endpointlimit/fleet_test.go
@@ -47,7 +47,7 @@
 	f := &fleet{now: boottime.Instant(time.Hour), endpoint: &directory.Endpoint{ID: testEndpoint, Service: "s", DataCentre: at}}
 	listed := oneIn(at, "d0", "d1", "d2", "d3")
 	for _, m := range list {
-		f.nodes = append(f.nodes, New(Parts{
+		f.nodes = append(f.nodes, New(Config{
 			Self: m.Node, Clock: func() boottime.Instant { return f.now }, Members: func() []domain.Member { return list },
 			Directory: listed,
 			Log:       zerolog.Nop(), Metrics: metrics.NewSet(),
@@ -59,7 +59,7 @@
 // learn tells all nodes of the limit.
 func (f *fleet) learn(perSecond float64) {
 	for _, n := range f.nodes {
-		n.Stated(testEndpoint, f.now, named(perSecond))
+		n.RecordAdvertisement(testEndpoint, f.now, named(perSecond))
 	}
 }
 
@@ -92,8 +92,8 @@
 				pressed := len(f.sent)
 				f.now = f.now.Add(20 * time.Second)
 				f.press(20*time.Second, perSecond)
-				most := limittest.Most(f.sent)
-				assert.Assert(t, float64(most) <= limittest.Allowed(perSecond), "%d within %v", most, limittest.Window)
+				most := limittest.MaxInWindow(f.sent)
+				assert.Assert(t, float64(most) <= limittest.MaxRequests(perSecond), "%d within %v", most, limittest.Window)
 				assert.Assert(t, float64(pressed) >= 0.9*20*perSecond-1, "the limit is made use of: %d in 20 s", pressed)
 			})
 		}
@@ -152,7 +152,7 @@
 	assert.Assert(t, n.Allows(f.endpoint))
 	assert.Equal(t, n.Take(f.endpoint), 2.0)
 	assert.Assert(t, !n.Allows(f.endpoint) && !n.Bars(f.endpoint))
-	n.Stated(testEndpoint, f.now, Statement{})
+	n.RecordAdvertisement(testEndpoint, f.now, Advertisement{})
 	assert.Assert(t, n.Allows(f.endpoint))
 }
 
--- a/endpointlimit/limiter.go
+++ b/endpointlimit/limiter.go
@@ -24,8 +24,8 @@
 	shareEvery = 500 * time.Millisecond
 )
 
-// Parts are what a Limiter works with.
-type Parts struct {
+// Config are what a Limiter works with.
+type Config struct {
 	Self  domain.NodeID
 	Clock boottime.Clock
 	// Members are all nodes that may be alive, this one included.
@@ -38,7 +38,7 @@
 
 // Limiter keeps the endpoints' limits. It is safe for concurrent use.
 type Limiter struct {
-	parts Parts
+	parts Config
 	// known is the number of entries, read without the lock: most of the time there is none.
 	known atomic.Int64
 
@@ -49,7 +49,7 @@
 }
 
 // New returns a limiter that knows of no limit.
-func New(parts Parts) *Limiter {
+func New(parts Config) *Limiter {
 	l := &Limiter{
 		parts:      parts,
 		limits:     make(map[domain.EndpointID]*limit),
@@ -61,9 +61,9 @@
 
 // Stated takes what an answer says of its endpoint's limit. Sent is when the request was sent: an answer to one that was
 // sent before the latest statement may be older than that, and does not change it.
-func (l *Limiter) Stated(id domain.EndpointID, sent boottime.Instant, s Statement) {
+func (l *Limiter) RecordAdvertisement(id domain.EndpointID, sent boottime.Instant, s Advertisement) {
 	switch {
-	case s.Kind == Unreadable:
+	case s.Kind == Invalid:
 		l.unreadable.Inc()
 		return
 	case s.Kind == None && l.known.Load() == 0:
@@ -167,7 +167,7 @@
 }
 
 // Fill adds to a report what endpoints have stated to this node lately.
-func (l *Limiter) Fill(report *gossip.Report) {
+func (l *Limiter) AddToReport(report *gossip.Report) {
 	if l.known.Load() == 0 {
 		return
 	}
@@ -187,7 +187,7 @@
 }
 
 // Heard takes what endpoints have stated to another node, unless something stated later is known.
-func (l *Limiter) Heard(report *gossip.Report) {
+func (l *Limiter) ApplyReport(report *gossip.Report) {
 	if len(report.Limits) == 0 {
 		return
 	}
--- a/endpointlimit/limiter_test.go
+++ b/endpointlimit/limiter_test.go
@@ -25,7 +25,7 @@
 
 func newRig() *rig {
 	r := &rig{now: boottime.Instant(time.Hour)}
-	r.Limiter = New(Parts{
+	r.Limiter = New(Config{
 		Self: "n0", Clock: func() boottime.Instant { return r.now }, Members: func() []domain.Member { return members(1, 1) },
 		Directory: directory.New(),
 		Log:       zerolog.Nop(), Metrics: metrics.NewSet(),
@@ -34,28 +34,32 @@
 }
 
 // states is an answer that comes now to a request sent so long ago.
-func (r *rig) states(s Statement, ago time.Duration) { r.Stated(testEndpoint, r.now.Add(-ago), s) }
+func (r *rig) states(s Advertisement, ago time.Duration) {
+	r.RecordAdvertisement(testEndpoint, r.now.Add(-ago), s)
+}
 
 // told is the report that the limiter fills.
 func (r *rig) told() gossip.Report {
 	report := gossip.Report{From: "m"}
-	r.Fill(&report)
+	r.AddToReport(&report)
 	return report
 }
 
-func named(perSecond float64) Statement { return Statement{Kind: Named, PerSecond: perSecond} }
+func named(perSecond float64) Advertisement {
+	return Advertisement{Kind: Advertised, PerSecond: perSecond}
+}
 
 func TestLimitIsKnownWhileItIsNamed(t *testing.T) {
 	r := newRig()
-	r.states(Statement{}, 0)
+	r.states(Advertisement{}, 0)
 	assert.Equal(t, r.inForce(), 0)
 	r.states(named(4.6), 0)
 	assert.Equal(t, r.inForce(), 1)
 	r.now = r.now.Add(time.Second)
-	r.states(Statement{Kind: Unreadable}, 0)
+	r.states(Advertisement{Kind: Invalid}, 0)
 	assert.Equal(t, r.inForce(), 1, "what can't be read ends nothing")
 	assert.Equal(t, r.unreadable.Get(), uint64(1))
-	r.states(Statement{}, 0)
+	r.states(Advertisement{}, 0)
 	assert.Equal(t, r.inForce(), 0)
 }
 
@@ -63,9 +67,9 @@
 	r := newRig()
 	r.states(named(4.6), 0)
 	r.now = r.now.Add(100 * time.Millisecond)
-	r.states(Statement{}, 200*time.Millisecond)
+	r.states(Advertisement{}, 200*time.Millisecond)
 	assert.Equal(t, r.inForce(), 1)
-	r.states(Statement{}, 50*time.Millisecond)
+	r.states(Advertisement{}, 50*time.Millisecond)
 	assert.Equal(t, r.inForce(), 0)
 }
 
@@ -75,12 +79,12 @@
 	a.now = a.now.Add(time.Second)
 	report := a.told()
 	assert.DeepEqual(t, report.Limits, []gossip.EndpointLimit{{Endpoint: testEndpoint, PerSecond: 4.6, AgeMillis: 1000}})
-	b.Heard(&report)
+	b.ApplyReport(&report)
 	assert.Equal(t, b.inForce(), 1)
 	assert.Equal(t, len(b.told().Limits), 0, "only who heard it from the endpoint tells")
-	a.states(Statement{}, 0)
+	a.states(Advertisement{}, 0)
 	report = a.told()
-	b.Heard(&report)
+	b.ApplyReport(&report)
 	assert.Equal(t, b.inForce(), 0)
 	a.now = a.now.Add(tellFor + time.Millisecond)
 	assert.Equal(t, len(a.told().Limits), 0)
@@ -90,10 +94,10 @@
 	r := newRig()
 	r.states(named(4.6), 0)
 	earlier := gossip.Report{Limits: []gossip.EndpointLimit{{Endpoint: testEndpoint, Ended: true, AgeMillis: 100}}}
-	r.Heard(&earlier)
+	r.ApplyReport(&earlier)
 	assert.Equal(t, r.inForce(), 1)
 	r.now = r.now.Add(200 * time.Millisecond)
-	r.Heard(&earlier)
+	r.ApplyReport(&earlier)
 	assert.Equal(t, r.inForce(), 0)
 }
 
@@ -110,7 +114,7 @@
 
 func TestUnusableReportsAreLeftAside(t *testing.T) {
 	r := newRig()
-	r.Heard(&gossip.Report{Limits: []gossip.EndpointLimit{
+	r.ApplyReport(&gossip.Report{Limits: []gossip.EndpointLimit{
 		{Endpoint: "negative", PerSecond: -1},
 		{Endpoint: "nan", PerSecond: math.NaN()},
 		{Endpoint: "infinite", PerSecond: math.Inf(1)},
--- a/endpointlimit/statement.go
+++ b/endpointlimit/statement.go
@@ -6,14 +6,14 @@
 const (
 	// None: the answer names no limit, so that one named before has ended.
 	None Kind = iota
-	// Named: the answer names a limit.
-	Named
-	// Unreadable: the answer names something that is no limit. What is known stays in force.
-	Unreadable
+	// Advertised: the answer names a limit.
+	Advertised
+	// Invalid: the answer names something that is no limit. What is known stays in force.
+	Invalid
 )
 
-// Statement is what the head of an endpoint's answer says of its limit.
-type Statement struct {
+// Advertisement is what the head of an endpoint's answer says of its limit.
+type Advertisement struct {
 	Kind Kind
 	// PerSecond is the number of requests a second that the endpoint takes from all nodes together, 0 or more; only of a
 	// limit that is named.
--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -71,7 +71,7 @@
 		Source:    adapters.Source,
 		Directory: n.directory,
 		Clock:     boottime.Now,
-		Accepted:  func(table *routetable.Table) { n.limits.Prepare(table.Organisations) },
+		Accepted:  func(table *routetable.Table) { n.limits.AddAccounts(table.Organisations) },
 		Confirms:  func() bool { return n.mesh.Confirms() },
 		PassesOn:  func() bool { return n.mesh.PassesOn() },
 		PassedOn:  func() bool { return n.mesh.PassedOn() },
@@ -83,10 +83,10 @@
 	if err := n.openMesh(); err != nil {
 		return nil, err
 	}
-	n.limits = tokenlimit.New(tokenlimit.Parts{
+	n.limits = tokenlimit.New(tokenlimit.Config{
 		Window: seconds(s.Limit.WindowS), Clock: boottime.Now, Fleet: n.mesh.Fleet, Metrics: n.metrics,
 	})
-	n.endpointLimits = endpointlimit.New(endpointlimit.Parts{
+	n.endpointLimits = endpointlimit.New(endpointlimit.Config{
 		Self: s.Node, Clock: boottime.Now, Members: n.mesh.Members, Directory: n.directory, Log: log, Metrics: n.metrics,
 	})
 	n.desk = places.New(places.Options{
@@ -94,22 +94,22 @@
 	}, n.directory, n.mesh.Fleet, n.metrics)
 	n.suspects = quarantine.NewBoard(log)
 	n.endpoints = exchange.New(exchange.Options{Connections: s.Host.endpointConnections(), Idle: n.idleAt}, n.metrics)
-	n.gateway = gateway.New(gateway.Parts{
-		Protocol:       adapters.Protocol,
-		Knowledge:      n.follower,
-		Directory:      n.directory,
-		Limits:         n.limits,
-		EndpointLimits: n.endpointLimits,
-		Retries: retrybudget.New(retrybudget.Options{
+	n.gateway = gateway.New(gateway.Dependencies{
+		Protocol:           adapters.Protocol,
+		Config:             n.follower,
+		Directory:          n.directory,
+		OrganisationLimits: n.limits,
+		EndpointLimits:     n.endpointLimits,
+		RetryBudget: retrybudget.New(retrybudget.Options{
 			Ratio: s.Retry.Ratio, Slack: s.Retry.Slack, Window: seconds(s.Retry.WindowS),
 		}, boottime.Now, n.nodes),
-		Places:     n.desk,
-		Quarantine: n.suspects,
-		Endpoints:  n.endpoints,
-		Clock:      boottime.Now,
-		Log:        log,
-		Metrics:    n.metrics,
-	}, gateway.Options{KeyAge: n.keyAge(keyAgeMargin), BehindMost: n.behindMost(), BodyBytes: int64(bodyPart * float64(s.Host.MemoryMB) * (1 << 20))})
+		Places:         n.desk,
+		Quarantine:     n.suspects,
+		EndpointClient: n.endpoints,
+		Clock:          boottime.Now,
+		Log:            log,
+		Metrics:        n.metrics,
+	}, gateway.Options{MaxKeyAge: n.keyAge(keyAgeMargin), MaxConfigLag: n.behindMost(), MaxHeldBodyBytes: int64(bodyPart * float64(s.Host.MemoryMB) * (1 << 20))})
 	n.openServers()
 	return n, nil
 }
@@ -204,16 +204,16 @@
 	report.Changes, report.PassesOn = n.follower.PassOn()
 	n.desk.Fill(report)
 	report.Broken = n.suspects.News()
-	n.limits.Fill(report)
-	n.endpointLimits.Fill(report)
+	n.limits.AddToReport(report)
+	n.endpointLimits.AddToReport(report)
 }
 
 // heard takes another node's report.
 func (n *Node) heard(report *gossip.Report, sent boottime.Instant) {
 	n.desk.Heard(report)
 	n.suspects.Heard(report.Broken)
-	n.limits.Heard(report)
-	n.endpointLimits.Heard(report)
+	n.limits.ApplyReport(report)
+	n.endpointLimits.ApplyReport(report)
 	word := follow.Word{
 		Version: report.Version, Endpoints: follow.Revision(report.Endpoints),
 		Apart: report.PassesOn && report.DataCentre == n.settings.DataCentre && len(report.Document)+len(report.Steps) == 0,
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -36,7 +36,7 @@
 
 // dispatch sends the request to the place's endpoint and passes the answer on.
 func (t *task) dispatch(place *places.Place) step {
-	if t.sends > 0 && !t.gateway.parts.Retries.Retry(t.service) {
+	if t.sends > 0 && !t.gateway.parts.RetryBudget.Retry(t.service) {
 		place.Release(notUsed)
 		return t.giveUp(errNoBudget)
 	}
@@ -53,7 +53,7 @@
 	}
 	t.tried = append(t.tried, place.Endpoint.Incarnation())
 	sent := t.gateway.parts.Clock()
-	answer, err := t.gateway.parts.Endpoints.Send(ctx, t.exchangeRequest(place))
+	answer, err := t.gateway.parts.EndpointClient.Send(ctx, t.exchangeRequest(place))
 	if err != nil {
 		return d.failed(err)
 	}
@@ -86,7 +86,7 @@
 	if foreign || head.Limit.Kind == endpointlimit.None && !served {
 		return
 	}
-	d.task.gateway.parts.EndpointLimits.Stated(d.place.Endpoint.Incarnation(), sent, head.Limit)
+	d.task.gateway.parts.EndpointLimits.RecordAdvertisement(d.place.Endpoint.Incarnation(), sent, head.Limit)
 }
 
 // errNoBudget means that too many requests have been sent twice already.
@@ -94,7 +94,7 @@
 
 func (t *task) exchangeRequest(place *places.Place) *exchange.Request {
 	head := endToEnd(t.request.Header)
-	dispatch := Dispatch{Endpoint: place.Endpoint.ID, TimeLeft: t.left(), LastEvent: t.lastEvent}
+	dispatch := Dispatch{Endpoint: place.Endpoint.ID, TimeLeft: t.left(), LastEventID: t.lastEvent}
 	if t.organisation != nil {
 		dispatch.Organisation = t.organisation.ID
 	}
@@ -171,7 +171,7 @@
 
 // eventTokens is how many tokens an event holds.
 func (t *task) eventTokens() int {
-	return max(t.gateway.parts.Knowledge.Table().Services[t.service].EventTokens, 1)
+	return max(t.gateway.parts.Config.Table().Services[t.service].EventTokens, 1)
 }
 
 // cause is why the send ended, if this node ended it, else the error itself.
--- a/gateway/endpointlimit_test.go
+++ b/gateway/endpointlimit_test.go
@@ -45,13 +45,13 @@
 	}
 	call(20)
 	before := atLimited.Load()
-	assert.Assert(t, before <= limittest.Slack, "%d of 20 requests while no time passed", before)
+	assert.Assert(t, before <= limittest.SlackRequests, "%d of 20 requests while no time passed", before)
 	for range 4 {
 		f.clock.Add(int64(time.Second))
 		call(8)
 	}
 	within := atLimited.Load() - before
-	assert.Assert(t, float64(within) <= limittest.Allowed(2), "%d of 32 requests within four seconds", within)
+	assert.Assert(t, float64(within) <= limittest.MaxRequests(2), "%d of 32 requests within four seconds", within)
 	assert.Assert(t, within >= 4, "the endpoint is used as far as its limit allows: %d of 32 requests", within)
 	assert.Equal(t, atLimited.Load()+atOther.Load(), int64(52))
 }
@@ -78,11 +78,11 @@
 				}
 				w.WriteHeader(test.status)
 			})
-			f.endpointLimits.Stated("e0", f.now(), endpointlimit.Statement{Kind: endpointlimit.Named, PerSecond: 2})
+			f.endpointLimits.RecordAdvertisement("e0", f.now(), endpointlimit.Advertisement{Kind: endpointlimit.Advertised, PerSecond: 2})
 			f.clock.Add(int64(time.Second))
 			f.call(nil)
 			report := gossip.Report{}
-			f.endpointLimits.Fill(&report)
+			f.endpointLimits.AddToReport(&report)
 			assert.Equal(t, len(report.Limits), 1)
 			assert.Equal(t, !report.Limits[0].Ended, test.limits)
 			assert.Assert(t, report.Limits[0].Ended || report.Limits[0].PerSecond >= 2, "%v", report.Limits)
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -33,20 +33,20 @@
 
 func (testProtocol) ReadCall(h http.Header) (Call, error) {
 	tokens, _ := strconv.Atoi(h.Get("X-Tokens"))
-	return Call{ID: h.Get("X-Id"), Key: h.Get("X-Key"), LastEvent: h.Get("X-Last"), PromptTokens: tokens}, nil
+	return Call{ID: h.Get("X-Id"), Key: h.Get("X-Key"), LastEventID: h.Get("X-Last"), PromptTokens: tokens}, nil
 }
 
 func (testProtocol) WriteDispatch(h http.Header, d Dispatch) {
 	h.Del("X-Key")
 	h.Set("X-Endpoint", string(d.Endpoint))
 	h.Set("X-Organisation", string(d.Organisation))
-	h.Set("X-Last", d.LastEvent)
+	h.Set("X-Last", d.LastEventID)
 }
 
 func (testProtocol) ReadAnswer(_ int, h http.Header) AnswerHead {
 	head := AnswerHead{ID: h.Get("X-Id"), NotRun: h.Get("X-Not-Run") != "", Signed: h.Get("X-Signed") != ""}
 	if perSecond, err := strconv.ParseFloat(h.Get("X-Limit"), 64); err == nil {
-		head.Limit = endpointlimit.Statement{Kind: endpointlimit.Named, PerSecond: perSecond}
+		head.Limit = endpointlimit.Advertisement{Kind: endpointlimit.Advertised, PerSecond: perSecond}
 	}
 	return head
 }
@@ -135,25 +135,25 @@
 	alone := func() gossip.Fleet { return gossip.Fleet{Known: 1, Heard: 1} }
 	one := func() int { return 1 }
 
-	f.endpointLimits = endpointlimit.New(endpointlimit.Parts{
+	f.endpointLimits = endpointlimit.New(endpointlimit.Config{
 		Self: "n", Clock: f.now, Members: func() []domain.Member { return []domain.Member{{Node: "n"}} }, Directory: f.directory,
 		Log: zerolog.Nop(), Metrics: set,
 	})
-	limits := tokenlimit.New(tokenlimit.Parts{Window: time.Second, Clock: f.now, Fleet: alone, Metrics: set})
-	g := New(Parts{
-		Protocol:       testProtocol{},
-		Knowledge:      f.knowledge,
-		Directory:      f.directory,
-		Limits:         limits,
-		EndpointLimits: f.endpointLimits,
-		Retries:        retrybudget.New(f.retries, f.now, one),
-		Quarantine:     quarantine.NewBoard(zerolog.Nop()),
-		Places:         places.New(places.Options{Limits: f.endpointLimits}, f.directory, alone, set),
-		Endpoints:      exchange.New(exchange.Options{}, set),
-		Clock:          f.now,
-		Log:            zerolog.Nop(),
-		Metrics:        set,
-	}, Options{KeyAge: testKeyAge, BehindMost: testBehindMost, BodyBytes: f.bodyBytes})
+	limits := tokenlimit.New(tokenlimit.Config{Window: time.Second, Clock: f.now, Fleet: alone, Metrics: set})
+	g := New(Dependencies{
+		Protocol:           testProtocol{},
+		Config:             f.knowledge,
+		Directory:          f.directory,
+		OrganisationLimits: limits,
+		EndpointLimits:     f.endpointLimits,
+		RetryBudget:        retrybudget.New(f.retries, f.now, one),
+		Quarantine:         quarantine.NewBoard(zerolog.Nop()),
+		Places:             places.New(places.Options{Limits: f.endpointLimits}, f.directory, alone, set),
+		EndpointClient:     exchange.New(exchange.Options{}, set),
+		Clock:              f.now,
+		Log:                zerolog.Nop(),
+		Metrics:            set,
+	}, Options{MaxKeyAge: testKeyAge, MaxConfigLag: testBehindMost, MaxHeldBodyBytes: f.bodyBytes})
 	f.clock.Add(int64(time.Hour)) // a new life's limits begin as used up
 	f.gateway = g
 	server := httptest.NewServer(g)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -30,37 +30,37 @@
 	"hawthornrill.example/hawthornrill/tokenlimit"
 )
 
-// Knowledge is what the node knows of the accepted configuration.
-type Knowledge interface {
+// ConfigSource is what the node knows of the accepted configuration.
+type ConfigSource interface {
 	Table() *routetable.Table
 	Age(now boottime.Instant) time.Duration
 	// Behind is for how long a later configuration is known to exist that this node does not have, zero if none is.
 	Behind(now boottime.Instant) time.Duration
 }
 
-var _ Knowledge = (*follow.Follower)(nil)
+var _ ConfigSource = (*follow.Follower)(nil)
 
-// Parts are what a Gateway works with.
-type Parts struct {
-	Protocol  Protocol
-	Knowledge Knowledge
-	Directory *directory.Directory
-	Limits    *tokenlimit.Limiter
+// Dependencies are what a Gateway works with.
+type Dependencies struct {
+	Protocol           Protocol
+	Config             ConfigSource
+	Directory          *directory.Directory
+	OrganisationLimits *tokenlimit.Limiter
 	// EndpointLimits takes the limits that endpoints name; Limits are the organisations'.
 	EndpointLimits *endpointlimit.Limiter
-	Retries        *retrybudget.Budget
+	RetryBudget    *retrybudget.Budget
 	Places         *places.Desk
 	// Quarantine knows the contents that crash the endpoints that run them.
-	Quarantine *quarantine.Board
-	Endpoints  *exchange.Client
-	Clock      boottime.Clock
-	Log        zerolog.Logger
-	Metrics    *metrics.Set
+	Quarantine     *quarantine.Board
+	EndpointClient *exchange.Client
+	Clock          boottime.Clock
+	Log            zerolog.Logger
+	Metrics        *metrics.Set
 }
 
 // Gateway is an http.Handler.
 type Gateway struct {
-	parts   Parts
+	parts   Dependencies
 	options Options
 	metrics *metricSet
 	bodies  atomic.Int64
@@ -70,9 +70,9 @@
 }
 
 // New returns a gateway.
-func New(parts Parts, options Options) *Gateway {
-	if options.BodyBytes <= 0 {
-		options.BodyBytes = defaultBodyBytes
+func New(parts Dependencies, options Options) *Gateway {
+	if options.MaxHeldBodyBytes <= 0 {
+		options.MaxHeldBodyBytes = defaultBodyBytes
 	}
 	g := &Gateway{parts: parts, options: options}
 	g.metrics = newMetricSet(parts.Metrics, g)
@@ -98,7 +98,7 @@
 
 // admit decodes and checks the request and counts it under its limit.
 func (t *task) admit() *problem {
-	table := t.gateway.parts.Knowledge.Table()
+	table := t.gateway.parts.Config.Table()
 	if table == nil {
 		return notReady("the configuration is not known yet")
 	}
@@ -161,7 +161,7 @@
 // outdated reports whether a later configuration has been in force for so long that requests must not go by the one that
 // this node has: it may allow what is no longer allowed.
 func (g *Gateway) outdated() bool {
-	return g.options.BehindMost > 0 && g.parts.Knowledge.Behind(g.parts.Clock()) > g.options.BehindMost
+	return g.options.MaxConfigLag > 0 && g.parts.Config.Behind(g.parts.Clock()) > g.options.MaxConfigLag
 }
 
 // headBytes is the length of a request's head as it was sent, but for white space.
@@ -195,19 +195,19 @@
 // keysTooOld reports whether a key may have been taken away for longer than it may go on working.
 func (t *task) keysTooOld() bool {
 	g := t.gateway
-	return g.options.KeyAge > 0 && g.parts.Knowledge.Age(g.parts.Clock()) > g.options.KeyAge
+	return g.options.MaxKeyAge > 0 && g.parts.Config.Age(g.parts.Clock()) > g.options.MaxKeyAge
 }
 
 // setDeadline bounds the request by the route's time and the caller's.
 func (t *task) setDeadline() {
 	t.allowed = t.route.Timeout
-	if t.call.Patience > 0 && (t.allowed <= 0 || t.call.Patience < t.allowed) {
-		t.allowed = t.call.Patience
+	if t.call.Timeout > 0 && (t.allowed <= 0 || t.call.Timeout < t.allowed) {
+		t.allowed = t.call.Timeout
 	}
 	if t.allowed <= 0 {
 		t.allowed = defaultAllowed
 	}
-	t.waitedBefore = t.gateway.patience.waited(t.route.Name, t.call.Patience)
+	t.waitedBefore = t.gateway.patience.waited(t.route.Name, t.call.Timeout)
 }
 
 // defaultAllowed is the time of a request if neither the route nor the caller bounds it.
@@ -236,7 +236,7 @@
 		return &problem{Status: http.StatusBadRequest, Title: "the body could not be read", Cause: err}
 	}
 	t.body = body
-	if t.gateway.bodies.Add(int64(len(body))) > t.gateway.options.BodyBytes {
+	if t.gateway.bodies.Add(int64(len(body))) > t.gateway.options.MaxHeldBodyBytes {
 		return notReady("the node holds too many request bodies")
 	}
 	return nil
@@ -248,7 +248,7 @@
 		return nil
 	}
 	t.cost = t.organisation.Cost(t.call.Tokens())
-	ok, retry := t.gateway.parts.Limits.Admit(t.organisation, t.cost)
+	ok, retry := t.gateway.parts.OrganisationLimits.Admit(t.organisation, t.cost)
 	if !ok {
 		return &problem{
 			Status: http.StatusTooManyRequests, Title: "the organisation is at its limit", Outcome: outcomeNotRun, RetryAfter: retry,
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -35,7 +35,7 @@
 	total := time.Since(t.started)
 	kind := "none"
 	line := g.parts.Log.Info().Str("request", t.call.ID).Str("result", s.result()).Uint64("version", t.version).
-		Dur("knowledge_age_ms", g.parts.Knowledge.Age(g.parts.Clock()))
+		Dur("knowledge_age_ms", g.parts.Config.Age(g.parts.Clock()))
 	if t.route != nil {
 		kind = t.route.Kind.String()
 		line.Str("route", t.route.Name).Str("service", t.service)
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -4,13 +4,13 @@
 
 // Options are a Gateway's settings.
 type Options struct {
-	// KeyAge is how old the knowledge of the keys may be when a request is dispatched; zero for no bound.
-	KeyAge time.Duration
-	// BehindMost is for how long a later configuration may be known to exist before requests are refused rather than served
+	// MaxKeyAge is how old the knowledge of the keys may be when a request is dispatched; zero for no bound.
+	MaxKeyAge time.Duration
+	// MaxConfigLag is for how long a later configuration may be known to exist before requests are refused rather than served
 	// by an earlier one; zero for no bound.
-	BehindMost time.Duration
-	// BodyBytes bounds the request bodies held at a time; zero means defaultBodyBytes.
-	BodyBytes int64
+	MaxConfigLag time.Duration
+	// MaxHeldBodyBytes bounds the request bodies held at a time; zero means defaultBodyBytes.
+	MaxHeldBodyBytes int64
 }
 
 const (
--- a/gateway/protocol.go
+++ b/gateway/protocol.go
@@ -15,16 +15,16 @@
 	// Key is the organisation's key, empty if there is none.
 	Key string
 	// Patience is how long the caller waits for the whole answer; zero if it does not say.
-	Patience time.Duration
-	// PromptTokens and MaxAnswerTokens describe a model's request, LikelyAnswerTokens is the caller's guess; zero if
+	Timeout time.Duration
+	// PromptTokens and MaxAnswerTokens describe a model's request, ExpectedAnswerTokens is the caller's guess; zero if
 	// it does not say.
-	PromptTokens       int
-	MaxAnswerTokens    int
-	LikelyAnswerTokens int
+	PromptTokens         int
+	MaxAnswerTokens      int
+	ExpectedAnswerTokens int
 	// Prompt are the parts of the prompt, the first one first.
 	Prompt []PromptPart
-	// LastEvent is the id of the last event that the caller has, empty at the beginning.
-	LastEvent string
+	// LastEventID is the id of the last event that the caller has, empty at the beginning.
+	LastEventID string
 }
 
 // PromptPart is a part of a prompt. Engines that keep it, and all parts before it, need not read it again.
@@ -52,8 +52,8 @@
 
 // AnswerTokens is the length of the answer to expect.
 func (c *Call) AnswerTokens() int {
-	if c.LikelyAnswerTokens > 0 {
-		return min(c.LikelyAnswerTokens, max(c.MaxAnswerTokens, 1))
+	if c.ExpectedAnswerTokens > 0 {
+		return min(c.ExpectedAnswerTokens, max(c.MaxAnswerTokens, 1))
 	}
 	return c.MaxAnswerTokens
 }
@@ -64,8 +64,8 @@
 	Organisation domain.OrganisationID
 	// TimeLeft is what is left of the time that the request may take.
 	TimeLeft time.Duration
-	// LastEvent is the id of the last event passed on, empty at the beginning.
-	LastEvent string
+	// LastEventID is the id of the last event passed on, empty at the beginning.
+	LastEventID string
 }
 
 // AnswerHead is what the head of an endpoint's answer says.
@@ -77,7 +77,7 @@
 	// Signed is true if the answer is the endpoint's own, rather than something on the way.
 	Signed bool
 	// Limit is what the endpoint says of how many requests a second it takes from all nodes together.
-	Limit endpointlimit.Statement
+	Limit endpointlimit.Advertisement
 }
 
 // Protocol translates heads. Implementations decide nothing.
--- a/gateway/task.go
+++ b/gateway/task.go
@@ -87,9 +87,9 @@
 	defer cancel()
 	t.ctx = ctx
 	t.boundWrites(time.Now().Add(max(t.left(), 0) + writeGrace))
-	t.lastEvent = t.call.LastEvent
+	t.lastEvent = t.call.LastEventID
 	t.service = t.route.Service(xxhash.Sum64String(t.call.ID))
-	t.gateway.parts.Retries.Request(t.service)
+	t.gateway.parts.RetryBudget.Request(t.service)
 	for tries := 0; ; tries++ {
 		next := t.attempt()
 		if next.done {
@@ -184,7 +184,7 @@
 	if t.keysTooOld() {
 		return t.honest(notReady("the keys in force are not known"))
 	}
-	if t.gateway.parts.Knowledge.Table().Organisation(t.call.Key) == nil {
+	if t.gateway.parts.Config.Table().Organisation(t.call.Key) == nil {
 		return t.honest(&problem{Status: http.StatusUnauthorized, Title: "the key is no longer in force"})
 	}
 	return nil
@@ -246,7 +246,7 @@
 // finish tells the caller, unless an endpoint's answer was passed on, and logs the end.
 func (t *task) finish(s step) {
 	if t.counted && !t.mayHaveRun {
-		t.gateway.parts.Limits.Return(t.organisation, t.cost)
+		t.gateway.parts.OrganisationLimits.Refund(t.organisation, t.cost)
 	}
 	if t.headSent && s.refusal != nil {
 		// An answer of the node's own can't follow a part of an endpoint's: it would end as if it were complete.
--- a/gateway/whole.go
+++ b/gateway/whole.go
@@ -21,7 +21,7 @@
 	failed := answer.StatusCode >= http.StatusInternalServerError
 	blamed := failed && d.blamesFailure()
 	result := capacity.Result{Complete: !blamed, Unreachable: blamed}
-	if failed && t.canRepeat() && t.gateway.parts.Retries.Available(t.service) {
+	if failed && t.canRepeat() && t.gateway.parts.RetryBudget.Available(t.service) {
 		d.release(result)
 		return d.again(errEndpointFailed, false)
 	}
--- a/tokenlimit/example_test.go
+++ b/tokenlimit/example_test.go
@@ -16,16 +16,16 @@
 func Example() {
 	now := boottime.Instant(time.Hour)
 	two := func() gossip.Fleet { return gossip.Fleet{Known: 2, Heard: 2} }
-	limiter := tokenlimit.New(tokenlimit.Parts{
+	limiter := tokenlimit.New(tokenlimit.Config{
 		Window: 8 * time.Second, Clock: func() boottime.Instant { return now }, Fleet: two, Metrics: metrics.NewSet(),
 	})
 	cucine := &routetable.Organisation{ID: "cucine", Rate: 100, Burst: 200}
-	limiter.Prepare([]routetable.Organisation{*cucine})
+	limiter.AddAccounts([]routetable.Organisation{*cucine})
 	now = now.Add(time.Minute) // a new life begins as if most had been used
 	other := gossip.Report{From: "palermo-2", Version: 1}
-	limiter.Heard(&other)
+	limiter.ApplyReport(&other)
 	other.Spent = []gossip.Spent{{Organisation: "cucine", Total: 250}}
-	limiter.Heard(&other)
+	limiter.ApplyReport(&other)
 	for _, tokens := range []float64{40, 40} {
 		ok, retry := limiter.Admit(cucine, tokens)
 		fmt.Println(ok, retry)
--- a/tokenlimit/limiter.go
+++ b/tokenlimit/limiter.go
@@ -26,8 +26,8 @@
 // forgetAfter is how long a peer's totals are kept without a report.
 const forgetAfter = time.Minute
 
-// Parts are what a Limiter works with.
-type Parts struct {
+// Config are what a Limiter works with.
+type Config struct {
 	// Window is the time over which the operators measure the limits.
 	Window time.Duration
 	Clock  boottime.Clock
@@ -38,7 +38,7 @@
 
 // Limiter admits requests under the organisations' limits. It is safe for concurrent use.
 type Limiter struct {
-	parts   Parts
+	parts   Config
 	started boottime.Instant
 
 	mu       sync.Mutex
@@ -59,7 +59,7 @@
 }
 
 // New returns a limiter.
-func New(parts Parts) *Limiter {
+func New(parts Config) *Limiter {
 	return &Limiter{
 		parts:    parts,
 		started:  parts.Clock(),
@@ -111,7 +111,7 @@
 }
 
 // Return takes back the cost of a request that has not run.
-func (l *Limiter) Return(o *routetable.Organisation, cost float64) {
+func (l *Limiter) Refund(o *routetable.Organisation, cost float64) {
 	if o.Rate <= 0 {
 		return
 	}
@@ -136,7 +136,7 @@
 
 // Prepare makes accounts for the organisations of a configuration, so that what peers tell of them is kept before their
 // first request here.
-func (l *Limiter) Prepare(organisations []routetable.Organisation) {
+func (l *Limiter) AddAccounts(organisations []routetable.Organisation) {
 	now := l.parts.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,7 +152,7 @@
 }
 
 // Fill adds this node's totals to a report.
-func (l *Limiter) Fill(report *gossip.Report) {
+func (l *Limiter) AddToReport(report *gossip.Report) {
 	now := l.parts.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,7 +171,7 @@
 }
 
 // Heard counts what a peer has let through since its last report.
-func (l *Limiter) Heard(report *gossip.Report) {
+func (l *Limiter) ApplyReport(report *gossip.Report) {
 	apart := part(l.parts.Fleet()) < 1
 	now := l.parts.Clock()
 	l.mu.Lock()
--- a/tokenlimit/limiter_test.go
+++ b/tokenlimit/limiter_test.go
@@ -33,19 +33,19 @@
 	n := &node{
 		organisation: o, id: domain.NodeID(id), life: life, clock: clock, fleet: gossip.Fleet{Known: known, Heard: known},
 	}
-	n.Limiter = New(Parts{
+	n.Limiter = New(Config{
 		Window: testWindow, Clock: func() boottime.Instant { return *clock },
 		Fleet: func() gossip.Fleet { return n.fleet }, Metrics: metrics.NewSet(),
 	})
-	n.Prepare([]routetable.Organisation{*o})
+	n.AddAccounts([]routetable.Organisation{*o})
 	return n
 }
 
 // tell sends a report from one node to the other.
 func (n *node) tell(to *node) {
 	report := gossip.Report{From: n.id, Life: n.life, Version: 1}
-	n.Fill(&report)
-	to.Heard(&report)
+	n.AddToReport(&report)
+	to.ApplyReport(&report)
 }
 
 // limited may use 8 x 100 + 200 = 1000 in a window, and 1.5 x 200 = 300 at once.
@@ -254,7 +254,7 @@
 	b.tell(a)
 	a.drain()
 	a.tell(b)
-	a.Return(limited, 10)
+	a.Refund(limited, 10)
 	a.tell(b)
 	assert.Equal(t, b.drain(), 10.0)
 }
