--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -11,21 +11,21 @@
 	"hawthornrill.example/hawthornrill/places"
 )
 
-// discard is a caller that takes everything.
-type discard struct{}
+// discardWriter is an http.ResponseWriter that accepts and drops everything.
+type discardWriter struct{}
 
-func (discard) Header() http.Header         { return http.Header{} }
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
-func (discard) WriteHeader(int)             {}
-func (discard) Flush()                      {}
+func (discardWriter) Header() http.Header         { return http.Header{} }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) WriteHeader(int)             {}
+func (discardWriter) Flush()                      {}
 
-// endless repeats a text.
-type endless struct {
+// repeatReader reads the same text over and over.
+type repeatReader struct {
 	text string
 	rest string
 }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *repeatReader) Read(p []byte) (int, error) {
 	if e.rest == "" {
 		e.rest = e.text
 	}
@@ -34,27 +34,27 @@
 	return n, nil
 }
 
-// BenchmarkEvent reads an event of 75 bytes, accounts for it and passes it on; the connections are left out.
-func BenchmarkEvent(b *testing.B) {
+// BenchmarkForwardEvent reads, records and forwards an event with 75 bytes of data, without network connections.
+func BenchmarkForwardEvent(b *testing.B) {
 	f := newFixture(b, nil, func(http.ResponseWriter, *http.Request) {})
-	place, err := f.gateway.parts.Places.Acquire(b.Context(), &places.Ask{
+	slot, err := f.gateway.deps.Places.Acquire(b.Context(), &places.Ask{
 		Service: "s", FirstByteDue: time.Now().Add(time.Minute), Due: time.Now().Add(time.Minute),
 	})
 	assert.NilError(b, err)
-	route := f.knowledge.table.Route("h.example", "/r/")
-	t := &task{gateway: f.gateway, writer: discard{}, route: route, service: "s", headSent: true, started: time.Now()}
-	d := &dispatched{task: t, place: place, started: time.Now(), stall: time.NewTimer(time.Hour)}
-	events := newEventReader(&endless{text: "id: 12\ndata: " + strings.Repeat("x", 75) + "\n\n"})
+	route := f.config.table.Route("h.example", "/r/")
+	t := &task{gateway: f.gateway, writer: discardWriter{}, route: route, service: "s", headSent: true, started: time.Now()}
+	a := &attempt{task: t, slot: slot, started: time.Now(), stallTimer: time.NewTimer(time.Hour)}
+	events := newEventReader(&repeatReader{text: "id: 12\ndata: " + strings.Repeat("x", 75) + "\n\n"})
 	b.ReportAllocs()
 	for b.Loop() {
 		event, err := events.next()
 		if err != nil {
 			b.Fatal(err)
 		}
-		d.heard()
-		if err := d.passEvent(nil, event); err != nil {
+		a.recordEvent()
+		if err := a.forwardEvent(nil, event); err != nil {
 			b.Fatal(err)
 		}
-		t.lastEvent = event.id
+		t.lastEventID = event.id
 	}
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -16,93 +16,93 @@
 	"hawthornrill.example/hawthornrill/routetable"
 )
 
-// notUsed is the result of a place that was given back without a send.
-var notUsed = capacity.Result{}
+// resultNotDispatched is reported for a slot that was released without a dispatch.
+var resultNotDispatched = capacity.Result{}
 
-// dispatched is one send and what became of it.
-type dispatched struct {
+// attempt is one dispatch of a request to an endpoint and its progress.
+type attempt struct {
 	task   *task
-	place  *places.Place
+	slot   *places.Place
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// stall ends the send when the endpoint has been silent for too long; nil if the request can't be repeated.
-	stall   *time.Timer
-	started time.Time
-	first   time.Duration
-	events  int
-	// last is when the last event came.
-	last time.Time
+	// stallTimer cancels the attempt when the endpoint has sent nothing for too long; nil if the request can't be retried.
+	stallTimer       *time.Timer
+	started          time.Time
+	timeToFirstEvent time.Duration
+	eventCount       int
+	lastEventAt      time.Time
 }
 
-// dispatch sends the request to the place's endpoint and passes the answer on.
-func (t *task) dispatch(place *places.Place) step {
-	if t.sends > 0 && !t.gateway.parts.RetryBudget.Retry(t.service) {
-		place.Release(notUsed)
-		return t.giveUp(errNoBudget)
+// dispatch sends the request to the slot's endpoint and forwards the response.
+func (t *task) dispatch(slot *places.Place) attemptResult {
+	if t.dispatches > 0 && !t.gateway.deps.RetryBudget.Retry(t.service) {
+		slot.Release(resultNotDispatched)
+		return t.giveUp(errRetryBudgetExhausted)
 	}
 	ctx, cancel := context.WithCancelCause(t.ctx)
 	defer cancel(nil)
-	d := &dispatched{task: t, place: place, ctx: ctx, cancel: cancel, started: time.Now()}
-	d.watch()
-	defer d.unwatch()
+	a := &attempt{task: t, slot: slot, ctx: ctx, cancel: cancel, started: time.Now()}
+	a.startStallTimer()
+	defer a.stopStallTimer()
 	t.unacknowledged = false
-	t.endpoint, t.load, t.tokenTime = place.Endpoint.Incarnation(), place.Load, place.TokenTime
-	t.endpointLimit = place.Limit
-	if !place.Reported.IsZero() {
-		t.loadAge = time.Since(place.Reported)
+	t.endpoint, t.endpointLoad, t.tokenTime = slot.Endpoint.Incarnation(), slot.Load, slot.TokenTime
+	t.endpointLimit = slot.Limit
+	if !slot.Reported.IsZero() {
+		t.endpointLoadAge = time.Since(slot.Reported)
 	}
-	t.tried = append(t.tried, place.Endpoint.Incarnation())
-	sent := t.gateway.parts.Clock()
-	answer, err := t.gateway.parts.EndpointClient.Send(ctx, t.exchangeRequest(place))
+	t.tried = append(t.tried, slot.Endpoint.Incarnation())
+	sent := t.gateway.deps.Clock()
+	response, err := t.gateway.deps.EndpointClient.Send(ctx, t.exchangeRequest(slot))
 	if err != nil {
-		return d.failed(err)
+		return a.sendFailed(err)
 	}
-	defer answer.Close()
-	t.sends++
-	head := t.gateway.parts.Protocol.ReadAnswer(answer.StatusCode, answer.Header)
-	d.takeLimit(answer.StatusCode, head, sent)
+	defer response.Close()
+	t.dispatches++
+	head := t.gateway.deps.Protocol.ReadAnswer(response.StatusCode, response.Header)
+	a.recordAdvertisedLimit(response.StatusCode, head, sent)
 	if head.NotRun {
-		return d.rejected(answer.StatusCode)
+		return a.requestRejected(response.StatusCode)
 	}
 	t.mayHaveRun = true
-	switch streamed := t.route.Kind == routetable.Stream && answer.StatusCode == http.StatusOK; {
+	switch streamed := t.route.Kind == routetable.Stream && response.StatusCode == http.StatusOK; {
 	case streamed && head.Signed:
-		return d.passStream(answer)
+		return a.forwardStream(response)
 	case streamed:
-		return d.broken(errUnsigned)
+		return a.responseLost(errUnsigned)
 	case t.headSent:
-		// Nothing but events can go on from those passed on.
-		return d.broken(errEndpointFailed)
+		// Part of a stream was already forwarded; only further events can follow it.
+		return a.responseLost(errEndpointFailed)
 	default:
-		return d.passWhole(answer, head)
+		return a.forwardBuffered(response, head)
 	}
 }
 
-// takeLimit takes what the endpoint says of its limit. What answers in place of an endpoint that is gone says nothing of it.
-// Only an answer that the endpoint has signed and that is no failure ends a limit by naming none.
-func (d *dispatched) takeLimit(status int, head AnswerHead, sent boottime.Instant) {
+// recordAdvertisedLimit records the limit in the response's header. A 421 comes from another endpoint at the same address
+// and says nothing about this one. A response without a limit ends a known limit only if the endpoint signed it and it is
+// no failure.
+func (a *attempt) recordAdvertisedLimit(status int, head AnswerHead, sent boottime.Instant) {
 	foreign := status == http.StatusMisdirectedRequest
 	served := head.Signed && !head.NotRun && status < http.StatusInternalServerError
 	if foreign || head.Limit.Kind == endpointlimit.None && !served {
 		return
 	}
-	d.task.gateway.parts.EndpointLimits.RecordAdvertisement(d.place.Endpoint.Incarnation(), sent, head.Limit)
+	a.task.gateway.deps.EndpointLimits.RecordAdvertisement(a.slot.Endpoint.Incarnation(), sent, head.Limit)
 }
 
-// errNoBudget means that too many requests have been sent twice already.
-var errNoBudget = errors.New("gateway: the budget of retries is used up")
+// errRetryBudgetExhausted means that the service's share of retried requests has reached its bound.
+var errRetryBudgetExhausted = errors.New("gateway: the budget of retries is used up")
 
-func (t *task) exchangeRequest(place *places.Place) *exchange.Request {
-	head := endToEnd(t.request.Header)
-	dispatch := Dispatch{Endpoint: place.Endpoint.ID, TimeLeft: t.left(), LastEventID: t.lastEvent}
+func (t *task) exchangeRequest(slot *places.Place) *exchange.Request {
+	head := endToEndHeader(t.request.Header)
+	dispatch := Dispatch{Endpoint: slot.Endpoint.ID, TimeLeft: t.timeLeft(), LastEventID: t.lastEventID}
 	if t.organisation != nil {
 		dispatch.Organisation = t.organisation.ID
 	}
-	protocol := t.gateway.parts.Protocol
+	protocol := t.gateway.deps.Protocol
 	protocol.WriteDispatch(head, dispatch)
 	return &exchange.Request{
-		Endpoint: place.Endpoint.Incarnation(),
-		Address:  place.Endpoint.Address,
+		Endpoint: slot.Endpoint.Incarnation(),
+		Address:  slot.Endpoint.Address,
 		Method:   t.request.Method,
 		Target:   t.request.RequestURI,
 		Host:     t.request.Host,
@@ -115,153 +115,155 @@
 	}
 }
 
-// canRepeat reports whether the request may go to another endpoint after a send that may have run.
-func (t *task) canRepeat() bool { return t.route.Repeatable() && t.offers() < t.route.MaxEndpoints }
+// canRetry reports whether the request may go to another endpoint after an attempt that may have run.
+func (t *task) canRetry() bool {
+	return t.route.Repeatable() && t.endpointsTried() < t.route.MaxEndpoints
+}
 
-// offers is the number of endpoints that the request has been sent to and that it was meant for. One that has been
-// replaced by another life does not count: it can't have run the request. On days on which endpoints restart that was
-// one refusal in three of routes that allow a single endpoint.
-func (t *task) offers() int { return t.sends - t.misdirected }
+// endpointsTried is the number of dispatches that reached the intended endpoint. One that reached a later incarnation does
+// not count, since it can't have run the request. When these did count, they caused one in three refusals on routes that
+// allow a single endpoint, on days with endpoint restarts.
+func (t *task) endpointsTried() int { return t.dispatches - t.misdirected }
 
-// watch ends the send after a silence, if the request can go on elsewhere.
-func (d *dispatched) watch() {
-	t := d.task
-	if !t.route.Repeatable() || t.offers()+1 >= t.route.MaxEndpoints {
+// startStallTimer bounds the wait for the first byte, if the request can be retried on another endpoint.
+func (a *attempt) startStallTimer() {
+	t := a.task
+	if !t.route.Repeatable() || t.endpointsTried()+1 >= t.route.MaxEndpoints {
 		return
 	}
-	d.stall = time.AfterFunc(t.silenceAllowed(), func() { d.cancel(errStalled) })
+	a.stallTimer = time.AfterFunc(t.firstByteTimeout(), func() { a.cancel(errStalled) })
 }
 
-// silenceAllowed is how long the endpoint may be silent.
-func (t *task) silenceAllowed() time.Duration {
+// firstByteTimeout is how long the endpoint may take to send its first byte.
+func (t *task) firstByteTimeout() time.Duration {
 	if t.route.Kind != routetable.Stream {
-		return max(stallFactor*t.route.FirstByte, leastTryAgain)
+		return max(stallFactor*t.route.FirstByte, minIdempotentStallTimeout)
 	}
-	return max(stallFactor*t.route.FirstByte, leastStall)
+	return max(stallFactor*t.route.FirstByte, minStallTimeout)
 }
 
-func (d *dispatched) unwatch() {
-	if d.stall != nil {
-		d.stall.Stop()
+func (a *attempt) stopStallTimer() {
+	if a.stallTimer != nil {
+		a.stallTimer.Stop()
 	}
 }
 
-// heard notes an event.
-func (d *dispatched) heard() {
+// recordEvent updates timings, the stall timer and the slot's progress for an event received.
+func (a *attempt) recordEvent() {
 	now := time.Now()
-	if d.events > 0 {
-		d.task.gap = max(d.task.gap, now.Sub(d.last))
+	if a.eventCount > 0 {
+		a.task.longestGap = max(a.task.longestGap, now.Sub(a.lastEventAt))
 	}
-	d.last = now
-	if d.events == 0 {
-		d.first = now.Sub(d.started)
-		d.place.FirstEvent()
-		if d.task.first == 0 {
-			d.task.first = now.Sub(d.task.started)
+	a.lastEventAt = now
+	if a.eventCount == 0 {
+		a.timeToFirstEvent = now.Sub(a.started)
+		a.slot.FirstEvent()
+		if a.task.timeToFirstEvent == 0 {
+			a.task.timeToFirstEvent = now.Sub(a.task.started)
 		}
 	}
-	d.events++
-	if d.stall != nil {
-		d.stall.Reset(max(stallFactor*d.task.route.EventGap, leastStall))
+	a.eventCount++
+	if a.stallTimer != nil {
+		a.stallTimer.Reset(max(stallFactor*a.task.route.EventGap, minStallTimeout))
 	}
-	if d.events%progressEvents == 0 {
-		d.place.Produced(progressEvents * d.task.eventTokens())
+	if a.eventCount%progressEventInterval == 0 {
+		a.slot.Produced(progressEventInterval * a.task.eventTokens())
 	}
 }
 
-// eventTokens is how many tokens an event holds.
+// eventTokens is the number of tokens in an event of the service.
 func (t *task) eventTokens() int {
-	return max(t.gateway.parts.Config.Table().Services[t.service].EventTokens, 1)
+	return max(t.gateway.deps.Config.Table().Services[t.service].EventTokens, 1)
 }
 
-// cause is why the send ended, if this node ended it, else the error itself.
-func (d *dispatched) cause(err error) error {
-	if d.ctx.Err() != nil {
-		return context.Cause(d.ctx)
+// cause returns the reason if this node cancelled the attempt, otherwise err.
+func (a *attempt) cause(err error) error {
+	if a.ctx.Err() != nil {
+		return context.Cause(a.ctx)
 	}
 	return err
 }
 
-// release gives the place back.
-func (d *dispatched) release(result capacity.Result) {
+// release releases the slot and reports the attempt's result.
+func (a *attempt) release(result capacity.Result) {
 	result.Dispatched = true
-	result.FirstToken = d.first
-	result.Total = time.Since(d.started)
-	result.AnswerTokens = d.events * d.task.eventTokens()
-	d.place.Release(result)
+	result.FirstToken = a.timeToFirstEvent
+	result.Total = time.Since(a.started)
+	result.AnswerTokens = a.eventCount * a.task.eventTokens()
+	a.slot.Release(result)
 }
 
-// failed is the end of a send without an answer.
-func (d *dispatched) failed(err error) step {
-	t := d.task
+// sendFailed ends an attempt that got no response.
+func (a *attempt) sendFailed(err error) attemptResult {
+	t := a.task
 	if errors.Is(err, endpoint.ErrNotDispatched) {
-		if d.ctx.Err() == nil {
-			d.place.Release(capacity.Result{Unreachable: true})
+		if a.ctx.Err() == nil {
+			a.slot.Release(capacity.Result{Unreachable: true})
 		} else {
-			d.place.Release(notUsed)
+			a.slot.Release(resultNotDispatched)
 		}
-		return d.again(err, true)
+		return a.retry(err, true)
 	}
-	t.sends++
+	t.dispatches++
 	t.mayHaveRun = true
 	t.unacknowledged = errors.Is(err, endpoint.ErrUnacknowledged)
-	return d.broken(err)
+	return a.responseLost(err)
 }
 
-// broken is the end of a send that may have run.
-func (d *dispatched) broken(err error) step {
-	t := d.task
-	cause := d.cause(err)
-	d.release(capacity.Result{Unreachable: d.blames(cause)})
-	if d.blames(cause) && errors.Is(cause, endpoint.ErrBroken) {
-		t.gateway.parts.Quarantine.Broke(d.place.Endpoint.Incarnation(), t.content)
+// responseLost ends an attempt that may have run but whose response is lost or unusable.
+func (a *attempt) responseLost(err error) attemptResult {
+	t := a.task
+	cause := a.cause(err)
+	a.release(capacity.Result{Unreachable: a.blamesEndpoint(cause)})
+	if a.blamesEndpoint(cause) && errors.Is(cause, endpoint.ErrBroken) {
+		t.gateway.deps.Quarantine.Broke(a.slot.Endpoint.Incarnation(), t.contentHash)
 	}
 	if t.request.Context().Err() != nil {
-		return step{done: true, abort: true, err: errCallerGone}
+		return attemptResult{final: true, abort: true, err: errCallerGone}
 	}
 	if errors.Is(cause, errTimeout) {
 		return t.giveUp(cause)
 	}
-	if !t.canRepeat() {
+	if !t.canRetry() {
 		return t.giveUp(cause)
 	}
-	return d.again(cause, false)
+	return a.retry(cause, false)
 }
 
-// blames reports whether the endpoint is to blame for the error.
-func (d *dispatched) blames(cause error) bool {
-	return !errors.Is(cause, errTimeout) && d.task.request.Context().Err() == nil
+// blamesEndpoint reports whether the endpoint caused the error, rather than the request's deadline or its caller.
+func (a *attempt) blamesEndpoint(cause error) bool {
+	return !errors.Is(cause, errTimeout) && a.task.request.Context().Err() == nil
 }
 
-// rejected is the end of a send that the endpoint promised not to run.
-func (d *dispatched) rejected(status int) step {
-	t := d.task
+// requestRejected ends an attempt that the endpoint promised not to run.
+func (a *attempt) requestRejected(status int) attemptResult {
+	t := a.task
 	replaced := status == http.StatusMisdirectedRequest
-	d.place.Release(capacity.Result{Unreachable: !replaced, Replaced: replaced})
+	a.slot.Release(capacity.Result{Unreachable: !replaced, Replaced: replaced})
 	err := fmt.Errorf("%w: status %d", endpoint.ErrRefused, status)
 	if replaced {
-		// The endpoint that it was meant for has not seen it, and another is there in its place.
+		// Another endpoint now answers at the address; the intended one has not seen the request.
 		t.misdirected++
 	}
-	if t.offers() >= t.route.MaxEndpoints {
+	if t.endpointsTried() >= t.route.MaxEndpoints {
 		return t.giveUp(err)
 	}
-	return d.again(err, false)
+	return a.retry(err, false)
 }
 
-// again logs why another attempt is made.
-func (d *dispatched) again(err error, notSent bool) step {
-	t := d.task
+// retry logs the failure and asks for another attempt, unless the request's deadline has passed or its caller is gone.
+func (a *attempt) retry(err error, notSent bool) attemptResult {
+	t := a.task
 	if t.ctx.Err() != nil {
 		if t.request.Context().Err() != nil {
-			return step{done: true, abort: true, err: errCallerGone}
+			return attemptResult{final: true, abort: true, err: errCallerGone}
 		}
 		return t.giveUp(errTimeout)
 	}
 	t.gateway.metrics.retries.Inc()
-	t.gateway.parts.Log.Info().Str("request", t.call.ID).Str("endpoint", string(d.place.Endpoint.Incarnation())).
-		Bool("not_sent", notSent).Bool("unacknowledged", t.unacknowledged).Dur("after_ms", time.Since(d.started)).
-		Int("sends", t.sends).Str("last_event", t.lastEvent).AnErr("cause", err).
+	t.gateway.deps.Log.Info().Str("request", t.call.ID).Str("endpoint", string(a.slot.Endpoint.Incarnation())).
+		Bool("not_sent", notSent).Bool("unacknowledged", t.unacknowledged).Dur("after_ms", time.Since(a.started)).
+		Int("sends", t.dispatches).Str("last_event", t.lastEventID).AnErr("cause", err).
 		Msg("attempt failed, trying another endpoint")
-	return step{err: err}
+	return attemptResult{err: err}
 }
--- a/gateway/endpointlimit_test.go
+++ b/gateway/endpointlimit_test.go
@@ -15,29 +15,29 @@
 	"hawthornrill.example/hawthornrill/gossip"
 )
 
-// limited serves streams and names a limit of so many requests a second, if that is not empty.
-func limited(perSecond string, got *atomic.Int64) http.HandlerFunc {
+// limitedEndpoint serves streams and advertises a limit in requests a second, none if perSecond is empty.
+func limitedEndpoint(perSecond string, got *atomic.Int64) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		got.Add(1)
 		if perSecond != "" {
 			w.Header().Set("X-Limit", perSecond)
 		}
-		events(w, 1, 3)
+		writeEvents(w, 1, 3)
 	}
 }
 
-// moveAway lists the endpoint in another data centre than the node's.
-func (f *fixture) moveAway(id domain.EndpointID) {
+// moveToOtherDataCentre lists the endpoint in another data centre than the node's.
+func (f *fixture) moveToOtherDataCentre(id domain.EndpointID) {
 	e := *f.directory.Current().Endpoint(id)
 	e.DataCentre = "far"
 	f.directory.Apply(0, []*directory.Endpoint{&e}, nil, 0)
 }
 
-// Guards against endpoints that get more requests than they have named to take from all nodes together.
-func TestEndpointGetsNoMoreThanTheLimitItNames(t *testing.T) {
+// Guards against sending an endpoint more requests than its advertised limit.
+func TestAdvertisedLimitIsNotExceeded(t *testing.T) {
 	var atLimited, atOther atomic.Int64
-	f := newFixture(t, nil, limited("2", &atLimited), limited("", &atOther))
-	f.moveAway("e1") // the near one goes first
+	f := newFixture(t, nil, limitedEndpoint("2", &atLimited), limitedEndpoint("", &atOther))
+	f.moveToOtherDataCentre("e1") // the endpoint in the node's data centre is preferred
 	call := func(n int) {
 		for range n {
 			assert.Equal(t, f.call(nil).Status, http.StatusOK)
@@ -45,27 +45,27 @@
 	}
 	call(20)
 	before := atLimited.Load()
-	assert.Assert(t, before <= limittest.SlackRequests, "%d of 20 requests while no time passed", before)
+	assert.Assert(t, before <= limittest.SlackRequests, "%d of 20 requests while the clock stood still", before)
 	for range 4 {
 		f.clock.Add(int64(time.Second))
 		call(8)
 	}
 	within := atLimited.Load() - before
 	assert.Assert(t, float64(within) <= limittest.MaxRequests(2), "%d of 32 requests within four seconds", within)
-	assert.Assert(t, within >= 4, "the endpoint is used as far as its limit allows: %d of 32 requests", within)
+	assert.Assert(t, within >= 4, "the limit is not used up: %d of 32 requests", within)
 	assert.Equal(t, atLimited.Load()+atOther.Load(), int64(52))
 }
 
-func TestAnswersThatChangeALimit(t *testing.T) {
+func TestResponsesThatChangeAdvertisedLimit(t *testing.T) {
 	tests := []struct {
 		name   string
 		status int
 		head   map[string]string
 		limits bool
 	}{
-		{"served, none named", http.StatusOK, map[string]string{"X-Signed": "yes"}, false},
-		{"served, named again", http.StatusOK, map[string]string{"X-Signed": "yes", "X-Limit": "3"}, true},
-		{"not signed", http.StatusOK, nil, true},
+		{"served, no limit", http.StatusOK, map[string]string{"X-Signed": "yes"}, false},
+		{"served, limit repeated", http.StatusOK, map[string]string{"X-Signed": "yes", "X-Limit": "3"}, true},
+		{"unsigned", http.StatusOK, nil, true},
 		{"failed", http.StatusInternalServerError, map[string]string{"X-Signed": "yes"}, true},
 		{"refused", http.StatusServiceUnavailable, map[string]string{"X-Not-Run": "1"}, true},
 		{"another endpoint at the address", http.StatusMisdirectedRequest, map[string]string{"X-Not-Run": "1", "X-Limit": "0"}, true},
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -28,7 +28,7 @@
 	"hawthornrill.example/hawthornrill/tokenlimit"
 )
 
-// testProtocol has heads of its own.
+// testProtocol implements Protocol with headers of its own.
 type testProtocol struct{}
 
 func (testProtocol) ReadCall(h http.Header) (Call, error) {
@@ -51,51 +51,53 @@
 	return head
 }
 
-// testKnowledge is a table with an age.
-type testKnowledge struct {
+// testConfigSource is a ConfigSource with a settable age and lag.
+type testConfigSource struct {
 	table *routetable.Table
 	age   atomic.Int64
-	// asked is called when the age is asked for.
-	asked  func()
+	// onAge is called by Age.
+	onAge  func()
 	behind atomic.Int64
 }
 
-func (k *testKnowledge) Table() *routetable.Table { return k.table }
+func (c *testConfigSource) Table() *routetable.Table { return c.table }
 
-func (k *testKnowledge) Age(boottime.Instant) time.Duration {
-	if k.asked != nil {
-		k.asked()
+func (c *testConfigSource) Age(boottime.Instant) time.Duration {
+	if c.onAge != nil {
+		c.onAge()
 	}
-	return time.Duration(k.age.Load())
+	return time.Duration(c.age.Load())
 }
 
-func (k *testKnowledge) Behind(boottime.Instant) time.Duration { return time.Duration(k.behind.Load()) }
+func (c *testConfigSource) Behind(boottime.Instant) time.Duration {
+	return time.Duration(c.behind.Load())
+}
 
-// fixture is a gateway before scripted endpoints.
+// fixture is a gateway with scripted endpoints.
 type fixture struct {
-	t         testing.TB
-	knowledge *testKnowledge
-	directory *directory.Directory
-	clock     atomic.Int64
-	url       string
-	gateway   *Gateway
-	sends     atomic.Int64
-	retries   retrybudget.Options
-	bodyBytes int64
+	t          testing.TB
+	config     *testConfigSource
+	directory  *directory.Directory
+	clock      atomic.Int64
+	url        string
+	gateway    *Gateway
+	dispatches atomic.Int64
+	retries    retrybudget.Options
+	bodyBytes  int64
 
 	endpointLimits *endpointlimit.Limiter
 }
 
-// manyRetries is a budget that no test uses up.
-var manyRetries = retrybudget.Options{Ratio: 1, Slack: 100, Window: time.Minute}
+// ampleRetryBudget is large enough for every test.
+var ampleRetryBudget = retrybudget.Options{Ratio: 1, Slack: 100, Window: time.Minute}
 
 const (
-	testKeyAge     = 5 * time.Second
-	testBehindMost = 2 * time.Second
+	testMaxKeyAge    = 5 * time.Second
+	testMaxConfigLag = 2 * time.Second
 )
 
 func newFixture(t testing.TB, edit func(*routetable.Route), endpoints ...http.HandlerFunc) *fixture {
-	f := &fixture{t: t, knowledge: &testKnowledge{}, directory: directory.New(), retries: manyRetries}
+	f := &fixture{t: t, config: &testConfigSource{}, directory: directory.New(), retries: ampleRetryBudget}
 	f.clock.Store(int64(time.Hour))
 	route := routetable.Route{
 		Name: "r", Host: "h.example", Prefix: "/r/", Kind: routetable.Stream, Resumable: true, Timeout: time.Minute,
@@ -109,7 +111,7 @@
 	table, err := routetable.New(1, []routetable.Route{route}, []routetable.Service{{Name: "s", Engine: true}},
 		[]routetable.Organisation{organisation}, routetable.Limits{MaxBodyBytes: 1 << 10, MaxHeaderBytes: 4 << 10})
 	assert.NilError(t, err)
-	f.knowledge.table = table
+	f.config.table = table
 	for i, handler := range endpoints {
 		f.addEndpoint(fmt.Sprintf("e%d", i), handler)
 	}
@@ -119,7 +121,7 @@
 
 func (f *fixture) addEndpoint(id string, handler http.HandlerFunc) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f.sends.Add(1)
+		f.dispatches.Add(1)
 		handler(w, r)
 	}))
 	f.t.Cleanup(server.Close)
@@ -142,7 +144,7 @@
 	limits := tokenlimit.New(tokenlimit.Config{Window: time.Second, Clock: f.now, Fleet: alone, Metrics: set})
 	g := New(Dependencies{
 		Protocol:           testProtocol{},
-		Config:             f.knowledge,
+		Config:             f.config,
 		Directory:          f.directory,
 		OrganisationLimits: limits,
 		EndpointLimits:     f.endpointLimits,
@@ -153,15 +155,15 @@
 		Clock:              f.now,
 		Log:                zerolog.Nop(),
 		Metrics:            set,
-	}, Options{MaxKeyAge: testKeyAge, MaxConfigLag: testBehindMost, MaxHeldBodyBytes: f.bodyBytes})
-	f.clock.Add(int64(time.Hour)) // a new life's limits begin as used up
+	}, Options{MaxKeyAge: testMaxKeyAge, MaxConfigLag: testMaxConfigLag, MaxHeldBodyBytes: f.bodyBytes})
+	f.clock.Add(int64(time.Hour)) // limits start as used up
 	f.gateway = g
 	server := httptest.NewServer(g)
 	f.t.Cleanup(server.Close)
 	f.url = server.URL
 }
 
-// result is what a caller got. Err is how the body ended, nil for its proper end.
+// result is the response that a caller got. Err is the error of reading the body, nil if it was complete.
 type result struct {
 	Status int
 	Header http.Header
@@ -188,34 +190,34 @@
 	return result{Status: response.StatusCode, Header: response.Header, Body: string(body), Err: err}
 }
 
-// atSecondLook calls change when the knowledge is asked for its age for the second time: right before the send.
-func (f *fixture) atSecondLook(change func()) {
-	looks := 0
-	f.knowledge.asked = func() {
-		if looks++; looks == 2 {
+// onSecondAgeCheck calls change at the second check of the configuration's age, which comes right before the dispatch.
+func (f *fixture) onSecondAgeCheck(change func()) {
+	calls := 0
+	f.config.onAge = func() {
+		if calls++; calls == 2 {
 			change()
 		}
 	}
 }
 
-// takeKeysAway puts a configuration without keys that work into force.
-func (f *fixture) takeKeysAway() {
-	organisations := slices.Clone(f.knowledge.table.Organisations)
+// revokeKeys puts a configuration into force in which the test's key is not valid.
+func (f *fixture) revokeKeys() {
+	organisations := slices.Clone(f.config.table.Organisations)
 	organisations[0].Keys = []string{"another"}
 	table, err := routetable.New(2, nil, nil, organisations, routetable.Limits{})
 	assert.NilError(f.t, err)
-	f.knowledge.table = table
+	f.config.table = table
 }
 
-// leaves lists the endpoint as leaving.
-func (f *fixture) leaves(id domain.EndpointID) {
+// markLeaving lists the endpoint as leaving.
+func (f *fixture) markLeaving(id domain.EndpointID) {
 	e := *f.directory.Current().Endpoint(id)
 	e.Leaving = true
 	f.directory.Apply(0, []*directory.Endpoint{&e}, nil, 0)
 }
 
-// events writes events and flushes.
-func events(w http.ResponseWriter, from, to int) {
+// writeEvents writes the events from..to of a signed stream and flushes them.
+func writeEvents(w http.ResponseWriter, from, to int) {
 	w.Header().Set("X-Signed", "yes")
 	w.WriteHeader(http.StatusOK)
 	for i := from; i <= to; i++ {
@@ -224,18 +226,17 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// inTwoParts answers with the first two events, then does what breaks the answer off; asked for what follows the second, it
-// answers with the third.
-func inTwoParts(breakOff func(http.ResponseWriter)) http.HandlerFunc {
+// breakAfterTwoEvents sends the first two events, then calls breakOff. Asked to resume after the second, it sends the third.
+func breakAfterTwoEvents(breakOff func(http.ResponseWriter)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Last") == "2" {
-			events(w, 3, 3)
+			writeEvents(w, 3, 3)
 			return
 		}
-		events(w, 1, 2)
+		writeEvents(w, 1, 2)
 		breakOff(w)
 	}
 }
 
-// broken ends the connection in the middle of an answer.
-func broken() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection in the middle of a response.
+func abortConnection() { panic(http.ErrAbortHandler) }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,9 +1,10 @@
-// Package gateway serves requests by the accepted configuration: it finds the route and the organisation, counts the
-// request under its limit, gets a place at an endpoint, dispatches it and passes the answer on.
+// Package gateway serves requests according to the accepted configuration. It finds the route and the organisation,
+// charges the request to the organisation's limit, acquires a slot on an endpoint, dispatches the request and forwards the
+// response.
 //
-// Guarantees. A request is dispatched by this process only, and again only if it has certainly not run or the route
-// allows that it runs twice. 429 and 503 are answered only if it has not run and will not. An answer is passed on whole
-// or ends visibly incomplete. A request that is given up gets its final answer at once.
+// Guarantees. Only this process dispatches a request, and it retries only if the request has certainly not run or the
+// route allows it to run twice. 429 and 503 are returned only if the request has not run and will not. A response is
+// forwarded complete or ends visibly truncated. A request that is given up gets its final response at once.
 package gateway
 
 import (
@@ -30,27 +31,29 @@
 	"hawthornrill.example/hawthornrill/tokenlimit"
 )
 
-// ConfigSource is what the node knows of the accepted configuration.
+// ConfigSource provides the accepted configuration as far as this node has it.
 type ConfigSource interface {
+	// Table returns the configuration, nil until one is known.
 	Table() *routetable.Table
+	// Age is how long a change to the configuration may have gone unnoticed by this node.
 	Age(now boottime.Instant) time.Duration
-	// Behind is for how long a later configuration is known to exist that this node does not have, zero if none is.
+	// Behind is how long a later configuration has been known to exist that this node does not have; zero if there is none.
 	Behind(now boottime.Instant) time.Duration
 }
 
 var _ ConfigSource = (*follow.Follower)(nil)
 
-// Dependencies are what a Gateway works with.
+// Dependencies are the components that a Gateway uses.
 type Dependencies struct {
 	Protocol           Protocol
 	Config             ConfigSource
 	Directory          *directory.Directory
 	OrganisationLimits *tokenlimit.Limiter
-	// EndpointLimits takes the limits that endpoints name; Limits are the organisations'.
+	// EndpointLimits records the limits that endpoints advertise.
 	EndpointLimits *endpointlimit.Limiter
 	RetryBudget    *retrybudget.Budget
 	Places         *places.Desk
-	// Quarantine knows the contents that crash the endpoints that run them.
+	// Quarantine identifies request contents that crash the endpoints that run them.
 	Quarantine     *quarantine.Board
 	EndpointClient *exchange.Client
 	Clock          boottime.Clock
@@ -58,24 +61,23 @@
 	Metrics        *metrics.Set
 }
 
-// Gateway is an http.Handler.
+// Gateway is an http.Handler that routes requests to endpoints.
 type Gateway struct {
-	parts   Dependencies
-	options Options
-	metrics *metricSet
-	bodies  atomic.Int64
-	active  atomic.Int64
-	// patience knows how long callers of the routes wait.
-	patience patience
+	deps           Dependencies
+	options        Options
+	metrics        *metricSet
+	heldBodyBytes  atomic.Int64
+	active         atomic.Int64
+	callerTimeouts callerTimeouts
 }
 
-// New returns a gateway.
-func New(parts Dependencies, options Options) *Gateway {
+// New returns a Gateway and registers its metrics.
+func New(deps Dependencies, options Options) *Gateway {
 	if options.MaxHeldBodyBytes <= 0 {
-		options.MaxHeldBodyBytes = defaultBodyBytes
+		options.MaxHeldBodyBytes = defaultMaxBodyBytes
 	}
-	g := &Gateway{parts: parts, options: options}
-	g.metrics = newMetricSet(parts.Metrics, g)
+	g := &Gateway{deps: deps, options: options}
+	g.metrics = newMetricSet(deps.Metrics, g)
 	return g
 }
 
@@ -87,32 +89,32 @@
 	g.active.Add(1)
 	defer g.active.Add(-1)
 	t := newTask(g, w, r)
-	t.boundWrites(time.Time{})
+	t.setWriteDeadline(time.Time{})
 	if refused := t.admit(); refused != nil {
 		t.refuse(refused)
 		return
 	}
-	defer t.close()
+	defer t.releaseBody()
 	t.run()
 }
 
-// admit decodes and checks the request and counts it under its limit.
+// admit decodes and validates the request and charges it to its organisation's limit.
 func (t *task) admit() *problem {
-	table := t.gateway.parts.Config.Table()
+	table := t.gateway.deps.Config.Table()
 	if table == nil {
-		return notReady("the configuration is not known yet")
+		return unavailable("the configuration is not known yet")
 	}
-	t.version = table.Version
-	if t.gateway.outdated() {
-		return notReady("a later configuration is in force than this node has")
+	t.configVersion = table.Version
+	if t.gateway.configOutdated() {
+		return unavailable("a later configuration is in force than this node has")
 	}
 	if !strings.HasPrefix(t.request.RequestURI, "/") {
 		return &problem{Status: http.StatusBadRequest, Title: "the request target must be a path"}
 	}
-	if limit := table.Limits.MaxHeaderBytes; limit > 0 && headBytes(t.request) > limit {
+	if limit := table.Limits.MaxHeaderBytes; limit > 0 && headerBytes(t.request) > limit {
 		return &problem{Status: http.StatusRequestHeaderFieldsTooLarge, Title: "the head is too long"}
 	}
-	call, err := t.gateway.parts.Protocol.ReadCall(t.request.Header)
+	call, err := t.gateway.deps.Protocol.ReadCall(t.request.Header)
 	if err != nil {
 		return &problem{Status: http.StatusBadRequest, Title: err.Error()}
 	}
@@ -129,26 +131,26 @@
 	if refused := t.readBody(table.Limits.MaxBodyBytes); refused != nil {
 		return refused
 	}
-	t.content = t.fingerprint()
-	if refused := t.quarantined(); refused != nil {
+	t.contentHash = t.computeContentHash()
+	if refused := t.checkQuarantine(); refused != nil {
 		return refused
 	}
-	return t.countIn()
+	return t.chargeLimit()
 }
 
-// fingerprint identifies what is asked and by whom, whatever the attempt.
-func (t *task) fingerprint() uint64 {
+// computeContentHash hashes the request's content and key; all attempts of one request have the same hash.
+func (t *task) computeContentHash() uint64 {
 	d := xxhash.New()
 	for _, part := range []string{t.request.Method, t.request.Host, t.request.RequestURI, t.call.Key} {
-		_, _ = d.WriteString(part + "\n") // a hash does not fail
+		_, _ = d.WriteString(part + "\n") // never fails
 	}
 	_, _ = d.Write(t.body)
 	return d.Sum64()
 }
 
-// quarantined refuses a content that has crashed the endpoints that ran it.
-func (t *task) quarantined() *problem {
-	left := t.gateway.parts.Quarantine.Quarantined(t.content)
+// checkQuarantine refuses a request whose content has crashed the endpoints that ran it.
+func (t *task) checkQuarantine() *problem {
+	left := t.gateway.deps.Quarantine.Quarantined(t.contentHash)
 	if left <= 0 {
 		return nil
 	}
@@ -158,14 +160,14 @@
 	}
 }
 
-// outdated reports whether a later configuration has been in force for so long that requests must not go by the one that
-// this node has: it may allow what is no longer allowed.
-func (g *Gateway) outdated() bool {
-	return g.options.MaxConfigLag > 0 && g.parts.Config.Behind(g.parts.Clock()) > g.options.MaxConfigLag
+// configOutdated reports whether a later configuration has been in force for so long that this node's must not be used: it
+// may allow what is no longer allowed.
+func (g *Gateway) configOutdated() bool {
+	return g.options.MaxConfigLag > 0 && g.deps.Config.Behind(g.deps.Clock()) > g.options.MaxConfigLag
 }
 
-// headBytes is the length of a request's head as it was sent, but for white space.
-func headBytes(r *http.Request) int {
+// headerBytes is the size of the request line and header as sent, apart from optional white space.
+func headerBytes(r *http.Request) int {
 	const separators = len(": \r\n")
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -176,14 +178,14 @@
 	return n
 }
 
-// authenticate finds the organisation of the request's key.
+// authenticate looks up the organisation of the request's key.
 func (t *task) authenticate(table *routetable.Table) *problem {
-	t.keyed = table.RequiresKeys() && !t.route.Public
-	if !t.keyed {
+	t.requiresKey = table.RequiresKeys() && !t.route.Public
+	if !t.requiresKey {
 		return nil
 	}
-	if t.keysTooOld() {
-		return notReady("the keys in force are not known")
+	if t.keysStale() {
+		return unavailable("the keys in force are not known")
 	}
 	t.organisation = table.Organisation(t.call.Key)
 	if t.organisation == nil {
@@ -192,31 +194,32 @@
 	return nil
 }
 
-// keysTooOld reports whether a key may have been taken away for longer than it may go on working.
-func (t *task) keysTooOld() bool {
+// keysStale reports whether this node's configuration is so old that a revoked key could still be accepted after the
+// allowed time.
+func (t *task) keysStale() bool {
 	g := t.gateway
-	return g.options.MaxKeyAge > 0 && g.parts.Config.Age(g.parts.Clock()) > g.options.MaxKeyAge
+	return g.options.MaxKeyAge > 0 && g.deps.Config.Age(g.deps.Clock()) > g.options.MaxKeyAge
 }
 
-// setDeadline bounds the request by the route's time and the caller's.
+// setDeadline sets the request's timeout to the shorter of the route's and the caller's.
 func (t *task) setDeadline() {
-	t.allowed = t.route.Timeout
-	if t.call.Timeout > 0 && (t.allowed <= 0 || t.call.Timeout < t.allowed) {
-		t.allowed = t.call.Timeout
+	t.timeout = t.route.Timeout
+	if t.call.Timeout > 0 && (t.timeout <= 0 || t.call.Timeout < t.timeout) {
+		t.timeout = t.call.Timeout
 	}
-	if t.allowed <= 0 {
-		t.allowed = defaultAllowed
+	if t.timeout <= 0 {
+		t.timeout = defaultTimeout
 	}
-	t.waitedBefore = t.gateway.patience.waited(t.route.Name, t.call.Timeout)
+	t.waitedBefore = t.gateway.callerTimeouts.estimatedWait(t.route.Name, t.call.Timeout)
 }
 
-// defaultAllowed is the time of a request if neither the route nor the caller bounds it.
-const defaultAllowed = 30 * time.Second
+// defaultTimeout applies if neither the route nor the caller sets a timeout.
+const defaultTimeout = 30 * time.Second
 
-// readBody reads the whole body, so that the endpoint never waits for the caller and the request can be repeated.
+// readBody buffers the whole body, so that the endpoint never waits for the caller and the request can be retried.
 func (t *task) readBody(limit int64) *problem {
 	if limit <= 0 {
-		limit = defaultBodyBytes
+		limit = defaultMaxBodyBytes
 	}
 	if t.request.ContentLength > limit {
 		return &problem{Status: http.StatusRequestEntityTooLarge, Title: "the body is too long"}
@@ -225,7 +228,7 @@
 		return nil
 	}
 	controller := http.NewResponseController(t.writer)
-	_ = controller.SetReadDeadline(time.Now().Add(t.allowed)) // supported by net/http's server
+	_ = controller.SetReadDeadline(time.Now().Add(t.timeout)) // supported by net/http's server
 	body, err := io.ReadAll(http.MaxBytesReader(t.writer, t.request.Body, limit))
 	_ = controller.SetReadDeadline(time.Time{})
 	var tooLong *http.MaxBytesError
@@ -236,24 +239,24 @@
 		return &problem{Status: http.StatusBadRequest, Title: "the body could not be read", Cause: err}
 	}
 	t.body = body
-	if t.gateway.bodies.Add(int64(len(body))) > t.gateway.options.MaxHeldBodyBytes {
-		return notReady("the node holds too many request bodies")
+	if t.gateway.heldBodyBytes.Add(int64(len(body))) > t.gateway.options.MaxHeldBodyBytes {
+		return unavailable("the node holds too many request bodies")
 	}
 	return nil
 }
 
-// countIn counts the request under its organisation's limit.
-func (t *task) countIn() *problem {
+// chargeLimit charges the request's cost to its organisation's limit.
+func (t *task) chargeLimit() *problem {
 	if t.organisation == nil {
 		return nil
 	}
 	t.cost = t.organisation.Cost(t.call.Tokens())
-	ok, retry := t.gateway.parts.OrganisationLimits.Admit(t.organisation, t.cost)
+	ok, retry := t.gateway.deps.OrganisationLimits.Admit(t.organisation, t.cost)
 	if !ok {
 		return &problem{
 			Status: http.StatusTooManyRequests, Title: "the organisation is at its limit", Outcome: outcomeNotRun, RetryAfter: retry,
 		}
 	}
-	t.counted = true
+	t.charged = true
 	return nil
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -19,20 +19,20 @@
 
 const threeEvents = "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\n"
 
-func TestStreamGoesOnAtAnotherEndpoint(t *testing.T) {
-	serve := inTwoParts(func(w http.ResponseWriter) {
-		_, _ = io.WriteString(w, "id: 3\nda") // torn
+func TestStreamResumesOnAnotherEndpoint(t *testing.T) {
+	serve := breakAfterTwoEvents(func(w http.ResponseWriter) {
+		_, _ = io.WriteString(w, "id: 3\nda") // truncated event
 		_ = http.NewResponseController(w).Flush()
-		broken()
+		abortConnection()
 	})
 	f := newFixture(t, nil, serve, serve)
 	got := f.call(nil)
 	assert.NilError(t, got.Err)
 	assert.Equal(t, got.Body, threeEvents)
-	assert.Equal(t, f.sends.Load(), int64(2))
+	assert.Equal(t, f.dispatches.Load(), int64(2))
 }
 
-func TestStreamThatCantGoOnEndsIncomplete(t *testing.T) {
+func TestUnresumableStreamEndsIncomplete(t *testing.T) {
 	tests := []struct {
 		name   string
 		edit   func(*routetable.Route)
@@ -47,7 +47,7 @@
 			w.Header().Set("X-Not-Run", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}},
-		{"the second endpoint's answer has no signature", nil, func(w http.ResponseWriter, _ *http.Request) {
+		{"the second endpoint's response is unsigned", nil, func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "id: 3\ndata: 3\n\n")
 		}},
 	}
@@ -58,8 +58,8 @@
 					test.second(w, r)
 					return
 				}
-				events(w, 1, 2)
-				broken()
+				writeEvents(w, 1, 2)
+				abortConnection()
 			}
 			f := newFixture(t, test.edit, serve, serve)
 			got := f.call(nil)
@@ -69,11 +69,11 @@
 	}
 }
 
-func TestStreamGoesOnThoughKeysAreOld(t *testing.T) {
+func TestStreamResumesWithStaleKeys(t *testing.T) {
 	var f *fixture
-	serve := inTwoParts(func(http.ResponseWriter) {
-		f.knowledge.age.Store(int64(testKeyAge + time.Second))
-		broken()
+	serve := breakAfterTwoEvents(func(http.ResponseWriter) {
+		f.config.age.Store(int64(testMaxKeyAge + time.Second))
+		abortConnection()
 	})
 	f = newFixture(t, nil, serve, serve)
 	got := f.call(nil)
@@ -81,42 +81,42 @@
 	assert.Equal(t, got.Body, threeEvents)
 }
 
-func TestOldKeysAreRefusedAsNotRun(t *testing.T) {
-	f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 1) })
-	f.knowledge.age.Store(int64(testKeyAge + 1))
+func TestStaleKeysAreRefusedAsNotRun(t *testing.T) {
+	f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 1) })
+	f.config.age.Store(int64(testMaxKeyAge + 1))
 	got := f.call(nil)
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.Header.Get("Retry-After") != "")
-	assert.Equal(t, f.sends.Load(), int64(0))
+	assert.Equal(t, f.dispatches.Load(), int64(0))
 }
 
-func TestEarlierConfigurationIsNotServedByForLong(t *testing.T) {
-	f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 1) })
-	f.knowledge.behind.Store(int64(testBehindMost))
+func TestOutdatedConfigurationIsRefused(t *testing.T) {
+	f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 1) })
+	f.config.behind.Store(int64(testMaxConfigLag))
 	assert.Equal(t, f.call(nil).Status, http.StatusOK)
-	f.knowledge.behind.Store(int64(testBehindMost + 1))
+	f.config.behind.Store(int64(testMaxConfigLag + 1))
 	got := f.call(nil)
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.Header.Get("Retry-After") != "")
-	assert.Equal(t, f.sends.Load(), int64(1))
+	assert.Equal(t, f.dispatches.Load(), int64(1))
 }
 
-func TestSuspensionBeforeTheDispatchIsCounted(t *testing.T) {
-	f := newFixture(t, func(r *routetable.Route) { r.Timeout = time.Minute }, func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 1) })
-	// The machine is suspended while the request is being checked.
-	f.knowledge.asked = func() { f.clock.Add(int64(2 * time.Minute)) }
+func TestSuspensionBeforeDispatchCountsAgainstDeadline(t *testing.T) {
+	f := newFixture(t, func(r *routetable.Route) { r.Timeout = time.Minute }, func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 1) })
+	// The host is suspended during admission.
+	f.config.onAge = func() { f.clock.Add(int64(2 * time.Minute)) }
 	got := f.call(nil)
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable)
-	assert.Equal(t, f.sends.Load(), int64(0))
+	assert.Equal(t, f.dispatches.Load(), int64(0))
 }
 
-func TestSuspensionWhileARequestWaitsIsCounted(t *testing.T) {
+func TestSuspensionWhileQueuedCountsAgainstDeadline(t *testing.T) {
 	const slots = 4
 	busy, free := make(chan struct{}, slots), make(chan struct{})
 	f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) {
 		busy <- struct{}{}
 		<-free
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 	})
 	var callers sync.WaitGroup
 	for range slots {
@@ -134,10 +134,10 @@
 	close(free)
 	assert.Equal(t, (<-waiting).Status, http.StatusServiceUnavailable)
 	callers.Wait()
-	assert.Equal(t, f.sends.Load(), int64(slots))
+	assert.Equal(t, f.dispatches.Load(), int64(slots))
 }
 
-func TestPlainCalls(t *testing.T) {
+func TestPlainServiceRequests(t *testing.T) {
 	ok := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Signed", "yes")
 		_, _ = io.WriteString(w, "whole")
@@ -147,7 +147,7 @@
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "part")
 		_ = http.NewResponseController(w).Flush()
-		broken()
+		abortConnection()
 	}
 	refused := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Not-Run", "1")
@@ -180,13 +180,13 @@
 		sends     int64
 	}{
 		{"answered", routetable.NonIdempotent, 1, []http.HandlerFunc{ok}, 200, 1},
-		{"the endpoint has been replaced", routetable.NonIdempotent, 1, []http.HandlerFunc{replacedTwice, replacedTwice, replacedTwice}, 200, 3},
-		{"all have been replaced", routetable.NonIdempotent, 1, []http.HandlerFunc{replaced, replaced}, 503, 2},
-		{"idempotent, answer lost, repeated up to the bound", routetable.Idempotent, 2, []http.HandlerFunc{cut, cut, cut}, 502, 2},
-		{"non-idempotent, answer lost, never repeated", routetable.NonIdempotent, 2, []http.HandlerFunc{cut, ok}, 0, 0},
+		{"the endpoint was replaced", routetable.NonIdempotent, 1, []http.HandlerFunc{replacedTwice, replacedTwice, replacedTwice}, 200, 3},
+		{"all endpoints were replaced", routetable.NonIdempotent, 1, []http.HandlerFunc{replaced, replaced}, 503, 2},
+		{"idempotent, response lost, retried up to the bound", routetable.Idempotent, 2, []http.HandlerFunc{cut, cut, cut}, 502, 2},
+		{"non-idempotent, response lost, not retried", routetable.NonIdempotent, 2, []http.HandlerFunc{cut, ok}, 0, 0},
 		{"non-idempotent, refused by all", routetable.NonIdempotent, 2, []http.HandlerFunc{refused, refused}, 503, 2},
-		{"an answer without a signature is not passed on", routetable.NonIdempotent, 1, []http.HandlerFunc{unsigned}, 502, 1},
-		{"another request's answer is not passed on", routetable.NonIdempotent, 1, []http.HandlerFunc{foreign}, 504, 1},
+		{"unsigned response is not forwarded", routetable.NonIdempotent, 1, []http.HandlerFunc{unsigned}, 502, 1},
+		{"another request's response is not forwarded", routetable.NonIdempotent, 1, []http.HandlerFunc{foreign}, 504, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -196,23 +196,23 @@
 			}, test.endpoints...)
 			got := f.call(nil)
 			if test.status == 0 {
-				// Which endpoint is chosen is not part of the case: it has run once, whatever was answered.
+				// Either endpoint may be chosen; what matters is that the request ran once.
 				assert.Assert(t, got.Status == 200 || got.Status == 502)
-				assert.Equal(t, f.sends.Load(), int64(1))
+				assert.Equal(t, f.dispatches.Load(), int64(1))
 				return
 			}
 			assert.Equal(t, got.Status, test.status)
-			assert.Equal(t, f.sends.Load(), test.sends)
+			assert.Equal(t, f.dispatches.Load(), test.sends)
 		})
 	}
 }
 
-func TestHeadsAreTheSystemsOwn(t *testing.T) {
+func TestCallerCannotForgeInternalHeaders(t *testing.T) {
 	var seen http.Header
 	var target string
 	f := newFixture(t, nil, func(w http.ResponseWriter, r *http.Request) {
 		seen, target = r.Header.Clone(), r.RequestURI
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 	})
 	got := f.call(func(r *http.Request) {
 		r.Header.Set("X-Organisation", "forged")
@@ -228,7 +228,7 @@
 	assert.Equal(t, target, "/r/x?q=1")
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	tests := []struct {
 		name   string
 		edit   func(*http.Request)
@@ -247,7 +247,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 1) })
+			f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 1) })
 			assert.Equal(t, f.call(test.edit).Status, test.status)
 			if test.status == 200 {
 				got := f.call(test.edit)
@@ -258,11 +258,11 @@
 	}
 }
 
-func TestCallerThatLeavesEndsTheWork(t *testing.T) {
+func TestCallerDisconnectCancelsDispatch(t *testing.T) {
 	ended := make(chan struct{})
-	hour := func(r *routetable.Route) { r.Timeout = time.Hour } // so that nothing else ends it
-	f := newFixture(t, hour, func(w http.ResponseWriter, r *http.Request) {
-		events(w, 1, 1)
+	longTimeout := func(r *routetable.Route) { r.Timeout = time.Hour } // so that only the disconnect ends the request
+	f := newFixture(t, longTimeout, func(w http.ResponseWriter, r *http.Request) {
+		writeEvents(w, 1, 1)
 		<-r.Context().Done()
 		close(ended)
 	})
@@ -280,11 +280,11 @@
 	<-ended
 }
 
-func TestCallerThatDoesNotReadIsCutOff(t *testing.T) {
+func TestCallerThatDoesNotReadIsDisconnected(t *testing.T) {
 	ended := make(chan struct{})
 	f := newFixture(t, func(r *routetable.Route) { r.Timeout, r.Resumable = 300*time.Millisecond, false }, func(w http.ResponseWriter, r *http.Request) {
 		defer close(ended)
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 		for id := 2; r.Context().Err() == nil; id++ {
 			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", id, strings.Repeat("x", 1<<10))
 		}
@@ -300,8 +300,8 @@
 	}
 }
 
-func TestBoundOnWritesEndsWithItsRequest(t *testing.T) {
-	f := newFixture(t, func(r *routetable.Route) { r.Timeout = 50 * time.Millisecond }, func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 1) })
+func TestWriteDeadlineDoesNotOutliveRequest(t *testing.T) {
+	f := newFixture(t, func(r *routetable.Route) { r.Timeout = 50 * time.Millisecond }, func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 1) })
 	assert.Equal(t, f.call(nil).Status, http.StatusOK)
 	time.Sleep(50*time.Millisecond + writeGrace)
 	got := f.call(func(r *http.Request) { r.Header.Set("X-Key", "none") })
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// perConnection are the header fields that concern one connection only (RFC 9110, section 7.6.1). Lengths are set anew.
-var perConnection = []string{
+// hopByHop are the header fields that are not forwarded (RFC 9110, section 7.6.1). Content-Length is set anew.
+var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// endToEnd returns the fields that are passed on.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeader returns a copy of h without the hop-by-hop fields.
+func endToEndHeader(h http.Header) http.Header {
 	out := make(http.Header, len(h)+4)
-	copyHeader(out, h)
+	copyEndToEndHeader(out, h)
 	return out
 }
 
-// copyHeader adds the fields that are passed on.
-func copyHeader(to, from http.Header) {
+// copyEndToEndHeader copies the fields of from to to, without the hop-by-hop fields.
+func copyEndToEndHeader(to, from http.Header) {
 	for name, values := range from {
 		to[name] = values
 	}
@@ -28,11 +28,11 @@
 			to.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range perConnection {
+	for _, name := range hopByHop {
 		delete(to, name)
 	}
 	if _, ok := to["Content-Type"]; !ok {
-		// Keeps the library from guessing one.
+		// A nil value keeps net/http from detecting a type.
 		to["Content-Type"] = nil
 	}
 }
--- a/gateway/log.go
+++ b/gateway/log.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Results of requests in logs and metrics.
+// Results of requests, as written to logs and metrics.
 const (
 	resultAnswered   = "answered"
 	resultRefused    = "refused"
@@ -14,28 +14,28 @@
 	resultBroken     = "broken_off"
 )
 
-func (s step) result() string {
+func (r attemptResult) result() string {
 	switch {
-	case errors.Is(s.err, errCallerGone):
+	case errors.Is(r.err, errCallerGone):
 		return resultCallerGone
-	case s.abort:
+	case r.abort:
 		return resultBroken
-	case s.refusal == nil:
+	case r.refusal == nil:
 		return resultAnswered
-	case s.refusal.Outcome == outcomeUnknown:
+	case r.refusal.Outcome == outcomeUnknown:
 		return resultUnknown
 	default:
 		return resultRefused
 	}
 }
 
-// logEnd writes the one line that each request gets at its end.
-func (t *task) logEnd(s step) {
+// logEnd writes the log line and updates the metrics of a completed request.
+func (t *task) logEnd(r attemptResult) {
 	g := t.gateway
 	total := time.Since(t.started)
 	kind := "none"
-	line := g.parts.Log.Info().Str("request", t.call.ID).Str("result", s.result()).Uint64("version", t.version).
-		Dur("knowledge_age_ms", g.parts.Config.Age(g.parts.Clock()))
+	line := g.deps.Log.Info().Str("request", t.call.ID).Str("result", r.result()).Uint64("version", t.configVersion).
+		Dur("knowledge_age_ms", g.deps.Config.Age(g.deps.Clock()))
 	if t.route != nil {
 		kind = t.route.Kind.String()
 		line.Str("route", t.route.Name).Str("service", t.service)
@@ -43,16 +43,16 @@
 	if t.organisation != nil {
 		line.Str("organisation", string(t.organisation.ID))
 	}
-	status := s.status
-	if s.refusal != nil {
-		status = s.refusal.Status
-		line.Str("reason", s.refusal.Title).Dur("retry_after_ms", s.refusal.RetryAfter)
-		line.AnErr("cause", s.refusal.Cause)
+	status := r.status
+	if r.refusal != nil {
+		status = r.refusal.Status
+		line.Str("reason", r.refusal.Title).Dur("retry_after_ms", r.refusal.RetryAfter)
+		line.AnErr("cause", r.refusal.Cause)
 	}
-	line.Int("status", status).Str("endpoint", string(t.endpoint)).Int("sends", t.sends).Bool("unacknowledged", t.unacknowledged).
-		Dur("waited_ms", t.waited).Int("endpoint_load", t.load).Dur("load_age_ms", t.loadAge).
+	line.Int("status", status).Str("endpoint", string(t.endpoint)).Int("sends", t.dispatches).Bool("unacknowledged", t.unacknowledged).
+		Dur("waited_ms", t.slotWait).Int("endpoint_load", t.endpointLoad).Dur("load_age_ms", t.endpointLoadAge).
 		Float64("endpoint_limit", t.endpointLimit).Dur("endpoint_token_ms", t.tokenTime).Int("prompt_tokens", t.call.PromptTokens).
 		Int("answer_tokens", t.call.AnswerTokens()).Dur("waited_before_ms", t.waitedBefore).
-		Dur("first_ms", t.first).Dur("longest_gap_ms", t.gap).Dur("total_ms", total).Int("events", t.events).AnErr("error", s.err).Msg("request ended")
-	g.metrics.ended(kind, s.result(), t.first, total)
+		Dur("first_ms", t.timeToFirstEvent).Dur("longest_gap_ms", t.longestGap).Dur("total_ms", total).Int("events", t.eventCount).AnErr("error", r.err).Msg("request ended")
+	g.metrics.recordRequest(kind, r.result(), t.timeToFirstEvent, total)
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// metricSet are the gateway's counters and histograms.
+// metricSet holds the gateway's counters and histograms.
 type metricSet struct {
 	set     *metrics.Set
 	retries *metrics.Counter
@@ -15,12 +15,12 @@
 
 func newMetricSet(set *metrics.Set, g *Gateway) *metricSet {
 	set.NewGauge("hawthornrill_requests_active", func() float64 { return float64(g.active.Load()) })
-	set.NewGauge("hawthornrill_request_body_bytes_held", func() float64 { return float64(g.bodies.Load()) })
+	set.NewGauge("hawthornrill_request_body_bytes_held", func() float64 { return float64(g.heldBodyBytes.Load()) })
 	return &metricSet{set: set, retries: set.NewCounter("hawthornrill_request_retries_total")}
 }
 
-// ended counts a request by route kind and result.
-func (m *metricSet) ended(kind, result string, first, total time.Duration) {
+// recordRequest updates the counter and histograms of a completed request; first is zero if no event was received.
+func (m *metricSet) recordRequest(kind, result string, first, total time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("hawthornrill_requests_total{kind=%q,result=%q}", kind, result)).Inc()
 	m.set.GetOrCreateHistogram(fmt.Sprintf("hawthornrill_request_seconds{kind=%q}", kind)).Update(total.Seconds())
 	if first > 0 {
--- a/gateway/protocol.go
+++ b/gateway/protocol.go
@@ -8,33 +8,33 @@
 	"hawthornrill.example/hawthornrill/endpointlimit"
 )
 
-// Call is what the head of a caller's request says.
+// Call is the decoded header of a caller's request.
 type Call struct {
-	// ID names this attempt of the caller.
+	// ID identifies this attempt of the caller.
 	ID string
-	// Key is the organisation's key, empty if there is none.
+	// Key is the organisation's API key, empty if there is none.
 	Key string
-	// Patience is how long the caller waits for the whole answer; zero if it does not say.
+	// Timeout is how long the caller waits for the complete response; zero if not stated.
 	Timeout time.Duration
-	// PromptTokens and MaxAnswerTokens describe a model's request, ExpectedAnswerTokens is the caller's guess; zero if
-	// it does not say.
+	// PromptTokens and MaxAnswerTokens are the sizes of a model request, ExpectedAnswerTokens is the caller's estimate of
+	// the response's length; zero if not stated.
 	PromptTokens         int
 	MaxAnswerTokens      int
 	ExpectedAnswerTokens int
-	// Prompt are the parts of the prompt, the first one first.
+	// Prompt holds the parts of the prompt in order.
 	Prompt []PromptPart
-	// LastEventID is the id of the last event that the caller has, empty at the beginning.
+	// LastEventID is the id of the last event that the caller received, empty if it received none.
 	LastEventID string
 }
 
-// PromptPart is a part of a prompt. Engines that keep it, and all parts before it, need not read it again.
+// PromptPart is a part of a prompt. An engine that has it and all parts before it in its cache need not prefill it again.
 type PromptPart struct {
 	Hash   uint64
 	Tokens int
 }
 
-// blocks returns what identifies each part together with all before it, and their tokens.
-func (c *Call) blocks() (hashes []uint64, tokens []int) {
+// prefixBlocks returns, for each part of the prompt, a hash of the prefix that ends with it and the part's tokens.
+func (c *Call) prefixBlocks() (hashes []uint64, tokens []int) {
 	before := uint64(0)
 	for _, part := range c.Prompt {
 		before = (before ^ part.Hash) * hashMultiplier
@@ -44,13 +44,13 @@
 	return hashes, tokens
 }
 
-// hashMultiplier mixes the hashes of parts in their order (the 64-bit FNV prime).
+// hashMultiplier is the 64-bit FNV prime; it makes a prefix's hash depend on the order of its parts.
 const hashMultiplier = 0x100000001b3
 
-// Tokens is what the call counts under a limit on tokens.
+// Tokens is the number of tokens that the call is charged under a token limit.
 func (c *Call) Tokens() int { return c.PromptTokens + c.MaxAnswerTokens }
 
-// AnswerTokens is the length of the answer to expect.
+// AnswerTokens is the expected length of the response in tokens.
 func (c *Call) AnswerTokens() int {
 	if c.ExpectedAnswerTokens > 0 {
 		return min(c.ExpectedAnswerTokens, max(c.MaxAnswerTokens, 1))
@@ -58,34 +58,34 @@
 	return c.MaxAnswerTokens
 }
 
-// Dispatch is what the system tells an endpoint beside the caller's request.
+// Dispatch is what the gateway adds to the caller's header when it sends a request to an endpoint.
 type Dispatch struct {
 	Endpoint     domain.EndpointID
 	Organisation domain.OrganisationID
-	// TimeLeft is what is left of the time that the request may take.
+	// TimeLeft is the time until the request's deadline.
 	TimeLeft time.Duration
-	// LastEventID is the id of the last event passed on, empty at the beginning.
+	// LastEventID is the id of the last event forwarded, empty if there was none.
 	LastEventID string
 }
 
-// AnswerHead is what the head of an endpoint's answer says.
+// AnswerHead is the decoded header of an endpoint's response.
 type AnswerHead struct {
-	// ID is the request that it answers, empty if it does not say.
+	// ID is the id of the request that it responds to, empty if not stated.
 	ID string
-	// NotRun is the endpoint's promise that it did not and will not run the request.
+	// NotRun is the endpoint's promise that it has not run the request and will not.
 	NotRun bool
-	// Signed is true if the answer is the endpoint's own, rather than something on the way.
+	// Signed is true if the response comes from the endpoint itself and not from an intermediary.
 	Signed bool
-	// Limit is what the endpoint says of how many requests a second it takes from all nodes together.
+	// Limit is the request rate that the endpoint accepts from all nodes together.
 	Limit endpointlimit.Advertisement
 }
 
-// Protocol translates heads. Implementations decide nothing.
+// Protocol translates headers to and from the deployment's format. Implementations make no decisions.
 type Protocol interface {
-	// ReadCall decodes a caller's head; its error tells the caller what is wrong.
+	// ReadCall decodes the header of a caller's request; its error is shown to the caller.
 	ReadCall(head http.Header) (Call, error)
-	// WriteDispatch makes a caller's head, without what concerns one connection, that of a dispatch.
+	// WriteDispatch turns a caller's header, without its hop-by-hop fields, into that of a dispatch.
 	WriteDispatch(head http.Header, d Dispatch)
-	// ReadAnswer decodes the head of an answer.
+	// ReadAnswer decodes the header of an endpoint's response.
 	ReadAnswer(status int, head http.Header) AnswerHead
 }
--- a/gateway/send_test.go
+++ b/gateway/send_test.go
@@ -14,45 +14,45 @@
 	"hawthornrill.example/hawthornrill/routetable"
 )
 
-func TestEndpointThatLeavesGetsNothingNew(t *testing.T) {
-	f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 1) })
-	f.leaves("e0")
+func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
+	f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 1) })
+	f.markLeaving("e0")
 	assert.Equal(t, f.call(nil).Status, http.StatusServiceUnavailable)
-	assert.Equal(t, f.sends.Load(), int64(0))
+	assert.Equal(t, f.dispatches.Load(), int64(0))
 }
 
-func TestWhatChangesBeforeTheSendIsSeen(t *testing.T) {
+func TestChangesBeforeDispatchAreDetected(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*fixture)
 		status int
 	}{
-		{"the endpoint leaves", func(f *fixture) { f.leaves("e0") }, http.StatusServiceUnavailable},
-		{"the keys become too old", func(f *fixture) { f.knowledge.age.Store(int64(testKeyAge + 1)) }, http.StatusServiceUnavailable},
-		{"the key is taken away", func(f *fixture) { f.takeKeysAway() }, http.StatusUnauthorized},
+		{"endpoint leaves", func(f *fixture) { f.markLeaving("e0") }, http.StatusServiceUnavailable},
+		{"keys become stale", func(f *fixture) { f.config.age.Store(int64(testMaxKeyAge + 1)) }, http.StatusServiceUnavailable},
+		{"key is revoked", func(f *fixture) { f.revokeKeys() }, http.StatusUnauthorized},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 1) })
-			f.atSecondLook(func() { test.change(f) })
+			f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 1) })
+			f.onSecondAgeCheck(func() { test.change(f) })
 			assert.Equal(t, f.call(nil).Status, test.status)
-			assert.Equal(t, f.sends.Load(), int64(0))
+			assert.Equal(t, f.dispatches.Load(), int64(0))
 		})
 	}
 }
 
-func TestRequestThatMayHaveRunIsNotSaidNotToHave(t *testing.T) {
+func TestRequestThatMayHaveRunIsNotReportedAsNotRun(t *testing.T) {
 	var f *fixture
 	f = newFixture(t, func(r *routetable.Route) { r.Kind = routetable.Idempotent }, func(http.ResponseWriter, *http.Request) {
-		f.leaves("e0") // so that there is no place for another attempt
-		broken()
+		f.markLeaving("e0") // so that there is no slot for another attempt
+		abortConnection()
 	})
 	got := f.call(nil)
 	assert.Equal(t, got.Status, http.StatusBadGateway)
-	assert.Equal(t, f.sends.Load(), int64(1))
+	assert.Equal(t, f.dispatches.Load(), int64(1))
 }
 
-func TestNoSendBeyondTheBudgetOfRetries(t *testing.T) {
+func TestRetryBudgetLimitsDispatches(t *testing.T) {
 	refused := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -61,11 +61,11 @@
 	f.retries = retrybudget.Options{Window: time.Minute}
 	f.start()
 	assert.Equal(t, f.call(nil).Status, http.StatusServiceUnavailable)
-	assert.Equal(t, f.sends.Load(), int64(1))
+	assert.Equal(t, f.dispatches.Load(), int64(1))
 }
 
-func TestBodiesHeldAreBounded(t *testing.T) {
-	f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { events(w, 1, 1) })
+func TestHeldBodyBytesAreBounded(t *testing.T) {
+	f := newFixture(t, nil, func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, 1, 1) })
 	f.bodyBytes = 100
 	f.start()
 	withBody := func(bytes int) result {
@@ -76,12 +76,12 @@
 	tooMuch := withBody(101)
 	assert.Equal(t, tooMuch.Status, http.StatusServiceUnavailable)
 	assert.Assert(t, tooMuch.Header.Get("Retry-After") != "")
-	assert.Equal(t, f.sends.Load(), int64(0))
-	assert.Equal(t, withBody(100).Status, http.StatusOK, "what was refused is held no longer")
-	assert.Equal(t, withBody(100).Status, http.StatusOK, "nor what was answered")
+	assert.Equal(t, f.dispatches.Load(), int64(0))
+	assert.Equal(t, withBody(100).Status, http.StatusOK, "the refused body was not released")
+	assert.Equal(t, withBody(100).Status, http.StatusOK, "the previous body was not released")
 }
 
-func TestRequestThatHasNotRunDoesNotCountUnderTheLimit(t *testing.T) {
+func TestRequestNotRunIsNotChargedToLimit(t *testing.T) {
 	var asked atomic.Int64
 	f := newFixture(t, func(r *routetable.Route) { r.MaxEndpoints = 1 }, func(w http.ResponseWriter, _ *http.Request) {
 		if asked.Add(1) == 1 {
@@ -89,17 +89,17 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 	})
-	most := func(r *http.Request) { r.Header.Set("X-Tokens", "700") }
+	withTokens := func(r *http.Request) { r.Header.Set("X-Tokens", "700") }
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusOK, http.StatusTooManyRequests} {
-		assert.Equal(t, f.call(most).Status, status)
+		assert.Equal(t, f.call(withTokens).Status, status)
 	}
 }
 
-func TestStreamThatEndsWithinAnEventGoesOnElsewhere(t *testing.T) {
-	serve := inTwoParts(func(w http.ResponseWriter) {
-		_, _ = io.WriteString(w, "id: 3\nda") // and a proper end of the connection's message
+func TestStreamEndingWithinAnEventResumesElsewhere(t *testing.T) {
+	serve := breakAfterTwoEvents(func(w http.ResponseWriter) {
+		_, _ = io.WriteString(w, "id: 3\nda") // followed by a proper end of the response body
 	})
 	f := newFixture(t, nil, serve, serve)
 	got := f.call(nil)
@@ -107,19 +107,19 @@
 	assert.Equal(t, got.Body, threeEvents)
 }
 
-// Pattern: a request crashes each endpoint that runs it, and comes again.
-func TestRequestThatBreaksOffThreeEndpointsIsNotSentAgain(t *testing.T) {
-	crash := func(http.ResponseWriter, *http.Request) { broken() }
+// Guards against a request that crashes every endpoint that runs it and is retried by its caller.
+func TestRequestThatCrashesThreeEndpointsIsQuarantined(t *testing.T) {
+	crash := func(http.ResponseWriter, *http.Request) { abortConnection() }
 	f := newFixture(t, nil, crash, crash, crash, crash, crash)
 	for range 2 {
 		assert.Equal(t, f.call(nil).Status, http.StatusBadGateway)
 	}
-	sent := f.sends.Load()
+	sent := f.dispatches.Load()
 	assert.Assert(t, sent >= 3 && sent <= 4, "%d", sent)
 	got := f.call(nil)
 	assert.Equal(t, got.Status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.Header.Get("Retry-After") != "")
-	assert.Equal(t, f.sends.Load(), sent, "it has not run")
+	assert.Equal(t, f.dispatches.Load(), sent, "the quarantined request was dispatched")
 	other := f.call(func(r *http.Request) { r.URL.Path += "other" })
-	assert.Equal(t, other.Status, http.StatusBadGateway, "another request is sent")
+	assert.Equal(t, other.Status, http.StatusBadGateway, "a request with other content was not dispatched")
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -12,39 +12,39 @@
 
 var (
 	errEndpointFailed = errors.New("gateway: the endpoint answered that it failed")
-	errUnsigned       = errors.New("gateway: the answer bears no signature of an endpoint")
-	errTornEvent      = errors.New("gateway: the stream ended within an event")
+	errUnsigned       = errors.New("gateway: response has no endpoint signature")
+	errTruncatedEvent = errors.New("gateway: stream ended in the middle of an event")
 )
 
-// passStream passes whole events on as they come. The head goes with the first event, so that a stream that breaks off
-// before it can be asked for again as a new one.
-func (d *dispatched) passStream(answer *exchange.Answer) step {
-	t := d.task
-	events := newEventReader(answer)
+// forwardStream forwards complete events as they arrive. The header is sent with the first event, so that a stream that
+// breaks off before it can be requested again from the beginning.
+func (a *attempt) forwardStream(response *exchange.Answer) attemptResult {
+	t := a.task
+	events := newEventReader(response)
 	for {
 		event, err := events.next()
 		if errors.Is(err, io.EOF) {
-			return d.ended(answer)
+			return a.streamEnded(response)
 		}
 		if err != nil {
-			return d.broken(err)
+			return a.responseLost(err)
 		}
-		d.heard()
-		if err := d.passEvent(answer, event); err != nil {
-			d.release(capacity.Result{})
-			return step{done: true, abort: true, err: errCallerGone}
+		a.recordEvent()
+		if err := a.forwardEvent(response, event); err != nil {
+			a.release(capacity.Result{})
+			return attemptResult{final: true, abort: true, err: errCallerGone}
 		}
-		t.events++
+		t.eventCount++
 		if event.id != "" {
-			t.lastEvent = event.id
+			t.lastEventID = event.id
 		}
 	}
 }
 
-func (d *dispatched) passEvent(answer *exchange.Answer, event event) error {
-	t := d.task
+func (a *attempt) forwardEvent(response *exchange.Answer, event event) error {
+	t := a.task
 	if !t.headSent {
-		d.passHead(answer)
+		a.forwardHead(response)
 	}
 	if _, err := t.writer.Write(event.data); err != nil {
 		return err
@@ -52,43 +52,43 @@
 	return http.NewResponseController(t.writer).Flush()
 }
 
-func (d *dispatched) passHead(answer *exchange.Answer) {
-	t := d.task
+func (a *attempt) forwardHead(response *exchange.Answer) {
+	t := a.task
 	h := t.writer.Header()
-	copyHeader(h, answer.Header)
+	copyEndToEndHeader(h, response.Header)
 	h.Del("Content-Length")
 	t.headSent = true
-	t.writer.WriteHeader(answer.StatusCode)
+	t.writer.WriteHeader(response.StatusCode)
 }
 
-// ended is the proper end of a stream.
-func (d *dispatched) ended(answer *exchange.Answer) step {
-	t := d.task
+// streamEnded completes a stream that ended properly.
+func (a *attempt) streamEnded(response *exchange.Answer) attemptResult {
+	t := a.task
 	if !t.headSent {
-		d.passHead(answer)
+		a.forwardHead(response)
 	}
-	t.gateway.parts.Quarantine.Completed(t.content)
-	d.release(capacity.Result{Complete: true})
-	return step{done: true, status: answer.StatusCode}
+	t.gateway.deps.Quarantine.Completed(t.contentHash)
+	a.release(capacity.Result{Complete: true})
+	return attemptResult{final: true, status: response.StatusCode}
 }
 
-// event is one event of a stream with its blank line.
+// event is one server-sent event, including its final blank line.
 type event struct {
 	id   string
 	data []byte
 }
 
-// eventReader reads whole events.
+// eventReader reads complete events from a stream.
 type eventReader struct {
 	lines lineReader
-	// data is used again by each event.
+	// data is the buffer that all events share.
 	data []byte
 }
 
 func newEventReader(r io.Reader) *eventReader { return &eventReader{lines: newLineReader(r)} }
 
-// next returns the next event, io.EOF after the last one, and an error that wraps endpoint.ErrBroken if the stream
-// ends before its end mark or within an event. The event is valid until the next call.
+// next returns the next event, io.EOF after the last one, or an error that wraps endpoint.ErrBroken if the stream is
+// truncated or ends in the middle of an event. The event is valid until the next call.
 func (r *eventReader) next() (event, error) {
 	r.data = r.data[:0]
 	var e event
@@ -99,11 +99,11 @@
 		case errors.Is(err, io.EOF) && len(r.data) == 0:
 			return event{}, io.EOF
 		case errors.Is(err, io.EOF):
-			return event{}, errors.Join(endpoint.ErrBroken, errTornEvent)
+			return event{}, errors.Join(endpoint.ErrBroken, errTruncatedEvent)
 		case err != nil:
 			return event{}, err
 		case len(r.data) > maxEventBytes:
-			return event{}, errors.Join(endpoint.ErrBroken, errLongEvent)
+			return event{}, errors.Join(endpoint.ErrBroken, errEventTooLong)
 		}
 		text := trimLine(line)
 		if len(text) == 0 {
--- a/gateway/task.go
+++ b/gateway/task.go
@@ -16,12 +16,12 @@
 )
 
 var (
-	errTimeout    = errors.New("gateway: the request's time is over")
-	errStalled    = errors.New("gateway: the endpoint does not answer")
-	errCallerGone = errors.New("gateway: the caller is gone")
+	errTimeout    = errors.New("gateway: request deadline exceeded")
+	errStalled    = errors.New("gateway: endpoint stalled, no data received in time")
+	errCallerGone = errors.New("gateway: caller disconnected")
 )
 
-// task is one request in progress, run by one goroutine.
+// task is one request in progress; one goroutine runs it.
 type task struct {
 	gateway *Gateway
 	writer  http.ResponseWriter
@@ -29,121 +29,122 @@
 	arrived boottime.Instant
 	started time.Time
 
-	call         Call
-	version      uint64
-	route        *routetable.Route
-	organisation *routetable.Organisation
-	keyed        bool
-	allowed      time.Duration
-	// waitedBefore is how long the caller has probably been waiting when it sent this attempt.
+	call          Call
+	configVersion uint64
+	route         *routetable.Route
+	organisation  *routetable.Organisation
+	requiresKey   bool
+	timeout       time.Duration
+	// waitedBefore estimates how long the caller had been waiting when it sent this attempt.
 	waitedBefore time.Duration
 	body         []byte
-	// content identifies what is asked and by whom.
-	content uint64
-	cost    float64
-	counted bool
+	// contentHash identifies the request's content and key.
+	contentHash uint64
+	cost        float64
+	charged     bool
 
 	ctx     context.Context
 	service string
 	tried   []domain.EndpointID
-	// sends counts dispatches, mayHaveRun is true once one of them may have run.
-	sends      int
+	// mayHaveRun is true once one of the dispatches may have run.
+	dispatches int
 	mayHaveRun bool
-	// misdirected counts the dispatches that another life of the endpoint turned away.
+	// misdirected counts the dispatches that were rejected because another endpoint or incarnation was at the
+	// address.
 	misdirected int
-	// headSent is true once the head of an answer was passed on, lastEvent is the last event's id.
-	headSent  bool
-	lastEvent string
+	// headSent is true once a response header was forwarded; lastEventID is the id of the last event forwarded.
+	headSent    bool
+	lastEventID string
 
-	// For the log.
-	waited time.Duration
-	first  time.Duration
-	// gap is the longest pause between two events of one endpoint.
-	gap      time.Duration
-	endpoint domain.EndpointID
-	events   int
-	load     int
-	loadAge  time.Duration
-	// tokenTime is what the endpoint was thought to take for a token.
+	// The remaining fields are for the log.
+	slotWait         time.Duration
+	timeToFirstEvent time.Duration
+	// longestGap is the longest time between two events of one endpoint.
+	longestGap      time.Duration
+	endpoint        domain.EndpointID
+	eventCount      int
+	endpointLoad    int
+	endpointLoadAge time.Duration
+	// tokenTime is the estimated time of a token at the endpoint.
 	tokenTime time.Duration
-	// endpointLimit is the requests a second that the endpoint took from all nodes together, zero if it had named none.
+	// endpointLimit is the endpoint's advertised limit in requests a second over all nodes, zero if it has none.
 	endpointLimit float64
-	// unacknowledged is true if the endpoint's host had not acknowledged the whole request when the last send ended.
+	// unacknowledged is true if the endpoint's host had not acknowledged the whole request when the last attempt ended.
 	unacknowledged bool
 }
 
 func newTask(g *Gateway, w http.ResponseWriter, r *http.Request) *task {
-	return &task{gateway: g, writer: w, request: r, arrived: g.parts.Clock(), started: time.Now()}
+	return &task{gateway: g, writer: w, request: r, arrived: g.deps.Clock(), started: time.Now()}
 }
 
-func (t *task) close() { t.gateway.bodies.Add(-int64(len(t.body))) }
+func (t *task) releaseBody() { t.gateway.heldBodyBytes.Add(-int64(len(t.body))) }
 
-// left is what is left of the request's time, suspensions of the machine counted.
-func (t *task) left() time.Duration { return t.allowed - t.gateway.parts.Clock().Sub(t.arrived) }
+// timeLeft is the time until the request's deadline. Time in which the host was suspended counts.
+func (t *task) timeLeft() time.Duration { return t.timeout - t.gateway.deps.Clock().Sub(t.arrived) }
 
-// run dispatches the request until there is a final answer.
+// run makes attempts until there is a final response.
 func (t *task) run() {
-	ctx, cancel := context.WithTimeoutCause(t.request.Context(), t.left(), errTimeout)
+	ctx, cancel := context.WithTimeoutCause(t.request.Context(), t.timeLeft(), errTimeout)
 	defer cancel()
 	t.ctx = ctx
-	t.boundWrites(time.Now().Add(max(t.left(), 0) + writeGrace))
-	t.lastEvent = t.call.LastEventID
+	t.setWriteDeadline(time.Now().Add(max(t.timeLeft(), 0) + writeGrace))
+	t.lastEventID = t.call.LastEventID
 	t.service = t.route.Service(xxhash.Sum64String(t.call.ID))
-	t.gateway.parts.RetryBudget.Request(t.service)
+	t.gateway.deps.RetryBudget.Request(t.service)
 	for tries := 0; ; tries++ {
 		next := t.attempt()
-		if next.done {
+		if next.final {
 			t.finish(next)
 			return
 		}
-		if tries >= maxPlaceTries {
+		if tries >= maxRepeatedAttempts {
 			t.finish(t.giveUp(next.err))
 			return
 		}
 	}
 }
 
-// writeGrace is how much longer than a request's time its caller may take to read what is left of the answer.
+// writeGrace is the time after a request's deadline in which its caller may read the rest of the response.
 const writeGrace = time.Second
 
-// boundWrites ends writes to a caller that does not read; the zero time lifts the bound of an earlier request on the
-// connection.
-func (t *task) boundWrites(until time.Time) {
+// setWriteDeadline bounds writes to a caller that does not read; the zero time removes the deadline of an earlier request
+// on the connection.
+func (t *task) setWriteDeadline(until time.Time) {
 	_ = http.NewResponseController(t.writer).SetWriteDeadline(until) // supported by net/http's server
 }
 
-// step is what an attempt came to: a final answer that was passed on, one of the node's own, or another attempt.
-type step struct {
-	done bool
-	// refusal is the node's own answer, nil if an endpoint's was passed on.
+// attemptResult is the result of an attempt: a final response, forwarded or generated by the node, or another attempt.
+type attemptResult struct {
+	final bool
+	// refusal is the response generated by the node, nil if an endpoint's was forwarded.
 	refusal *problem
-	// abort breaks the connection off, because part of an answer was passed on.
+	// abort closes the caller's connection without completing the response.
 	abort  bool
 	status int
 	err    error
 }
 
-// attempt gets a place and dispatches once.
-func (t *task) attempt() step {
-	place, err := t.gateway.parts.Places.Acquire(t.ctx, t.ask())
+// attempt acquires a slot and dispatches the request once.
+func (t *task) attempt() attemptResult {
+	slot, err := t.gateway.deps.Places.Acquire(t.ctx, t.slotRequest())
 	if err != nil {
-		return t.noPlace(err)
+		return t.noSlot(err)
 	}
-	t.waited += place.Waited
-	if refusal := t.stillAllowed(); refusal != nil {
-		place.Release(notUsed)
-		return step{done: true, refusal: refusal}
+	t.slotWait += slot.Waited
+	if refusal := t.recheckBeforeDispatch(); refusal != nil {
+		slot.Release(resultNotDispatched)
+		return attemptResult{final: true, refusal: refusal}
 	}
-	if e := t.gateway.parts.Directory.Current().Endpoint(place.Endpoint.Incarnation()); e == nil || e.Leaving {
-		// It left while the request waited.
-		place.Release(notUsed)
-		return step{}
+	if e := t.gateway.deps.Directory.Current().Endpoint(slot.Endpoint.Incarnation()); e == nil || e.Leaving {
+		// The endpoint began to leave, or left, while the request was queued.
+		slot.Release(resultNotDispatched)
+		return attemptResult{}
 	}
-	return t.dispatch(place)
+	return t.dispatch(slot)
 }
 
-func (t *task) ask() *places.Ask {
-	ask := &places.Ask{
+func (t *task) slotRequest() *places.Ask {
+	request := &places.Ask{
 		Name:         t.call.ID,
 		Service:      t.service,
 		Tier:         t.route.Tier,
@@ -154,61 +155,61 @@
 		EventTokens:  t.eventTokens(),
 		Fingerprint:  xxhash.Sum64String(t.call.ID),
 		FirstByteDue: t.started.Add(t.route.FirstByte - t.waitedBefore),
-		Due:          t.started.Add(t.allowed),
+		Due:          t.started.Add(t.timeout),
 		Excluded:     t.tried,
 		Urgent:       t.headSent || t.mayHaveRun,
 	}
-	ask.Blocks, ask.BlockTokens = t.call.blocks()
+	request.Blocks, request.BlockTokens = t.call.prefixBlocks()
 	if t.organisation != nil {
-		ask.Organisation = t.organisation.ID
+		request.Organisation = t.organisation.ID
 		if t.organisation.HasTier {
-			ask.Tier, ask.Within = t.organisation.Tier, t.route.Tier
+			request.Tier, request.Within = t.organisation.Tier, t.route.Tier
 		}
 	}
-	return ask
+	return request
 }
 
-// stillAllowed checks again, immediately before a dispatch, what may have changed while the request waited or the
-// process was suspended.
-func (t *task) stillAllowed() *problem {
-	if t.left() < leastTimeLeft {
-		return t.outOfTime()
+// recheckBeforeDispatch repeats, immediately before a dispatch, the checks whose result may have changed while the request
+// was queued or the process was suspended.
+func (t *task) recheckBeforeDispatch() *problem {
+	if t.timeLeft() < minDispatchTime {
+		return t.timeoutProblem()
 	}
-	if refused := t.quarantined(); refused != nil {
-		return t.honest(refused)
+	if refused := t.checkQuarantine(); refused != nil {
+		return t.unknownIfMayHaveRun(refused)
 	}
-	if !t.keyed || t.mayHaveRun {
-		// A request that has begun to run was allowed when it was sent, and may go on.
+	if !t.requiresKey || t.mayHaveRun {
+		// A request that may have run was authorised when it was dispatched and may continue.
 		return nil
 	}
-	if t.keysTooOld() {
-		return t.honest(notReady("the keys in force are not known"))
+	if t.keysStale() {
+		return t.unknownIfMayHaveRun(unavailable("the keys in force are not known"))
 	}
-	if t.gateway.parts.Config.Table().Organisation(t.call.Key) == nil {
-		return t.honest(&problem{Status: http.StatusUnauthorized, Title: "the key is no longer in force"})
+	if t.gateway.deps.Config.Table().Organisation(t.call.Key) == nil {
+		return t.unknownIfMayHaveRun(&problem{Status: http.StatusUnauthorized, Title: "the key is no longer in force"})
 	}
 	return nil
 }
 
-// honest makes the answer one that promises nothing if the request may have run.
-func (t *task) honest(p *problem) *problem {
+// unknownIfMayHaveRun replaces p by a 502 with an unknown outcome if the request may have run.
+func (t *task) unknownIfMayHaveRun(p *problem) *problem {
 	if !t.mayHaveRun {
 		return p
 	}
 	return &problem{Status: http.StatusBadGateway, Title: p.Title, Outcome: outcomeUnknown, Cause: p.Cause}
 }
 
-func (t *task) outOfTime() *problem {
+func (t *task) timeoutProblem() *problem {
 	if t.mayHaveRun {
 		return &problem{Status: http.StatusGatewayTimeout, Title: "the request's time is over", Outcome: outcomeUnknown}
 	}
 	return &problem{
-		Status: http.StatusServiceUnavailable, Title: "no endpoint was free in time", Outcome: outcomeNotRun, RetryAfter: soonRetry,
+		Status: http.StatusServiceUnavailable, Title: "no endpoint was free in time", Outcome: outcomeNotRun, RetryAfter: shortRetryAfter,
 	}
 }
 
-// noPlace is the end of a request that gets no place.
-func (t *task) noPlace(err error) step {
+// noSlot ends a request that got no slot.
+func (t *task) noSlot(err error) attemptResult {
 	var refusal *places.Refusal
 	switch {
 	case errors.As(err, &refusal):
@@ -218,53 +219,53 @@
 			Cause: fmt.Errorf("%w (wait %v, ahead %d, free %d, limited %d)", refusal, refusal.Wait, refusal.Ahead, refusal.Free,
 				refusal.Limited),
 		}
-		return step{done: true, refusal: t.honest(p), err: err}
+		return attemptResult{final: true, refusal: t.unknownIfMayHaveRun(p), err: err}
 	case errors.Is(err, errTimeout):
-		return step{done: true, refusal: t.outOfTime(), err: err}
+		return attemptResult{final: true, refusal: t.timeoutProblem(), err: err}
 	default:
-		return step{done: true, err: errCallerGone, abort: true}
+		return attemptResult{final: true, err: errCallerGone, abort: true}
 	}
 }
 
-// giveUp is the end after an attempt that can't be repeated.
-func (t *task) giveUp(err error) step {
-	s := step{done: true, err: err}
+// giveUp ends a request after an attempt that can't be retried.
+func (t *task) giveUp(err error) attemptResult {
+	r := attemptResult{final: true, err: err}
 	switch {
 	case errors.Is(err, errTimeout):
-		s.refusal = t.outOfTime()
+		r.refusal = t.timeoutProblem()
 	case t.mayHaveRun:
-		s.refusal = &problem{Status: http.StatusBadGateway, Title: "the endpoint's answer was lost", Outcome: outcomeUnknown, Cause: err}
+		r.refusal = &problem{Status: http.StatusBadGateway, Title: "the endpoint's answer was lost", Outcome: outcomeUnknown, Cause: err}
 	default:
-		s.refusal = &problem{
+		r.refusal = &problem{
 			Status: http.StatusServiceUnavailable, Title: "no endpoint took the request", Outcome: outcomeNotRun,
-			RetryAfter: soonRetry, Cause: err,
+			RetryAfter: shortRetryAfter, Cause: err,
 		}
 	}
-	return s
+	return r
 }
 
-// finish tells the caller, unless an endpoint's answer was passed on, and logs the end.
-func (t *task) finish(s step) {
-	if t.counted && !t.mayHaveRun {
-		t.gateway.parts.OrganisationLimits.Refund(t.organisation, t.cost)
+// finish logs the end and responds to the caller, unless an endpoint's response was forwarded.
+func (t *task) finish(r attemptResult) {
+	if t.charged && !t.mayHaveRun {
+		t.gateway.deps.OrganisationLimits.Refund(t.organisation, t.cost)
 	}
-	if t.headSent && s.refusal != nil {
-		// An answer of the node's own can't follow a part of an endpoint's: it would end as if it were complete.
-		s.abort = true
+	if t.headSent && r.refusal != nil {
+		// The node's response can't follow part of an endpoint's: the caller would take the whole for a complete response.
+		r.abort = true
 	}
-	t.logEnd(s)
+	t.logEnd(r)
 	switch {
-	case s.abort:
-		// The library ends the connection without an end mark.
+	case r.abort:
+		// net/http closes the connection without ending the response.
 		panic(http.ErrAbortHandler)
-	case s.refusal != nil:
-		s.refusal.write(t.writer)
+	case r.refusal != nil:
+		r.refusal.write(t.writer)
 	}
 }
 
-// refuse answers a request that was not admitted.
+// refuse responds to a request that was not admitted.
 func (t *task) refuse(p *problem) {
-	t.close()
-	t.logEnd(step{refusal: p, err: p.Cause})
+	t.releaseBody()
+	t.logEnd(attemptResult{refusal: p, err: p.Cause})
 	p.write(t.writer)
 }
--- a/gateway/whole.go
+++ b/gateway/whole.go
@@ -10,52 +10,52 @@
 	"hawthornrill.example/hawthornrill/routetable"
 )
 
-// passWhole reads the answer to its end before any of it is passed on, so that one that breaks off can be asked for
-// again or reported, and never looks complete. Only an answer longer than the bound is passed on as it comes.
-func (d *dispatched) passWhole(answer *exchange.Answer, head AnswerHead) step {
-	t := d.task
-	body, err := io.ReadAll(io.LimitReader(answer, maxWholeAnswer+1))
+// forwardBuffered reads the whole response before forwarding any of it, so that a truncated one can be retried or reported
+// and never looks complete. Only a response longer than maxBufferedBytes is forwarded as it arrives.
+func (a *attempt) forwardBuffered(response *exchange.Answer, head AnswerHead) attemptResult {
+	t := a.task
+	body, err := io.ReadAll(io.LimitReader(response, maxBufferedBytes+1))
 	if err != nil {
-		return d.broken(err)
+		return a.responseLost(err)
 	}
-	failed := answer.StatusCode >= http.StatusInternalServerError
-	blamed := failed && d.blamesFailure()
+	failed := response.StatusCode >= http.StatusInternalServerError
+	blamed := failed && a.failureBlamesEndpoint()
 	result := capacity.Result{Complete: !blamed, Unreachable: blamed}
-	if failed && t.canRepeat() && t.gateway.parts.RetryBudget.Available(t.service) {
-		d.release(result)
-		return d.again(errEndpointFailed, false)
+	if failed && t.canRetry() && t.gateway.deps.RetryBudget.Available(t.service) {
+		a.release(result)
+		return a.retry(errEndpointFailed, false)
 	}
 	if !head.Signed && !failed {
-		// Nobody vouches for it: it may not be the endpoint's whole answer.
-		return d.broken(errUnsigned)
+		// Without a signature it may not be the endpoint's complete response.
+		return a.responseLost(errUnsigned)
 	}
 	if !failed {
-		t.gateway.parts.Quarantine.Completed(t.content)
+		t.gateway.deps.Quarantine.Completed(t.contentHash)
 	}
-	d.deliver(answer, body)
-	if len(body) > maxWholeAnswer {
-		if _, err := io.Copy(t.writer, answer); err != nil {
-			d.release(capacity.Result{})
-			return step{done: true, abort: true, err: err}
+	a.writeBuffered(response, body)
+	if len(body) > maxBufferedBytes {
+		if _, err := io.Copy(t.writer, response); err != nil {
+			a.release(capacity.Result{})
+			return attemptResult{final: true, abort: true, err: err}
 		}
 	}
-	d.release(result)
-	return step{done: true, status: answer.StatusCode}
+	a.release(result)
+	return attemptResult{final: true, status: response.StatusCode}
 }
 
-// blamesFailure reports whether an answer that says it failed tells of the endpoint. Plain services fail some requests
-// for reasons of their own.
-func (d *dispatched) blamesFailure() bool { return d.task.route.Kind == routetable.Stream }
+// failureBlamesEndpoint reports whether a 5xx response counts as a failure of the endpoint. Plain services also fail
+// some requests for reasons of their own.
+func (a *attempt) failureBlamesEndpoint() bool { return a.task.route.Kind == routetable.Stream }
 
-// deliver passes the head and the body on.
-func (d *dispatched) deliver(answer *exchange.Answer, body []byte) {
-	t := d.task
+// writeBuffered writes the response's header and buffered body to the caller.
+func (a *attempt) writeBuffered(response *exchange.Answer, body []byte) {
+	t := a.task
 	h := t.writer.Header()
-	copyHeader(h, answer.Header)
-	if len(body) <= maxWholeAnswer && t.request.Method != http.MethodHead {
+	copyEndToEndHeader(h, response.Header)
+	if len(body) <= maxBufferedBytes && t.request.Method != http.MethodHead {
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	t.headSent = true
-	t.writer.WriteHeader(answer.StatusCode)
-	_, _ = t.writer.Write(body) // a caller that is gone reads nothing
+	t.writer.WriteHeader(response.StatusCode)
+	_, _ = t.writer.Write(body) // fails only if the caller has disconnected
 }
