--- a/endpointlimit/doc.go
+++ b/endpointlimit/doc.go
@@ -1,10 +1,10 @@
-// Package endpointlimit keeps what endpoints say of how many requests a second they take from all nodes together.
+// Package endpointlimit keeps the request-rate limits that endpoints advertise, each over all nodes together.
 //
-// An endpoint names its limit in its answers, for as long as it holds. Each node learns it from the answers that it gets and
-// from the other nodes' reports; what was stated later replaces what was stated earlier, whoever heard it. Then some nodes
-// share the limit, each with a bucket of its own, without a message before a request.
+// An endpoint advertises its limit in its responses, for as long as it applies. Each node learns it from the responses that it
+// receives and from the other nodes' reports; the latest advertisement wins, whichever node received it. Some of the nodes then
+// share the limit, each with a token bucket of its own, and no message is needed before a request.
 //
-// Guarantees under failure. What the nodes that know of a limit send in any time t is at most the limit times t and burstSeconds
-// of it (one request at least), whichever of them hear each other. A node that is silent keeps its share until it is forgotten.
-// A new life of a node may send what it will until it hears of the limit, and begins its share with nothing.
+// Guarantees under failure. In any time t, the nodes that know of a limit together send at most (t + burstSeconds) times the
+// limit (one request at least), even if they don't hear each other. A node that is silent keeps its share until its peers forget
+// it. A restarted node sends without a limit until it learns of the limit, and then starts with an empty bucket.
 package endpointlimit
--- a/endpointlimit/example_test.go
+++ b/endpointlimit/example_test.go
@@ -14,7 +14,7 @@
 	"hawthornrill.example/hawthornrill/gossip"
 )
 
-// Two nodes share what an endpoint says that it takes; one of them hears it from the other.
+// Two nodes share an endpoint's advertised limit; one of them learns of it from the other's report.
 func Example() {
 	now := boottime.Instant(time.Hour)
 	list := directory.New()
@@ -28,7 +28,7 @@
 	fmt.Println(limiter.Allows(endpoint))
 	limiter.ApplyReport(&gossip.Report{From: "palermo-1", Limits: []gossip.EndpointLimit{{Endpoint: "e", PerSecond: 4}}})
 	fmt.Println(limiter.Allows(endpoint))
-	now = now.Add(500 * time.Millisecond) // its share is two a second
+	now = now.Add(500 * time.Millisecond) // this node's share is two requests a second
 	fmt.Println(limiter.Allows(endpoint), limiter.Take(endpoint), limiter.Allows(endpoint))
 	// Output:
 	// true
--- a/endpointlimit/limit.go
+++ b/endpointlimit/limit.go
@@ -5,21 +5,22 @@
 	"hawthornrill.example/hawthornrill/gossip"
 )
 
-// limit is what is known of an endpoint's limit.
+// limit is the known state of one endpoint's limit.
 type limit struct {
 	perSecond float64
-	// ended is true once the endpoint no longer names it.
+	// ended is true once the endpoint no longer advertises the limit.
 	ended bool
-	// statedAt is when the endpoint stated this, ownAt when it last stated it to this node, zero if it did not.
-	statedAt boottime.Instant
-	ownAt    boottime.Instant
+	// advertisedAt is when the endpoint made the latest advertisement known; receivedAt is when it last made one to this node,
+	// zero if it never did.
+	advertisedAt boottime.Instant
+	receivedAt   boottime.Instant
 
-	// bucket fills with this node's share, which was worked out at sharedAt.
-	bucket   bucket
-	sharedAt boottime.Instant
+	// bucket is refilled at this node's share, which was computed at shareComputedAt.
+	bucket          bucket
+	shareComputedAt boottime.Instant
 }
 
-// equal reports whether the limit is the one that is told.
-func (l *limit) equal(told gossip.EndpointLimit) bool {
-	return l.ended == told.Ended && (told.Ended || l.perSecond == told.PerSecond)
+// matches reports whether the limit is the reported one.
+func (l *limit) matches(reported gossip.EndpointLimit) bool {
+	return l.ended == reported.Ended && (reported.Ended || l.perSecond == reported.PerSecond)
 }
--- a/endpointlimit/limiter.go
+++ b/endpointlimit/limiter.go
@@ -16,168 +16,167 @@
 )
 
 const (
-	// tellFor is how long a statement is told to the other nodes after the endpoint made it to this one.
-	tellFor = 5 * time.Second
-	// forgetAfter is how long a limit is kept that the endpoint has not stated again to any node heard.
-	forgetAfter = 30 * time.Second
-	// shareEvery is how often a node's share is worked out anew, since nodes come and go.
-	shareEvery = 500 * time.Millisecond
+	// reportFor is how long a node reports an advertisement to its peers after receiving it from the endpoint.
+	reportFor = 5 * time.Second
+	// expireAfter is how long a limit is kept without a further advertisement, received here or reported by a peer.
+	expireAfter = 30 * time.Second
+	// shareInterval is the time between computations of a node's share, since nodes join and leave.
+	shareInterval = 500 * time.Millisecond
 )
 
-// Config are what a Limiter works with.
+// Config is a Limiter's configuration and dependencies.
 type Config struct {
 	Self  domain.NodeID
 	Clock boottime.Clock
-	// Members are all nodes that may be alive, this one included.
-	Members func() []domain.Member
-	// Directory lists the endpoints.
+	// Members returns all nodes that may be alive, this one included.
+	Members   func() []domain.Member
 	Directory *directory.Directory
 	Log       zerolog.Logger
 	Metrics   *metrics.Set
 }
 
-// Limiter keeps the endpoints' limits. It is safe for concurrent use.
+// Limiter enforces the endpoints' limits on this node's requests. It is safe for concurrent use.
 type Limiter struct {
-	parts Config
-	// known is the number of entries, read without the lock: most of the time there is none.
-	known atomic.Int64
+	config Config
+	// limitCount is len(limits), read without the lock: most of the time there are no limits.
+	limitCount atomic.Int64
 
 	mu     sync.Mutex
 	limits map[domain.EndpointID]*limit
 
-	unreadable *metrics.Counter
+	invalid *metrics.Counter
 }
 
-// New returns a limiter that knows of no limit.
+// New returns a limiter that knows of no limit, and registers its metrics.
 func New(parts Config) *Limiter {
 	l := &Limiter{
-		parts:      parts,
-		limits:     make(map[domain.EndpointID]*limit),
-		unreadable: parts.Metrics.NewCounter("hawthornrill_endpoint_limits_unreadable_total"),
+		config:  parts,
+		limits:  make(map[domain.EndpointID]*limit),
+		invalid: parts.Metrics.NewCounter("hawthornrill_endpoint_limits_unreadable_total"),
 	}
-	parts.Metrics.NewGauge("hawthornrill_endpoint_limits", func() float64 { return float64(l.inForce()) })
+	parts.Metrics.NewGauge("hawthornrill_endpoint_limits", func() float64 { return float64(l.countInForce()) })
 	return l
 }
 
-// Stated takes what an answer says of its endpoint's limit. Sent is when the request was sent: an answer to one that was
-// sent before the latest statement may be older than that, and does not change it.
-func (l *Limiter) RecordAdvertisement(id domain.EndpointID, sent boottime.Instant, s Advertisement) {
+// RecordAdvertisement records the limit in an endpoint's response. Sent is when the request was sent: a response to a request
+// that was sent before the latest advertisement may predate that, and then does not begin or end the limit.
+func (l *Limiter) RecordAdvertisement(id domain.EndpointID, sent boottime.Instant, a Advertisement) {
 	switch {
-	case s.Kind == Invalid:
-		l.unreadable.Inc()
+	case a.Kind == Invalid:
+		l.invalid.Inc()
 		return
-	case s.Kind == None && l.known.Load() == 0:
+	case a.Kind == None && l.limitCount.Load() == 0:
 		return
 	}
-	now := l.parts.Clock()
+	now := l.config.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	known, ok := l.limits[id]
-	ended := s.Kind == None
-	if !ok && ended || ok && known.ended != ended && sent < known.statedAt {
+	ended := a.Kind == None
+	if !ok && ended || ok && known.ended != ended && sent < known.advertisedAt {
 		return
 	}
-	told := gossip.EndpointLimit{Endpoint: id, PerSecond: s.PerSecond, Ended: ended}
-	l.set(now, told, "answer").ownAt = now
+	reported := gossip.EndpointLimit{Endpoint: id, PerSecond: a.PerSecond, Ended: ended}
+	l.set(now, reported, "answer").receivedAt = now
 }
 
-// Bars reports whether this node is to send the endpoint nothing, since its limit is other nodes'.
+// Bars reports whether this node has no share of the endpoint's limit and so must not send it requests.
 func (l *Limiter) Bars(e *directory.Endpoint) bool {
-	known, ok := l.at(e)
+	known, ok := l.inForceAt(e)
 	return ok && known.bucket.rate == 0
 }
 
-// Allows reports whether this node may send the endpoint one request more now.
+// Allows reports whether this node may send the endpoint another request now.
 func (l *Limiter) Allows(e *directory.Endpoint) bool {
-	known, ok := l.at(e)
-	return !ok || known.bucket.rate > 0 && known.bucket.level >= 1
+	known, ok := l.inForceAt(e)
+	return !ok || known.bucket.rate > 0 && known.bucket.tokens >= 1
 }
 
-// at returns a copy of the limit in force at the endpoint, false if there is none.
-func (l *Limiter) at(e *directory.Endpoint) (limit, bool) {
-	if l.known.Load() == 0 {
+// inForceAt returns a copy of the limit in force at the endpoint, false if there is none.
+func (l *Limiter) inForceAt(e *directory.Endpoint) (limit, bool) {
+	if l.limitCount.Load() == 0 {
 		return limit{}, false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.filled(e)
+	known := l.refilled(e)
 	if known == nil {
 		return limit{}, false
 	}
 	return *known, true
 }
 
-// Take counts a request that is sent to the endpoint, and returns the limit in force there in requests a second, zero if
-// there is none.
+// Take takes a token for a request sent to the endpoint, and returns the endpoint's limit in requests a second, zero if there
+// is none.
 func (l *Limiter) Take(e *directory.Endpoint) (perSecond float64) {
-	if l.known.Load() == 0 {
+	if l.limitCount.Load() == 0 {
 		return 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.filled(e)
+	known := l.refilled(e)
 	if known == nil {
 		return 0
 	}
-	known.bucket.level--
+	known.bucket.tokens--
 	return known.perSecond
 }
 
-// filled returns the limit in force at the endpoint, brought to the present, nil if there is none. The lock is held.
-func (l *Limiter) filled(e *directory.Endpoint) *limit {
+// refilled returns the limit in force at the endpoint with its bucket refilled, nil if there is none. The lock is held.
+func (l *Limiter) refilled(e *directory.Endpoint) *limit {
 	known, ok := l.limits[e.Incarnation()]
 	if !ok || known.ended {
 		return nil
 	}
-	now := l.parts.Clock()
+	now := l.config.Clock()
 	rate := known.bucket.rate
-	if known.sharedAt == 0 || now.Sub(known.sharedAt) >= shareEvery {
-		rate = share(l.parts.Self, e, known.perSecond, l.parts.Members(), l.parts.Directory.Current())
-		known.sharedAt = now
+	if known.shareComputedAt == 0 || now.Sub(known.shareComputedAt) >= shareInterval {
+		rate = share(l.config.Self, e, known.perSecond, l.config.Members(), l.config.Directory.Current())
+		known.shareComputedAt = now
 	}
-	known.bucket.fill(now, rate)
+	known.bucket.refill(now, rate)
 	return known
 }
 
-// set takes a statement over and logs what changes. The lock is held.
-func (l *Limiter) set(now boottime.Instant, told gossip.EndpointLimit, from string) *limit {
-	known, ok := l.limits[told.Endpoint]
+// set records an advertisement and logs a change of the limit. The lock is held.
+func (l *Limiter) set(now boottime.Instant, reported gossip.EndpointLimit, from string) *limit {
+	known, ok := l.limits[reported.Endpoint]
 	if !ok {
-		l.forget(now)
+		l.expire(now)
 		known = &limit{ended: true}
-		l.limits[told.Endpoint] = known
-		l.known.Store(int64(len(l.limits)))
+		l.limits[reported.Endpoint] = known
+		l.limitCount.Store(int64(len(l.limits)))
 	}
-	if !known.equal(told) {
-		l.parts.Log.Info().Str("endpoint", string(told.Endpoint)).Float64("per_second", told.PerSecond).Bool("ended", told.Ended).
-			Float64("per_second_before", known.perSecond).Str("from", from).Int64("age_ms", told.AgeMillis).
+	if !known.matches(reported) {
+		l.config.Log.Info().Str("endpoint", string(reported.Endpoint)).Float64("per_second", reported.PerSecond).Bool("ended", reported.Ended).
+			Float64("per_second_before", known.perSecond).Str("from", from).Int64("age_ms", reported.AgeMillis).
 			Msg("endpoint limit changed")
-		known.sharedAt = 0 // the share is worked out anew
+		known.shareComputedAt = 0 // forces the share to be computed anew
 		if known.ended {
 			known.bucket = newBucket(now)
 		}
 	}
-	known.perSecond, known.ended, known.statedAt = told.PerSecond, told.Ended, statedAt(now, told)
+	known.perSecond, known.ended, known.advertisedAt = reported.PerSecond, reported.Ended, advertisedAt(now, reported)
 	return known
 }
 
-// statedAt is when the endpoint stated what is told now.
-func statedAt(now boottime.Instant, told gossip.EndpointLimit) boottime.Instant {
-	return now.Add(-time.Duration(told.AgeMillis) * time.Millisecond)
+// advertisedAt is when the endpoint made the reported advertisement.
+func advertisedAt(now boottime.Instant, reported gossip.EndpointLimit) boottime.Instant {
+	return now.Add(-time.Duration(reported.AgeMillis) * time.Millisecond)
 }
 
-// Fill adds to a report what endpoints have stated to this node lately.
+// AddToReport adds the advertisements that this node recently received to a report.
 func (l *Limiter) AddToReport(report *gossip.Report) {
-	if l.known.Load() == 0 {
+	if l.limitCount.Load() == 0 {
 		return
 	}
-	now := l.parts.Clock()
+	now := l.config.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forget(now)
+	l.expire(now)
 	for id, known := range l.limits {
-		age := now.Sub(known.ownAt)
-		if known.ownAt == 0 || age > tellFor {
+		age := now.Sub(known.receivedAt)
+		if known.receivedAt == 0 || age > reportFor {
 			continue
 		}
 		report.Limits = append(report.Limits, gossip.EndpointLimit{
@@ -186,45 +185,45 @@
 	}
 }
 
-// Heard takes what endpoints have stated to another node, unless something stated later is known.
+// ApplyReport records the advertisements in a peer's report, unless a later one is known.
 func (l *Limiter) ApplyReport(report *gossip.Report) {
 	if len(report.Limits) == 0 {
 		return
 	}
-	now := l.parts.Clock()
+	now := l.config.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, told := range report.Limits {
-		known, ok := l.limits[told.Endpoint]
-		if !usable(told) || !ok && told.Ended || ok && statedAt(now, told) <= known.statedAt {
+	for _, reported := range report.Limits {
+		known, ok := l.limits[reported.Endpoint]
+		if !valid(reported) || !ok && reported.Ended || ok && advertisedAt(now, reported) <= known.advertisedAt {
 			continue
 		}
-		l.set(now, told, string(report.From))
+		l.set(now, reported, string(report.From))
 	}
 }
 
-// usable reports whether a limit told by another node is one.
-func usable(told gossip.EndpointLimit) bool {
-	return told.AgeMillis >= 0 && told.PerSecond >= 0 && !math.IsInf(told.PerSecond, 0) && !math.IsNaN(told.PerSecond)
+// valid reports whether a reported limit has usable values.
+func valid(reported gossip.EndpointLimit) bool {
+	return reported.AgeMillis >= 0 && reported.PerSecond >= 0 && !math.IsInf(reported.PerSecond, 0) && !math.IsNaN(reported.PerSecond)
 }
 
-// forget drops what has not been stated for long. The lock is held.
-func (l *Limiter) forget(now boottime.Instant) {
+// expire removes limits that have not been advertised for expireAfter. The lock is held.
+func (l *Limiter) expire(now boottime.Instant) {
 	for id, known := range l.limits {
-		if now.Sub(known.statedAt) <= forgetAfter {
+		if now.Sub(known.advertisedAt) <= expireAfter {
 			continue
 		}
 		delete(l.limits, id)
 		if !known.ended {
-			l.parts.Log.Info().Str("endpoint", string(id)).Float64("per_second", known.perSecond).
-				Dur("age_ms", now.Sub(known.statedAt)).Msg("endpoint limit not stated again, forgotten")
+			l.config.Log.Info().Str("endpoint", string(id)).Float64("per_second", known.perSecond).
+				Dur("age_ms", now.Sub(known.advertisedAt)).Msg("endpoint limit not stated again, forgotten")
 		}
 	}
-	l.known.Store(int64(len(l.limits)))
+	l.limitCount.Store(int64(len(l.limits)))
 }
 
-// inForce counts the limits in force.
-func (l *Limiter) inForce() int {
+// countInForce returns the number of limits in force.
+func (l *Limiter) countInForce() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
--- a/endpointlimit/limittest/rule.go
+++ b/endpointlimit/limittest/rule.go
@@ -1,4 +1,4 @@
-// Package limittest holds what tests of endpoints' limits check: the users' rule on what an endpoint gets that names one.
+// Package limittest holds the bound on requests to an endpoint with an advertised limit, as users measure it, for use in tests.
 package limittest
 
 import "time"
@@ -6,23 +6,25 @@
 const (
 	// Window is the time over which a limit is measured.
 	Window = 4 * time.Second
-	// SlackRequests is the number of requests in a window that are allowed whatever the limit.
+	// SlackRequests is the number of requests allowed in a window on top of the limit.
 	SlackRequests = 5
-	// factor is how many times its limit an endpoint may get.
-	factor = 1.5
+	// limitFactor is the multiple of its limit that an endpoint may get.
+	limitFactor = 1.5
 )
 
-// MaxRequests is the most requests that an endpoint with a limit of so many a second may get in a Window from all nodes.
-func MaxRequests(perSecond float64) float64 { return factor*Window.Seconds()*perSecond + SlackRequests }
+// MaxRequests is the most requests that an endpoint with the limit may get in a Window from all nodes.
+func MaxRequests(perSecond float64) float64 {
+	return limitFactor*Window.Seconds()*perSecond + SlackRequests
+}
 
-// MaxInWindow is the largest number of the instants, which are in order, within a Window.
+// MaxInWindow returns the largest number of instants within a Window. The instants must be in order.
 func MaxInWindow[T interface{ Sub(T) time.Duration }](instants []T) int {
-	most, first := 0, 0
+	largest, first := 0, 0
 	for i, at := range instants {
 		for at.Sub(instants[first]) > Window {
 			first++
 		}
-		most = max(most, i-first+1)
+		largest = max(largest, i-first+1)
 	}
-	return most
+	return largest
 }
