--- a/endpointlimit/limiter.go
+++ b/endpointlimit/limiter.go
@@ -48,13 +48,13 @@
 }
 
 // New returns a limiter that knows of no limit, and registers its metrics.
-func New(parts Config) *Limiter {
+func New(config Config) *Limiter {
 	l := &Limiter{
-		config:  parts,
+		config:  config,
 		limits:  make(map[domain.EndpointID]*limit),
-		invalid: parts.Metrics.NewCounter("hawthornrill_endpoint_limits_unreadable_total"),
+		invalid: config.Metrics.NewCounter("hawthornrill_endpoint_limits_unreadable_total"),
 	}
-	parts.Metrics.NewGauge("hawthornrill_endpoint_limits", func() float64 { return float64(l.countInForce()) })
+	config.Metrics.NewGauge("hawthornrill_endpoint_limits", func() float64 { return float64(l.countInForce()) })
 	return l
 }
 
@@ -148,8 +148,8 @@
 		l.limitCount.Store(int64(len(l.limits)))
 	}
 	if !known.matches(reported) {
-		l.config.Log.Info().Str("endpoint", string(reported.Endpoint)).Float64("per_second", reported.PerSecond).Bool("ended", reported.Ended).
-			Float64("per_second_before", known.perSecond).Str("from", from).Int64("age_ms", reported.AgeMillis).
+		l.config.Log.Info().Str("endpoint", string(reported.Endpoint)).Float64("per_second", reported.PerSecond).
+			Bool("ended", reported.Ended).Float64("per_second_before", known.perSecond).Str("from", from).Int64("age_ms", reported.AgeMillis).
 			Msg("endpoint limit changed")
 		known.shareComputedAt = 0 // forces the share to be computed anew
 		if known.ended {
--- a/tokenlimit/account.go
+++ b/tokenlimit/account.go
@@ -7,110 +7,109 @@
 	"hawthornrill.example/hawthornrill/routetable"
 )
 
-// The window alone would let all of a limit through at once. If all nodes were restarted right after that, none would
-// know, and more than the limit would run within a window. So what is let through at once is bounded too: by depthBursts
-// bursts, and at least by what becomes free in depthRate seconds. Whenever that restart comes, at most about 1.1
-// times the limit then runs in a window, which the operators tolerate; with the window alone it was 1.13 times on a day
-// with a restart of all nodes under an organisation that sent 4.7 times its usual.
+// The window alone would admit all of a limit at once. If all nodes were restarted right after that, none would know of it, and
+// more than the limit would run within a window. So a token bucket bounds what is admitted at once: its depth is depthBurstFactor
+// bursts, and at least depthRateSeconds of the rate. Whenever all nodes restart, at most about 1.1 times the limit then runs in a
+// window, which the operators tolerate. With the window alone it was 1.13 times on a day with a restart of all nodes under an
+// organisation that sent 4.7 times its usual load.
 const (
-	depthBursts = 1.5
-	depthRate   = 0.5
-	// startBursts is what a new life lets through at once. A restart takes a second or more, in which nothing is let
-	// through. Without it 177 of 490 requests in the two seconds after a restart of all nodes were refused.
-	startBursts = 0.5
-	// What is let through at once before such a restart and after it comes on top of what becomes free in the rest of the
-	// window, in which nothing is let through for leastDown. So that all of it stays within overRestart times the limit,
-	// depthPart of the difference may be let through at once before, and the rest after. Without that a burst of 3.6
-	// seconds' rate, as after an operator has lowered the rate, came to 1.22 times the limit, one of 8 to 1.44.
-	overRestart = 1.1
-	leastDown   = time.Second
-	depthPart   = 0.75
+	depthBurstFactor = 1.5
+	depthRateSeconds = 0.5
+	// startBurstFactor is the part of the burst that a restarted node admits at once. A restart takes a second or more, in which
+	// nothing is admitted. Without it, 177 of 490 requests in the two seconds after a restart of all nodes were refused.
+	startBurstFactor = 0.5
+	// What is admitted at once before a restart of all nodes and after it comes on top of what the rate allows in the rest of the
+	// window, in which nothing is admitted for minRestartTime. To keep the total within restartOvershootFactor times the limit,
+	// depthShare of the difference may be admitted at once before the restart, and the rest after it. Without that, a burst of 3.6
+	// seconds' rate, as after an operator has lowered the rate, came to 1.22 times the limit, and one of 8 seconds' to 1.44.
+	restartOvershootFactor = 1.1
+	minRestartTime         = time.Second
+	depthShare             = 0.75
 )
 
-// account is one organisation's use of its limit, over all nodes as far as this node knows.
+// account is one organisation's use of its limit over all nodes, as far as this node knows.
 type account struct {
 	used window
-	// apart is what of it was used since some nodes have not been heard.
-	apart window
-	// before is what is thought to have been let through in the window before the instant since, which this node does
-	// not know. It leaves the window evenly.
-	before float64
-	since  boottime.Instant
-	// adopted is true once a peer has told what was used.
+	// usedPartitioned is the part of used that was admitted while some nodes were not heard from.
+	usedPartitioned window
+	// assumedUse is the estimated use in the window before assumedAt that is not in used. It leaves the window at a constant rate.
+	assumedUse float64
+	assumedAt  boottime.Instant
+	// adopted is true once a peer's report has replaced the estimate.
 	adopted bool
-	// limit is what may be used in a window, rate what becomes free each second.
+	// limit is the use allowed in a window, rate the use allowed per second in the long run.
 	limit, rate float64
-	// level is what may be used at once; it grows by the rate up to depth.
-	level, depth float64
-	filledAt     boottime.Instant
-	// spent is what this life has let through, less what it took back.
-	spent float64
+	// available is the cost that may be admitted at once; it grows at the rate up to depth.
+	available, depth float64
+	refilledAt       boottime.Instant
+	// totalAdmitted is the cost admitted by this process, less refunds.
+	totalAdmitted float64
 }
 
-// refresh brings the account to the instant and to the organisation's limit in force.
-func (a *account) refresh(now boottime.Instant, o *routetable.Organisation, length time.Duration) {
+// update applies the organisation's current limit and advances the account to now.
+func (a *account) update(now boottime.Instant, o *routetable.Organisation, length time.Duration) {
 	if a.depth == 0 {
-		// Its first limit: it has been filling since this life began.
-		a.rate, a.depth = o.Rate, depthOf(o, length)
-		a.level = startOf(o, length)
+		// First limit: the bucket has been filling since this process started.
+		a.rate, a.depth = o.Rate, bucketDepth(o, length)
+		a.available = initialAvailable(o, length)
 	}
 	a.advance(now, length)
 	a.rate = o.Rate
-	a.limit = limitOf(o, length)
-	a.depth = depthOf(o, length)
-	a.level = min(a.level, a.depth)
+	a.limit = windowLimit(o, length)
+	a.depth = bucketDepth(o, length)
+	a.available = min(a.available, a.depth)
 }
 
-// limitOf is what an organisation may use in a window.
-func limitOf(o *routetable.Organisation, length time.Duration) float64 {
+// windowLimit is the cost that an organisation may use in a window.
+func windowLimit(o *routetable.Organisation, length time.Duration) float64 {
 	return o.Rate*length.Seconds() + o.Burst
 }
 
-// depthOf is what an organisation may use at once.
-func depthOf(o *routetable.Organisation, length time.Duration) float64 {
-	return min(max(depthBursts*o.Burst, depthRate*o.Rate), depthPart*roomOf(o, length))
+// bucketDepth is the cost that an organisation may use at once.
+func bucketDepth(o *routetable.Organisation, length time.Duration) float64 {
+	return min(max(depthBurstFactor*o.Burst, depthRateSeconds*o.Rate), depthShare*restartAllowance(o, length))
 }
 
-// startOf is what a new life lets an organisation use at once.
-func startOf(o *routetable.Organisation, length time.Duration) float64 {
-	return min(startBursts*o.Burst, (1-depthPart)*roomOf(o, length))
+// initialAvailable is the cost that a restarted node lets an organisation use at once.
+func initialAvailable(o *routetable.Organisation, length time.Duration) float64 {
+	return min(startBurstFactor*o.Burst, (1-depthShare)*restartAllowance(o, length))
 }
 
-// roomOf is what may be let through at once before and after a restart of all nodes.
-func roomOf(o *routetable.Organisation, length time.Duration) float64 {
-	return overRestart*limitOf(o, length) - o.Rate*(length-leastDown).Seconds()
+// restartAllowance is the cost that may be admitted at once before and after a restart of all nodes, taken together.
+func restartAllowance(o *routetable.Organisation, length time.Duration) float64 {
+	return restartOvershootFactor*windowLimit(o, length) - o.Rate*(length-minRestartTime).Seconds()
 }
 
-// advance brings the account to the instant.
+// advance advances the account to now.
 func (a *account) advance(now boottime.Instant, length time.Duration) {
 	a.used.advance(now, length)
-	a.apart.advance(now, length)
-	a.level = min(a.level+a.rate*now.Sub(a.filledAt).Seconds(), a.depth)
-	a.filledAt = now
+	a.usedPartitioned.advance(now, length)
+	a.available = min(a.available+a.rate*now.Sub(a.refilledAt).Seconds(), a.depth)
+	a.refilledAt = now
 }
 
-// use counts an amount; a negative one takes back.
-func (a *account) use(amount float64, apart bool) {
+// use adds an amount to the use; a negative amount is a refund.
+func (a *account) use(amount float64, partitioned bool) {
 	a.used.add(amount)
-	if apart {
-		a.apart.add(amount)
+	if partitioned {
+		a.usedPartitioned.add(amount)
 	}
-	a.level = min(max(a.level-amount, -a.depth), a.depth)
+	a.available = min(max(a.available-amount, -a.depth), a.depth)
 }
 
-// total is what was used in the window that ends at the instant.
-func (a *account) total(now boottime.Instant, length time.Duration) float64 {
-	left := 1 - now.Sub(a.since).Seconds()/length.Seconds()
-	return a.used.sum + a.before*max(left, 0)
+// usedInWindow is the cost used in the window that ends now.
+func (a *account) usedInWindow(now boottime.Instant, length time.Duration) float64 {
+	remaining := 1 - now.Sub(a.assumedAt).Seconds()/length.Seconds()
+	return a.used.sum + a.assumedUse*max(remaining, 0)
 }
 
-// excess is by how much a cost is over the part of the limit that the nodes heard may use. What was used before the others
-// fell silent is known to both sides, and each has its part of what that leaves: the sides' parts sum up to the whole, so
-// that together they keep to the limit. When that use was held in full against the part of each, an organisation that had
-// used a third of its limit was refused altogether by a third of the nodes for as long as the window lasts.
-func (a *account) excess(now boottime.Instant, length time.Duration, cost, part float64) float64 {
-	before := a.total(now, length) - a.apart.sum
-	limit := part * a.limit
-	// A request larger than the limit is let through when nothing else was.
-	return max(part*before+a.apart.sum+min(cost, limit)-limit, min(cost, a.depth)-a.level)
+// excess is the amount by which a cost exceeds the share of the limit that the reachable nodes may use, given by fraction. Use from
+// before a partition is known to both sides, and each side gets its fraction of what that leaves; the fractions sum up to the
+// whole, so that both sides together stay within the limit. When that use was counted in full against each side's share, an
+// organisation that had used a third of its limit was refused everything by a third of the nodes for the rest of the window.
+func (a *account) excess(now boottime.Instant, length time.Duration, cost, fraction float64) float64 {
+	shared := a.usedInWindow(now, length) - a.usedPartitioned.sum
+	limit := fraction * a.limit
+	// A request larger than the limit is admitted if nothing else was.
+	return max(fraction*shared+a.usedPartitioned.sum+min(cost, limit)-limit, min(cost, a.depth)-a.available)
 }
--- a/tokenlimit/example_test.go
+++ b/tokenlimit/example_test.go
@@ -12,7 +12,7 @@
 	"hawthornrill.example/hawthornrill/tokenlimit"
 )
 
-// A node lets through what the organisation's limit allows over all nodes, with what others have told in their reports.
+// A node admits what the organisation's limit allows over all nodes, including the use that peers have reported.
 func Example() {
 	now := boottime.Instant(time.Hour)
 	two := func() gossip.Fleet { return gossip.Fleet{Known: 2, Heard: 2} }
@@ -21,7 +21,7 @@
 	})
 	cucine := &routetable.Organisation{ID: "cucine", Rate: 100, Burst: 200}
 	limiter.AddAccounts([]routetable.Organisation{*cucine})
-	now = now.Add(time.Minute) // a new life begins as if most had been used
+	now = now.Add(time.Minute) // a restarted node counts most of the limit as used
 	other := gossip.Report{From: "palermo-2", Version: 1}
 	limiter.ApplyReport(&other)
 	other.Spent = []gossip.Spent{{Organisation: "cucine", Total: 250}}
--- a/tokenlimit/limiter.go
+++ b/tokenlimit/limiter.go
@@ -1,13 +1,12 @@
-// Package tokenlimit holds organisations to their limits over all nodes without a message before a request.
+// Package tokenlimit enforces organisations' limits over all nodes without a message before a request.
 //
-// A limit is a rate and a burst; in any window of the configured length, rate x window + burst may be let through. Each
-// node counts what it lets through and, as reports come in, what the others do. What is let through beyond the limit is
-// at most what the other nodes let through within one report's time, for which the operators leave room.
+// A limit is a rate and a burst; in any window of the configured length, rate x window + burst may be admitted. Each node counts
+// what it admits and, from reports, what its peers admit. The limit is exceeded by at most what the peers admit between two
+// reports, for which the operators leave room.
 //
-// Guarantees under failure. A node that does not hear some of the others uses only the part of what is left of the limit
-// that belongs to the nodes that it hears, so that the two sides of a partition together keep to the limit. A new life does not
-// begin with an unused limit: until a peer tells what was used, all of it but a part of the burst counts as used, evenly over the
-// window before.
+// Guarantees under failure. A node that does not hear from some of its peers uses only the reachable nodes' share of the remaining
+// limit, so that both sides of a partition together stay within the limit. A restarted node does not start with an unused limit:
+// until a peer reports the use, everything but part of the burst counts as used, spread evenly over the window before.
 package tokenlimit
 
 import (
@@ -23,94 +22,95 @@
 	"hawthornrill.example/hawthornrill/routetable"
 )
 
-// forgetAfter is how long a peer's totals are kept without a report.
-const forgetAfter = time.Minute
+// peerExpiry is how long a peer's totals are kept after its last report.
+const peerExpiry = time.Minute
 
-// Config are what a Limiter works with.
+// Config is a Limiter's configuration and dependencies.
 type Config struct {
 	// Window is the time over which the operators measure the limits.
 	Window time.Duration
 	Clock  boottime.Clock
-	// Fleet counts the nodes.
+	// Fleet returns the number of nodes known and the number heard from.
 	Fleet   func() gossip.Fleet
 	Metrics *metrics.Set
 }
 
 // Limiter admits requests under the organisations' limits. It is safe for concurrent use.
 type Limiter struct {
-	parts   Config
+	config  Config
 	started boottime.Instant
 
 	mu       sync.Mutex
 	accounts map[domain.OrganisationID]*account
 	peers    map[domain.NodeID]*peerTotals
-	// apart is true while some nodes are not heard.
-	apart bool
+	// partitioned is true while some nodes are not heard from.
+	partitioned bool
 
 	admitted *metrics.Counter
 	refused  *metrics.Counter
 }
 
-// peerTotals are a peer's totals as last reported.
+// peerTotals are the totals that a peer last reported.
 type peerTotals struct {
-	life    uint64
-	heardAt boottime.Instant
-	spent   map[domain.OrganisationID]float64
+	incarnation uint64
+	reportedAt  boottime.Instant
+	admitted    map[domain.OrganisationID]float64
 }
 
-// New returns a limiter.
-func New(parts Config) *Limiter {
+// New returns a limiter and registers its metrics.
+func New(config Config) *Limiter {
 	return &Limiter{
-		parts:    parts,
-		started:  parts.Clock(),
+		config:   config,
+		started:  config.Clock(),
 		accounts: make(map[domain.OrganisationID]*account),
 		peers:    make(map[domain.NodeID]*peerTotals),
-		admitted: parts.Metrics.NewCounter("hawthornrill_limit_admitted_total"),
-		refused:  parts.Metrics.NewCounter("hawthornrill_limit_refused_total"),
+		admitted: config.Metrics.NewCounter("hawthornrill_limit_admitted_total"),
+		refused:  config.Metrics.NewCounter("hawthornrill_limit_refused_total"),
 	}
 }
 
-// Admit counts a request of the cost in. If the limit does not allow it, it returns false and the time until it may.
+// Admit charges a request of the given cost. If the limit does not allow it, Admit charges nothing and returns false and the time
+// until the limit may allow it.
 func (l *Limiter) Admit(o *routetable.Organisation, cost float64) (ok bool, retry time.Duration) {
 	if o.Rate <= 0 {
 		return true, 0
 	}
-	part := part(l.parts.Fleet())
-	now := l.parts.Clock()
+	fraction := reachableFraction(l.config.Fleet())
+	now := l.config.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.separate(part < 1)
+	l.setPartitioned(fraction < 1)
 	a := l.account(o.ID)
-	a.refresh(now, o, l.parts.Window)
-	if excess := a.excess(now, l.parts.Window, cost, part); excess > 0 {
+	a.update(now, o, l.config.Window)
+	if excess := a.excess(now, l.config.Window, cost, fraction); excess > 0 {
 		l.refused.Inc()
-		return false, time.Duration(excess / (a.rate * part) * float64(time.Second))
+		return false, time.Duration(excess / (a.rate * fraction) * float64(time.Second))
 	}
-	a.use(cost, l.apart)
-	a.spent += cost
+	a.use(cost, l.partitioned)
+	a.totalAdmitted += cost
 	l.admitted.Inc()
 	return true, 0
 }
 
-// separate notes whether some nodes are not heard. The lock is held.
-func (l *Limiter) separate(apart bool) {
-	if l.apart && !apart {
+// setPartitioned records whether some nodes are not heard from. The lock is held.
+func (l *Limiter) setPartitioned(partitioned bool) {
+	if l.partitioned && !partitioned {
 		for _, a := range l.accounts {
-			a.apart = window{}
+			a.usedPartitioned = window{}
 		}
 	}
-	l.apart = apart
+	l.partitioned = partitioned
 }
 
-// part is the part of the limit that the nodes heard may use.
-func part(fleet gossip.Fleet) float64 {
+// reachableFraction is the fraction of the limit that the nodes heard from may use.
+func reachableFraction(fleet gossip.Fleet) float64 {
 	if fleet.Known <= 0 {
 		return 1
 	}
 	return float64(fleet.Heard) / float64(fleet.Known)
 }
 
-// Return takes back the cost of a request that has not run.
+// Refund takes back the cost of a request that has not run.
 func (l *Limiter) Refund(o *routetable.Organisation, cost float64) {
 	if o.Rate <= 0 {
 		return
@@ -118,26 +118,26 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a, ok := l.accounts[o.ID]; ok {
-		a.advance(l.parts.Clock(), l.parts.Window)
-		a.use(-cost, l.apart)
-		a.spent -= cost
+		a.advance(l.config.Clock(), l.config.Window)
+		a.use(-cost, l.partitioned)
+		a.totalAdmitted -= cost
 	}
 }
 
-// account returns the organisation's account, a new one as if its limit had been used up before this life.
+// account returns the organisation's account. The bucket of a new one has been filling since this process started.
 func (l *Limiter) account(id domain.OrganisationID) *account {
 	a, ok := l.accounts[id]
 	if !ok {
-		a = &account{since: l.started, filledAt: l.started}
+		a = &account{assumedAt: l.started, refilledAt: l.started}
 		l.accounts[id] = a
 	}
 	return a
 }
 
-// Prepare makes accounts for the organisations of a configuration, so that what peers tell of them is kept before their
-// first request here.
+// AddAccounts creates accounts for the organisations of a configuration, so that use reported by peers is recorded before the
+// organisation's first request to this node.
 func (l *Limiter) AddAccounts(organisations []routetable.Organisation) {
-	now := l.parts.Clock()
+	now := l.config.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range organisations {
@@ -146,86 +146,86 @@
 			continue
 		}
 		a := l.account(o.ID)
-		a.refresh(now, o, l.parts.Window)
-		a.before = a.limit - startOf(o, l.parts.Window)
+		a.update(now, o, l.config.Window)
+		a.assumedUse = a.limit - initialAvailable(o, l.config.Window)
 	}
 }
 
-// Fill adds this node's totals to a report.
+// AddToReport adds this node's totals to a report.
 func (l *Limiter) AddToReport(report *gossip.Report) {
-	now := l.parts.Clock()
+	now := l.config.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, a := range l.accounts {
-		a.advance(now, l.parts.Window)
-		used := a.total(now, l.parts.Window)
-		if a.spent == 0 && used == 0 {
+		a.advance(now, l.config.Window)
+		used := a.usedInWindow(now, l.config.Window)
+		if a.totalAdmitted == 0 && used == 0 {
 			continue
 		}
-		// Whole numbers take three to five bytes each instead of nine. What a new life takes over is rounded to the safe
-		// side; the total can't drift, since the receiver counts by its difference from the last one told.
+		// Whole numbers take three to five bytes each instead of nine. The values that a restarted node adopts are rounded
+		// to the safe side; the total can't drift, since the receiver uses its difference from the last one reported.
 		report.Spent = append(report.Spent, gossip.Spent{
-			Organisation: id, Total: math.Round(a.spent), Used: math.Ceil(used), Level: math.Floor(a.level),
+			Organisation: id, Total: math.Round(a.totalAdmitted), Used: math.Ceil(used), Level: math.Floor(a.available),
 		})
 	}
 }
 
-// Heard counts what a peer has let through since its last report.
+// ApplyReport counts what a peer has admitted since its last report.
 func (l *Limiter) ApplyReport(report *gossip.Report) {
-	apart := part(l.parts.Fleet()) < 1
-	now := l.parts.Clock()
+	partitioned := reachableFraction(l.config.Fleet()) < 1
+	now := l.config.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.separate(apart)
+	l.setPartitioned(partitioned)
 	p, known := l.peers[report.From]
-	if !known || p.life != report.Life {
-		p = &peerTotals{life: report.Life, spent: make(map[domain.OrganisationID]float64)}
+	if !known || p.incarnation != report.Life {
+		p = &peerTotals{incarnation: report.Life, admitted: make(map[domain.OrganisationID]float64)}
 		l.peers[report.From] = p
 	}
-	p.heardAt = now
-	told := make(map[domain.OrganisationID]gossip.Spent, len(report.Spent))
+	p.reportedAt = now
+	reported := make(map[domain.OrganisationID]gossip.Spent, len(report.Spent))
 	for _, s := range report.Spent {
-		told[s.Organisation] = s
-		more := s.Total - p.spent[s.Organisation]
-		p.spent[s.Organisation] = s.Total
+		reported[s.Organisation] = s
+		more := s.Total - p.admitted[s.Organisation]
+		p.admitted[s.Organisation] = s.Total
 		a, ok := l.accounts[s.Organisation]
-		// What was used before this life heard of anybody is covered by what is adopted.
+		// Use from before this process first heard from a peer is part of what it adopts.
 		if ok && (known || a.adopted) {
-			a.advance(now, l.parts.Window)
-			a.use(more, l.apart)
+			a.advance(now, l.config.Window)
+			a.use(more, l.partitioned)
 		}
 	}
 	if report.Version > 0 {
-		l.adopt(now, told)
+		l.adopt(now, reported)
 	}
-	l.forget(now)
+	l.expirePeers(now)
 }
 
-// adopt takes over what a peer knows to have been used, in place of what was assumed at the start of this life. A life that
-// has been alone for a window assumes nothing any more: it was cut off from the peer, whose use comes on top of its own.
-func (l *Limiter) adopt(now boottime.Instant, told map[domain.OrganisationID]gossip.Spent) {
-	alone := now.Sub(l.started) >= l.parts.Window
+// adopt replaces the use assumed at the start of this process by the use that a peer reports. If the node has been alone for a
+// window, nothing is assumed any more: it was partitioned from the peer, whose use comes on top of its own.
+func (l *Limiter) adopt(now boottime.Instant, reported map[domain.OrganisationID]gossip.Spent) {
+	alone := now.Sub(l.started) >= l.config.Window
 	for id, a := range l.accounts {
 		if a.adopted {
 			continue
 		}
 		a.adopted = true
-		a.advance(now, l.parts.Window)
+		a.advance(now, l.config.Window)
 		if alone {
-			a.use(told[id].Used, l.apart)
+			a.use(reported[id].Used, l.partitioned)
 		} else {
-			a.before, a.since = min(a.total(now, l.parts.Window), max(told[id].Used-a.used.sum, 0)), now
+			a.assumedUse, a.assumedAt = min(a.usedInWindow(now, l.config.Window), max(reported[id].Used-a.used.sum, 0)), now
 		}
-		a.level = a.depth
-		if s, ok := told[id]; ok {
-			a.level = min(s.Level, a.depth)
+		a.available = a.depth
+		if s, ok := reported[id]; ok {
+			a.available = min(s.Level, a.depth)
 		}
 	}
 }
 
-func (l *Limiter) forget(now boottime.Instant) {
+func (l *Limiter) expirePeers(now boottime.Instant) {
 	for id, p := range l.peers {
-		if now.Sub(p.heardAt) > forgetAfter {
+		if now.Sub(p.reportedAt) > peerExpiry {
 			delete(l.peers, id)
 		}
 	}
--- a/tokenlimit/window.go
+++ b/tokenlimit/window.go
@@ -6,33 +6,33 @@
 	"hawthornrill.example/hawthornrill/boottime"
 )
 
-// parts is the number of parts into which a window is cut; what is let through counts for at most one part too long.
-const parts = 32
+// bucketsPerWindow is the resolution of a window; an amount counts for up to one bucket longer than the window.
+const bucketsPerWindow = 32
 
-// window sums what was let through in the last length of time. The zero value is empty.
+// window sums the amounts of a sliding time window. The zero value is empty.
 type window struct {
-	sums [parts]float64
-	sum  float64
-	// part is the number of the newest part.
-	part int64
+	buckets [bucketsPerWindow]float64
+	sum     float64
+	// newestBucket is the sequence number of the newest bucket.
+	newestBucket int64
 }
 
-// advance brings the window to the instant.
+// advance moves the window forward to now.
 func (w *window) advance(now boottime.Instant, length time.Duration) {
-	part := int64(now) / int64(max(length/parts, 1))
-	if part-w.part > parts {
-		w.part = part - parts
+	current := int64(now) / int64(max(length/bucketsPerWindow, 1))
+	if current-w.newestBucket > bucketsPerWindow {
+		w.newestBucket = current - bucketsPerWindow
 	}
-	for w.part < part {
-		w.part++
-		at := w.part % parts
-		w.sum -= w.sums[at]
-		w.sums[at] = 0
+	for w.newestBucket < current {
+		w.newestBucket++
+		i := w.newestBucket % bucketsPerWindow
+		w.sum -= w.buckets[i]
+		w.buckets[i] = 0
 	}
 }
 
-// add counts an amount in the newest part; a negative one takes back.
+// add adds an amount to the newest bucket; a negative amount is a refund.
 func (w *window) add(amount float64) {
-	w.sums[w.part%parts] += amount
+	w.buckets[w.newestBucket%bucketsPerWindow] += amount
 	w.sum += amount
 }
