--- a/capacity/accounts.go
+++ b/capacity/accounts.go
@@ -72,13 +72,13 @@
 
 func (o *owner) dropUnlisted(now time.Time, h *holder, held map[askID]bool) {
 	for id, g := range h.grants {
-		if !held[id] && now.Sub(g.since) >= o.options.ConfirmAfter {
+		if !held[id] && now.Sub(g.since) >= o.options.ListGracePeriod {
 			o.counts.Expired++
 			o.end(now, g, Result{})
 		}
 	}
 	for id, e := range h.entries {
-		if !held[id] && now.Sub(e.waiting.Arrived) >= o.options.ConfirmAfter {
+		if !held[id] && now.Sub(e.waiting.Arrived) >= o.options.ListGracePeriod {
 			o.counts.Expired++
 			o.dropEntry(e)
 		}
--- a/capacity/acquire.go
+++ b/capacity/acquire.go
@@ -14,7 +14,7 @@
 // queue, but for the moment in which it moves.
 type acquisition struct {
 	s             *Service
-	ask           Ask
+	ask           Request
 	firstTokenDue time.Time
 	due           time.Time
 	wake          chan struct{}
@@ -28,7 +28,7 @@
 }
 
 // Acquire implements Client.
-func (s *Service) Acquire(ctx context.Context, ask Ask) (Grant, error) {
+func (s *Service) Acquire(ctx context.Context, ask Request) (Grant, error) {
 	now := time.Now()
 	a := &acquisition{
 		s:    s,
@@ -229,8 +229,8 @@
 	if a.failedSince.IsZero() {
 		a.failedSince = now
 	}
-	long := now.Sub(a.failedSince) >= a.s.options.OwnerPatience
-	if long && now.Sub(a.soughtAt) >= a.s.options.OwnerPatience {
+	long := now.Sub(a.failedSince) >= a.s.options.OwnerFailureTimeout
+	if long && now.Sub(a.soughtAt) >= a.s.options.OwnerFailureTimeout {
 		a.soughtAt = now
 		if a.visit(ctx, true) || a.visitLast(ctx, true) {
 			return
@@ -240,7 +240,7 @@
 	// fail at once would be asked again without a pause.
 	a.settleWake()
 	if state, _ := a.hold.get(); state == holdFailed {
-		a.wait(ctx, earlier(now.Add(a.s.options.RetryEvery), a.due))
+		a.wait(ctx, earlier(now.Add(a.s.options.RetryInterval), a.due))
 	}
 	if state, _ := a.hold.get(); state != holdFailed || ctx.Err() != nil || !time.Now().Before(a.due) {
 		return
--- a/capacity/api.go
+++ b/capacity/api.go
@@ -35,8 +35,8 @@
 // Unwrap returns the reason.
 func (r *Refusal) Unwrap() error { return r.Err }
 
-// Ask is a request for a place at an endpoint.
-type Ask struct {
+// Request is a request for a place at an endpoint.
+type Request struct {
 	// Name is the request's unique name, domain.RequestKey.String.
 	Name         string                `cbor:"1,keyasint"`
 	Pool         domain.PoolName       `cbor:"2,keyasint"`
@@ -100,5 +100,5 @@
 type Client interface {
 	// Acquire waits for a place. It returns a *Refusal when there will be none, at
 	// once when that is certain, or the context's error.
-	Acquire(ctx context.Context, ask Ask) (Grant, error)
+	Acquire(ctx context.Context, ask Request) (Grant, error)
 }
--- a/capacity/bench_test.go
+++ b/capacity/bench_test.go
@@ -22,7 +22,7 @@
 	for i := range endpoints {
 		rows = append(rows, engine(domain.EndpointID(fmt.Sprintf("engine-%d", i)), "a", limit, "quote"))
 	}
-	o := newOwnerTest(Options{QueueBound: 1 << 20}, rows...)
+	o := newOwnerTest(Options{QueueLimit: 1 << 20}, rows...)
 	for i := range organisations {
 		id := organisationID(i)
 		o.config.Organisations[id] = &config.Organisation{OrganisationRow: config.OrganisationRow{ID: id, Weight: 1 + i%5}}
@@ -38,8 +38,8 @@
 	return domain.OrganisationID(fmt.Sprintf("organisation-%d", i))
 }
 
-func benchAsk(i, organisations int) Ask {
-	return Ask{
+func benchAsk(i, organisations int) Request {
+	return Request{
 		Pool: quotePool, Organisation: organisationID(i * 7919 % organisations), Tier: domain.Tier(i % 3),
 		PromptTokens: 100 + i%4000, AnswerTokens: 300, Deadline: time.Hour,
 	}
@@ -55,7 +55,7 @@
 	} {
 		b.Run(fmt.Sprintf("endpoints=%d/organisations=%d/waiting=%d", s.endpoints, s.organisations, s.waiting), func(b *testing.B) {
 			o := benchOwner(s.endpoints, 8, s.organisations, s.waiting)
-			asks := make([]Ask, 4096)
+			asks := make([]Request, 4096)
 			for i := range asks {
 				asks[i] = benchAsk(i, s.organisations)
 			}
@@ -241,7 +241,7 @@
 				size = len(request) + len(reply)
 			}
 			b.ReportMetric(float64(size), "B/renewal")
-			b.ReportMetric(float64(size)/DefaultRenewEvery.Seconds(), "B/s")
+			b.ReportMetric(float64(size)/DefaultRenewInterval.Seconds(), "B/s")
 		})
 	}
 }
--- a/capacity/chooser.go
+++ b/capacity/chooser.go
@@ -35,12 +35,12 @@
 	Leaving bool
 	// Learned belongs to the Chooser. It is nil at first, and lives as long as this
 	// node owns the endpoint's pool.
-	Learned any
+	ChooserState any
 }
 
-// Waiting is an ask with its instants on the owner's clock.
-type Waiting struct {
-	Ask     *Ask
+// QueuedRequest is an ask with its instants on the owner's clock.
+type QueuedRequest struct {
+	Request *Request
 	Arrived time.Time
 	// FirstTokenDue is zero if there is no aim for the first token.
 	FirstTokenDue time.Time
@@ -48,13 +48,13 @@
 	Due time.Time
 	// Pressing is true if the ask would be refused if it is not placed now: the
 	// Chooser must then take the best candidate and not wait for a better one.
-	Pressing bool
+	Urgent bool
 }
 
 // Forecast is the time that an endpoint would need for an ask, from dispatch.
 type Forecast struct {
 	// Reading is how long the endpoint needs to read this prompt and those before it.
-	Reading    time.Duration
+	Prefill    time.Duration
 	FirstToken time.Duration
 	Total      time.Duration
 }
@@ -66,30 +66,30 @@
 type Chooser interface {
 	// Admit refuses an ask that must not be served at all, with ErrQuarantined or a
 	// *Refusal of it. It is called when the ask arrives.
-	Admit(now time.Time, ask *Ask) error
+	Admit(now time.Time, ask *Request) error
 	// Choose returns the index of the candidate to use. All candidates serve the
 	// ask's pool, are not leaving and have room for the ask; there is at least one.
 	// ok is false if the ask had better wait; it is then passed over until a place
 	// is freed or some time has gone by.
-	Choose(now time.Time, waiting *Waiting, candidates []*EndpointState) (index int, ok bool)
+	Choose(now time.Time, waiting *QueuedRequest, candidates []*EndpointState) (index int, ok bool)
 	// Granted tells that the ask now holds a place at the endpoint, by this owner's
 	// choice or, after a change of owner, by another's; then without Blocks and
 	// Session.
-	Granted(now time.Time, endpoint *EndpointState, ask *Ask)
+	Granted(now time.Time, endpoint *EndpointState, ask *Request)
 	// Forecast estimates the ask's time at the endpoint as it is loaded now. Zero
 	// values mean that nothing is known; the owner then refuses nothing for them.
-	Forecast(now time.Time, endpoint *EndpointState, ask *Ask) Forecast
+	Forecast(now time.Time, endpoint *EndpointState, ask *Request) Forecast
 	// Observe tells how a grant ended. The endpoint's state no longer contains it.
 	// Blocks and Session of the ask are not known any more, and Name is never sent
 	// to the owner. A grant that ended without its holder's word, because that is
 	// gone, has the zero Result.
-	Observe(now time.Time, endpoint *EndpointState, ask *Ask, result Result)
+	Observe(now time.Time, endpoint *EndpointState, ask *Request, result Result)
 }
 
-// Reporter is a Chooser that uses what the endpoints say of themselves. The node
+// ReportReceiver is a Chooser that uses what the endpoints say of themselves. The node
 // that owns an endpoint reads its reports and hands them on by Service.Report and
 // Service.CacheEvents.
-type Reporter interface {
+type ReportReceiver interface {
 	// Report takes an endpoint's own account of its load, already stale.
 	Report(now time.Time, endpoint *EndpointState, report endpoint.LoadReport)
 	// CacheEvents takes prompt-cache events, late and with gaps.
--- a/capacity/cluster_test.go
+++ b/capacity/cluster_test.go
@@ -212,7 +212,7 @@
 }
 
 // begin starts an Acquire in the background.
-func (c *cluster) begin(name domain.NodeID, ask Ask) *waitingAsk {
+func (c *cluster) begin(name domain.NodeID, ask Request) *waitingAsk {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancels = append(c.cancels, cancel)
 	w := &waitingAsk{cancel: cancel, started: time.Now()}
@@ -273,8 +273,8 @@
 const quotePool = domain.PoolName("model/quote")
 
 // ask returns an ask with a deadline of a minute.
-func ask(tier domain.Tier) Ask {
-	return Ask{Pool: quotePool, Organisation: "light", Tier: tier, PromptTokens: 10, AnswerTokens: 10, Deadline: time.Minute}
+func ask(tier domain.Tier) Request {
+	return Request{Pool: quotePool, Organisation: "light", Tier: tier, PromptTokens: 10, AnswerTokens: 10, Deadline: time.Minute}
 }
 
 // used is the result of an ordinary request.
--- a/capacity/collect.go
+++ b/capacity/collect.go
@@ -64,7 +64,7 @@
 // for as long. It returns false, at the end of Options.Settle, if one of them takes
 // itself for the owner.
 func (s *Service) collectOnce(ctx context.Context, c *cell, others, suspects []domain.Member, pools []domain.PoolName) bool {
-	ctx, cancel := context.WithTimeout(ctx, s.options.Settle)
+	ctx, cancel := context.WithTimeout(ctx, s.options.SettleTimeout)
 	defer cancel()
 	var disputed atomic.Bool
 	asked := s.collectFromAll(ctx, c, others, pools, &disputed)
--- a/capacity/entry.go
+++ b/capacity/entry.go
@@ -12,8 +12,8 @@
 	id      askID
 	holder  *holder
 	pool    *pool
-	ask     Ask
-	waiting Waiting
+	ask     Request
+	waiting QueuedRequest
 	// forecast is the least that any endpoint looked at would need.
 	forecast Forecast
 	// visiting is true for an ask from another data centre.
--- a/capacity/failures_test.go
+++ b/capacity/failures_test.go
@@ -169,9 +169,9 @@
 		low.waits(t, 0)
 		c.crash(others[0])
 		c.publish()
-		low.waits(t, DefaultGrantTTL-DefaultRenewEvery-time.Second)
+		low.waits(t, DefaultGrantTTL-DefaultRenewInterval-time.Second)
 		assert.DeepEqual(t, c.dump(owner).Waiting, map[domain.Tier]int{2: 1})
-		low.granted(t, DefaultRenewEvery+2*time.Second)
+		low.granted(t, DefaultRenewInterval+2*time.Second)
 	})
 }
 
--- a/capacity/grant.go
+++ b/capacity/grant.go
@@ -17,7 +17,7 @@
 	pool   *pool
 	place  *place
 	// ask is without Blocks, Session and Name.
-	ask      Ask
+	ask      Request
 	since    time.Time
 	progress progressCode
 	// revokedAt is zero unless the grant is revoked.
--- a/capacity/hold.go
+++ b/capacity/hold.go
@@ -28,7 +28,7 @@
 	link    *link
 	id      askID
 	// ask does not change.
-	ask Ask
+	ask Request
 	// firstTokenDue is zero if there is no aim.
 	firstTokenDue time.Time
 	due           time.Time
@@ -193,7 +193,7 @@
 
 // outstanding returns the ask as it is sent now: without its name, with the time
 // that is left.
-func (h *hold) outstanding(now time.Time) Ask {
+func (h *hold) outstanding(now time.Time) Request {
 	ask := h.ask
 	ask.Name = ""
 	ask.Deadline = h.due.Sub(now)
--- a/capacity/lateness.go
+++ b/capacity/lateness.go
@@ -36,7 +36,7 @@
 	if !e.aims() {
 		return onTime
 	}
-	margin = o.margin(o.options.AimMargin, e.ask.FirstToken)
+	margin = o.margin(o.options.FirstTokenMargin, e.ask.FirstToken)
 	if wait+e.forecast.FirstToken+margin > e.waiting.FirstTokenDue.Sub(now) {
 		return aimAtRisk
 	}
@@ -70,7 +70,7 @@
 	if o.press(now, e) {
 		return o.rulingOf(e)
 	}
-	if e.covered(now, o.options.RevokeRepeat) {
+	if e.covered(now, o.options.RevokeInterval) {
 		return queued
 	}
 	if o.maySeek(now, e, late) {
@@ -94,17 +94,17 @@
 // press places an ask that the Chooser would rather have wait. It reports whether
 // the ask does not wait any more.
 func (o *owner) press(now time.Time, e *entry) bool {
-	if e.waiting.Pressing || e.pool.open == 0 {
+	if e.waiting.Urgent || e.pool.open == 0 {
 		return false
 	}
-	e.waiting.Pressing = true
+	e.waiting.Urgent = true
 	o.place(now)
 	return !e.item.Waiting()
 }
 
 // seekingStill reports whether the client is still asking other data centres.
 func (o *owner) seekingStill(now time.Time, e *entry) bool {
-	if e.seeking && now.Sub(e.soughtAt) >= o.options.SeekTimeout {
+	if e.seeking && now.Sub(e.soughtAt) >= o.options.SearchTimeout {
 		e.seeking = false
 	}
 	return e.seeking
--- a/capacity/leastoutstanding.go
+++ b/capacity/leastoutstanding.go
@@ -10,10 +10,10 @@
 func NewLeastOutstanding() LeastOutstanding { return LeastOutstanding{} }
 
 // Admit admits every ask.
-func (LeastOutstanding) Admit(time.Time, *Ask) error { return nil }
+func (LeastOutstanding) Admit(time.Time, *Request) error { return nil }
 
 // Choose returns the candidate with the smallest part of its limit in use.
-func (LeastOutstanding) Choose(_ time.Time, _ *Waiting, candidates []*EndpointState) (int, bool) {
+func (LeastOutstanding) Choose(_ time.Time, _ *QueuedRequest, candidates []*EndpointState) (int, bool) {
 	best := 0
 	for i, c := range candidates {
 		if c.Requests*candidates[best].Limit < candidates[best].Requests*c.Limit {
@@ -24,10 +24,10 @@
 }
 
 // Granted does nothing.
-func (LeastOutstanding) Granted(time.Time, *EndpointState, *Ask) {}
+func (LeastOutstanding) Granted(time.Time, *EndpointState, *Request) {}
 
 // Forecast knows nothing.
-func (LeastOutstanding) Forecast(time.Time, *EndpointState, *Ask) Forecast { return Forecast{} }
+func (LeastOutstanding) Forecast(time.Time, *EndpointState, *Request) Forecast { return Forecast{} }
 
 // Observe does nothing.
-func (LeastOutstanding) Observe(time.Time, *EndpointState, *Ask, Result) {}
+func (LeastOutstanding) Observe(time.Time, *EndpointState, *Request, Result) {}
--- a/capacity/leaving.go
+++ b/capacity/leaving.go
@@ -86,7 +86,7 @@
 // Report hands an endpoint's own account of its load to the owner's Chooser. It
 // does nothing if this node does not own the endpoint's pool.
 func (s *Service) Report(id domain.EndpointID, report endpoint.LoadReport) {
-	s.withReporter(id, func(now time.Time, r Reporter, state *EndpointState) {
+	s.withReporter(id, func(now time.Time, r ReportReceiver, state *EndpointState) {
 		r.Report(now, state, report)
 	})
 }
@@ -94,12 +94,12 @@
 // CacheEvents hands an engine's prompt-cache events to the owner's Chooser. It
 // does nothing if this node does not own the endpoint's pool.
 func (s *Service) CacheEvents(id domain.EndpointID, events []endpoint.CacheEvent) {
-	s.withReporter(id, func(now time.Time, r Reporter, state *EndpointState) {
+	s.withReporter(id, func(now time.Time, r ReportReceiver, state *EndpointState) {
 		r.CacheEvents(now, state, events)
 	})
 }
 
-func (s *Service) withReporter(id domain.EndpointID, f func(time.Time, Reporter, *EndpointState)) {
+func (s *Service) withReporter(id domain.EndpointID, f func(time.Time, ReportReceiver, *EndpointState)) {
 	row, ok := s.endpointRow(id)
 	if !ok || row.DataCentre != s.self.DataCentre {
 		return
@@ -109,7 +109,7 @@
 		return
 	}
 	s.withOwner(pools[0], func(now time.Time, o *owner, _ *pool) {
-		r, ok := o.chooser.(Reporter)
+		r, ok := o.chooser.(ReportReceiver)
 		if p, known := o.places[id]; ok && known {
 			f(now, r, &p.state)
 		}
--- a/capacity/leaving_test.go
+++ b/capacity/leaving_test.go
@@ -43,7 +43,7 @@
 			owner, _ := c.roles()
 			c.crash(owner)
 			c.publish()
-			time.Sleep(DefaultRenewEvery)
+			time.Sleep(DefaultRenewInterval)
 		}, func(c *cluster, speaker domain.NodeID) { c.nodes[speaker].SetEndpointLeaving("e1", false) }},
 	}
 	for _, test := range tests {
--- a/capacity/messages.go
+++ b/capacity/messages.go
@@ -85,9 +85,9 @@
 }
 
 type askRequest struct {
-	ID   askID `cbor:"1,keyasint"`
-	Ask  Ask   `cbor:"2,keyasint"`
-	Mode mode  `cbor:"3,keyasint,omitempty"`
+	ID   askID   `cbor:"1,keyasint"`
+	Ask  Request `cbor:"2,keyasint"`
+	Mode mode    `cbor:"3,keyasint,omitempty"`
 }
 
 // ruling is the owner's word about one ask.
@@ -158,8 +158,8 @@
 
 // record describes one ask or grant in full.
 type record struct {
-	ID  askID `cbor:"1,keyasint"`
-	Ask Ask   `cbor:"2,keyasint"`
+	ID  askID   `cbor:"1,keyasint"`
+	Ask Request `cbor:"2,keyasint"`
 	// Endpoint is empty while the ask waits.
 	Endpoint domain.EndpointID `cbor:"3,keyasint,omitempty"`
 	Progress progressCode      `cbor:"4,keyasint,omitempty"`
@@ -191,7 +191,7 @@
 }
 
 type quoteRequest struct {
-	Ask Ask `cbor:"1,keyasint"`
+	Ask Request `cbor:"1,keyasint"`
 }
 
 // quote is what an owner expects for an ask that it does not hold.
--- a/capacity/overflow_test.go
+++ b/capacity/overflow_test.go
@@ -156,7 +156,7 @@
 // A flood of the lowest tier asks the other data centres a bounded number of times.
 func TestQuotesAreShared(t *testing.T) {
 	rows := []config.EndpointRow{engine("ea", "a", 1, "quote"), engine("eb", "b", 1, "quote")}
-	inCluster(t, rows, Options{QueueBound: 5}, twoCentres, func(t *testing.T, c *cluster) {
+	inCluster(t, rows, Options{QueueLimit: 5}, twoCentres, func(t *testing.T, c *cluster) {
 		c.occupy(t, "a1", 2)
 		c.occupy(t, "b1", 2)
 		for range 200 {
@@ -177,7 +177,7 @@
 			engine("ea1", "a", 2, "quote"), engine("ea2", "a", 1, "quote hint"),
 			engine("eb1", "b", 2, "quote"), engine("eb2", "b", 1, "hint"),
 		}
-		inCluster(t, rows, Options{QueueBound: 8}, twoCentres, func(t *testing.T, c *cluster) {
+		inCluster(t, rows, Options{QueueLimit: 8}, twoCentres, func(t *testing.T, c *cluster) {
 			r := &randomLoad{c: c, t: t, inUse: make(map[domain.EndpointID]int), held: make(map[Grant]heldSince)}
 			random := rand.New(rand.NewPCG(seed, seed))
 			for range 400 {
@@ -237,7 +237,7 @@
 	}()
 }
 
-func (r *randomLoad) hold(grant Grant, a Ask) {
+func (r *randomLoad) hold(grant Grant, a Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.served++
@@ -255,7 +255,7 @@
 	r.inUse[grant.Endpoint()]--
 }
 
-func (r *randomLoad) refuse(a Ask, err error) {
+func (r *randomLoad) refuse(a Request, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refused++
--- a/capacity/owner.go
+++ b/capacity/owner.go
@@ -69,7 +69,7 @@
 		chooser:  options.NewChooser(),
 		name:     name,
 		dc:       dc,
-		queue:    queue.New[*entry](options.QueueBound),
+		queue:    queue.New[*entry](options.QueueLimit),
 		pools:    make(map[domain.PoolName]*pool),
 		places:   make(map[domain.EndpointID]*place),
 		revoking: make(map[*grant]struct{}),
@@ -205,4 +205,4 @@
 }
 
 // bound lets the queue grow by the places that revocations are about to free.
-func (o *owner) bound() { o.queue.SetBound(o.options.QueueBound + len(o.revoking)) }
+func (o *owner) bound() { o.queue.SetBound(o.options.QueueLimit + len(o.revoking)) }
--- a/capacity/owner_test.go
+++ b/capacity/owner_test.go
@@ -19,7 +19,7 @@
 	forecast Forecast
 }
 
-func (f forecaster) Forecast(time.Time, *EndpointState, *Ask) Forecast { return f.forecast }
+func (f forecaster) Forecast(time.Time, *EndpointState, *Request) Forecast { return f.forecast }
 
 // ownerTest drives an owner directly, with a clock of its own.
 type ownerTest struct {
@@ -27,7 +27,7 @@
 	now    time.Time
 	member domain.Member
 	nextID askID
-	asked  []Ask
+	asked  []Request
 }
 
 func newOwnerTest(options Options, rows ...config.EndpointRow) *ownerTest {
@@ -42,7 +42,7 @@
 }
 
 // put asks for a place and returns the ruling.
-func (t *ownerTest) put(a Ask) ruling {
+func (t *ownerTest) put(a Request) ruling {
 	t.nextID++
 	return t.ask(t.now, t.member, t.pools[a.Pool], &askRequest{ID: t.nextID, Ask: a})
 }
@@ -78,14 +78,14 @@
 }
 
 // sized returns an ask with so many tokens in all.
-func sized(tier domain.Tier, tokens int) Ask {
+func sized(tier domain.Tier, tokens int) Request {
 	a := ask(tier)
 	a.PromptTokens, a.AnswerTokens = tokens, 0
 	return a
 }
 
 // urgent returns an ask that must have its first token at once.
-func urgent(tier domain.Tier) Ask {
+func urgent(tier domain.Tier) Request {
 	a := ask(tier)
 	a.FirstToken = time.Millisecond
 	return a
@@ -147,7 +147,7 @@
 	o.put(ask(2))
 	o.put(urgent(0))
 	assert.Equal(t, o.sent(), "2:revoked")
-	o.after(o.options.RevokeRepeat - o.options.Tick)
+	o.after(o.options.RevokeInterval - o.options.Tick)
 	assert.Equal(t, o.sent(), "")
 	o.after(o.options.Tick)
 	assert.Equal(t, o.sent(), "1:revoked 2:revoked")
@@ -211,9 +211,9 @@
 	calls int
 }
 
-func (h *holdback) Choose(_ time.Time, w *Waiting, _ []*EndpointState) (int, bool) {
+func (h *holdback) Choose(_ time.Time, w *QueuedRequest, _ []*EndpointState) (int, bool) {
 	h.calls++
-	return 0, w.Pressing
+	return 0, w.Urgent
 }
 
 // A Chooser may hold asks back until they press, and is not asked for all of them
@@ -237,7 +237,7 @@
 }
 
 func TestBoundOfTheQueue(t *testing.T) {
-	o := newOwnerTest(Options{QueueBound: 2}, engine("e1", "a", 1, "quote"))
+	o := newOwnerTest(Options{QueueLimit: 2}, engine("e1", "a", 1, "quote"))
 	for _, tier := range []domain.Tier{2, 1, 2} {
 		o.put(ask(tier))
 	}
@@ -324,7 +324,7 @@
 func TestOversleep(t *testing.T) {
 	o := newOwnerTest(Options{}, engine("e1", "a", 1, "quote"))
 	o.after(time.Second)
-	assert.Assert(t, !o.overslept(o.now.Add(o.options.Settle)))
+	assert.Assert(t, !o.overslept(o.now.Add(o.options.SettleTimeout)))
 	o.now = o.now.Add(30 * time.Second)
 	assert.Assert(t, o.overslept(o.now))
 	o.unsettle()
--- a/capacity/ownerask.go
+++ b/capacity/ownerask.go
@@ -37,7 +37,7 @@
 }
 
 // admit returns why the pool does not take the ask, or 0, and when to come back.
-func (o *owner) admit(now time.Time, p *pool, ask *Ask) (reason, time.Duration) {
+func (o *owner) admit(now time.Time, p *pool, ask *Request) (reason, time.Duration) {
 	if err := o.chooser.Admit(now, ask); err != nil {
 		var refusal *Refusal
 		if errors.As(err, &refusal) {
@@ -59,7 +59,7 @@
 		ask:      request.Ask,
 		visiting: request.Mode != modeHomeless && h.member.DataCentre != o.dc,
 	}
-	e.waiting = Waiting{Ask: &e.ask, Arrived: now, Due: now.Add(e.ask.Deadline)}
+	e.waiting = QueuedRequest{Request: &e.ask, Arrived: now, Due: now.Add(e.ask.Deadline)}
 	if e.ask.FirstToken != 0 {
 		e.waiting.FirstTokenDue = now.Add(e.ask.FirstToken)
 	}
--- a/capacity/ownerquote.go
+++ b/capacity/ownerquote.go
@@ -3,7 +3,7 @@
 import "time"
 
 // quote estimates what would become of an ask from another data centre.
-func (o *owner) quote(now time.Time, p *pool, ask *Ask) quote {
+func (o *owner) quote(now time.Time, p *pool, ask *Request) quote {
 	if why, _ := o.admit(now, p, ask); why != 0 {
 		return quote{Refused: why}
 	}
--- a/capacity/ownertick.go
+++ b/capacity/ownertick.go
@@ -24,7 +24,7 @@
 // overslept reports whether ticks have been missed for so long that other nodes
 // may have taken over.
 func (o *owner) overslept(now time.Time) bool {
-	return !o.lastTick.IsZero() && now.Sub(o.lastTick) > o.options.Settle
+	return !o.lastTick.IsZero() && now.Sub(o.lastTick) > o.options.SettleTimeout
 }
 
 func (o *owner) expireHolders(now time.Time) {
@@ -92,7 +92,7 @@
 
 func (o *owner) repeatRevocations(now time.Time) {
 	for g := range o.revoking {
-		if now.Sub(g.notifiedAt) >= o.options.RevokeRepeat {
+		if now.Sub(g.notifiedAt) >= o.options.RevokeInterval {
 			g.notifiedAt = now
 			o.send(g.holder, g.pool, ruling{ID: g.id, Verdict: verdictRevoked})
 		}
--- a/capacity/placement.go
+++ b/capacity/placement.go
@@ -110,7 +110,7 @@
 
 // certain returns the part of an estimated time that counts against an ask.
 func (o *owner) certain(d time.Duration) time.Duration {
-	return time.Duration(o.options.Hopeless * float64(d))
+	return time.Duration(o.options.ForecastFactor * float64(d))
 }
 
 // refuseHopeless lets the client try other data centres if it may, else refuses.
--- a/capacity/promises_test.go
+++ b/capacity/promises_test.go
@@ -20,7 +20,7 @@
 func TestPromisesUnderRandomUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := []config.EndpointRow{engine("e1", "a", 2, "quote"), engine("e2", "a", 3, "quote hint"), engine("e3", "a", 1, "hint")}
-		o := newOwnerTest(Options{QueueBound: 6, GrantTTL: time.Hour}, rows...)
+		o := newOwnerTest(Options{QueueLimit: 6, GrantTTL: time.Hour}, rows...)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
--- a/capacity/service.go
+++ b/capacity/service.go
@@ -77,7 +77,7 @@
 	defer s.end()
 	tick := time.NewTicker(s.options.Tick)
 	defer tick.Stop()
-	renew := time.NewTicker(s.options.RenewEvery)
+	renew := time.NewTicker(s.options.RenewInterval)
 	defer renew.Stop()
 	for {
 		select {
--- a/capacity/visit.go
+++ b/capacity/visit.go
@@ -151,7 +151,7 @@
 	view := a.s.current()
 	key := quoteKey{a.ask.Pool, a.ask.Tier}
 	if a.ask.Tier >= view.lowest {
-		if offers, ok := a.s.quotes.get(key, time.Now(), a.s.options.QuoteAge); ok {
+		if offers, ok := a.s.quotes.get(key, time.Now(), a.s.options.QuoteTTL); ok {
 			return offers
 		}
 	}
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -70,7 +70,7 @@
 // freeCapacity grants at once, or makes asks wait, and keeps nothing.
 type freeCapacity struct{ waiting bool }
 
-func (c freeCapacity) Acquire(ctx context.Context, _ capacity.Ask) (capacity.Grant, error) {
+func (c freeCapacity) Acquire(ctx context.Context, _ capacity.Request) (capacity.Grant, error) {
 	if c.waiting {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/load/choosers.go
+++ b/load/choosers.go
@@ -13,18 +13,18 @@
 type balancer struct{}
 
 // Admit implements capacity.Chooser.
-func (balancer) Admit(time.Time, *capacity.Ask) error { return nil }
+func (balancer) Admit(time.Time, *capacity.Request) error { return nil }
 
 // Granted implements capacity.Chooser.
-func (balancer) Granted(time.Time, *capacity.EndpointState, *capacity.Ask) {}
+func (balancer) Granted(time.Time, *capacity.EndpointState, *capacity.Request) {}
 
 // Forecast implements capacity.Chooser.
-func (balancer) Forecast(time.Time, *capacity.EndpointState, *capacity.Ask) capacity.Forecast {
+func (balancer) Forecast(time.Time, *capacity.EndpointState, *capacity.Request) capacity.Forecast {
 	return capacity.Forecast{}
 }
 
 // Observe implements capacity.Chooser.
-func (balancer) Observe(time.Time, *capacity.EndpointState, *capacity.Ask, capacity.Result) {}
+func (balancer) Observe(time.Time, *capacity.EndpointState, *capacity.Request, capacity.Result) {}
 
 // Random takes any endpoint.
 type Random struct {
@@ -36,7 +36,7 @@
 func NewRandom(seed uint64) *Random { return &Random{random: rand.New(rand.NewPCG(seed, 1))} }
 
 // Choose implements capacity.Chooser.
-func (c *Random) Choose(_ time.Time, _ *capacity.Waiting, candidates []*capacity.EndpointState) (int, bool) {
+func (c *Random) Choose(_ time.Time, _ *capacity.QueuedRequest, candidates []*capacity.EndpointState) (int, bool) {
 	return c.random.IntN(len(candidates)), true
 }
 
@@ -47,7 +47,7 @@
 }
 
 // Choose implements capacity.Chooser.
-func (c *RoundRobin) Choose(_ time.Time, _ *capacity.Waiting, candidates []*capacity.EndpointState) (int, bool) {
+func (c *RoundRobin) Choose(_ time.Time, _ *capacity.QueuedRequest, candidates []*capacity.EndpointState) (int, bool) {
 	c.turn++
 	return c.turn % len(candidates), true
 }
@@ -59,7 +59,7 @@
 	turn int
 }
 
-var _ capacity.Reporter = (*LeastReported)(nil)
+var _ capacity.ReportReceiver = (*LeastReported)(nil)
 
 // NewLeastReported returns a LeastReported that has no reports yet.
 func NewLeastReported() *LeastReported {
@@ -67,7 +67,7 @@
 }
 
 // Choose implements capacity.Chooser. Among equals it takes turns.
-func (c *LeastReported) Choose(_ time.Time, _ *capacity.Waiting, candidates []*capacity.EndpointState) (int, bool) {
+func (c *LeastReported) Choose(_ time.Time, _ *capacity.QueuedRequest, candidates []*capacity.EndpointState) (int, bool) {
 	c.turn++
 	best := c.turn % len(candidates)
 	for i := range candidates {
@@ -79,10 +79,10 @@
 	return best, true
 }
 
-// Report implements capacity.Reporter.
+// Report implements capacity.ReportReceiver.
 func (c *LeastReported) Report(_ time.Time, e *capacity.EndpointState, report endpoint.LoadReport) {
 	c.load[e.ID] = report.Running + report.Waiting
 }
 
-// CacheEvents implements capacity.Reporter.
+// CacheEvents implements capacity.ReportReceiver.
 func (*LeastReported) CacheEvents(time.Time, *capacity.EndpointState, []endpoint.CacheEvent) {}
--- a/load/virtual/policy.go
+++ b/load/virtual/policy.go
@@ -55,8 +55,8 @@
 	{Name: "prefill-0", Configure: func(o *node.Options) { o.Routing.PrefillWeight = -1 }},
 	{Name: "prefill-4", Configure: func(o *node.Options) { o.Routing.PrefillWeight = 4 }},
 	{Name: "prefill-16", Configure: func(o *node.Options) { o.Routing.PrefillWeight = 16 }},
-	{Name: "hopeless-0.5", Configure: func(o *node.Options) { o.Capacity.Hopeless = 0.5 }},
-	{Name: "hopeless-1", Configure: func(o *node.Options) { o.Capacity.Hopeless = 1 }},
+	{Name: "hopeless-0.5", Configure: func(o *node.Options) { o.Capacity.ForecastFactor = 0.5 }},
+	{Name: "hopeless-1", Configure: func(o *node.Options) { o.Capacity.ForecastFactor = 1 }},
 }
 
 // holdOff is a HoldRatio that holds nothing back.
--- a/node/decision_bench_test.go
+++ b/node/decision_bench_test.go
@@ -83,7 +83,7 @@
 		org := organisations[i%benchOrganisations]
 		permit, err := quotas.Admit(org, 500, 200)
 		assert.NilError(b, err)
-		grant, err := places.Acquire(ctx, capacity.Ask{
+		grant, err := places.Acquire(ctx, capacity.Request{
 			Name: "r", Pool: domain.ModelPool(snapshot.Table.Models[i%benchModels].Name), Organisation: org.ID, Tier: org.Rank,
 			PromptTokens: 500, AnswerTokens: 200, Blocks: blocks, Deadline: time.Minute,
 		})
--- a/node/placement.go
+++ b/node/placement.go
@@ -84,11 +84,11 @@
 	readiness *coordinator.Readiness
 }
 
-var _ capacity.Reporter = readyChooser{}
+var _ capacity.ReportReceiver = readyChooser{}
 
 // Choose implements capacity.Chooser. While no candidate is ready the ask waits.
-func (c readyChooser) Choose(now time.Time, waiting *capacity.Waiting, candidates []*capacity.EndpointState) (int, bool) {
-	model, isModel := strings.CutPrefix(string(waiting.Ask.Pool), string(domain.ModelPool("")))
+func (c readyChooser) Choose(now time.Time, waiting *capacity.QueuedRequest, candidates []*capacity.EndpointState) (int, bool) {
+	model, isModel := strings.CutPrefix(string(waiting.Request.Pool), string(domain.ModelPool("")))
 	if !isModel {
 		return c.Chooser.Choose(now, waiting, candidates)
 	}
@@ -106,16 +106,16 @@
 	return indexes[chosen], ok
 }
 
-// Report implements capacity.Reporter.
+// Report implements capacity.ReportReceiver.
 func (c readyChooser) Report(now time.Time, state *capacity.EndpointState, report endpoint.LoadReport) {
-	if r, ok := c.Chooser.(capacity.Reporter); ok {
+	if r, ok := c.Chooser.(capacity.ReportReceiver); ok {
 		r.Report(now, state, report)
 	}
 }
 
-// CacheEvents implements capacity.Reporter.
+// CacheEvents implements capacity.ReportReceiver.
 func (c readyChooser) CacheEvents(now time.Time, state *capacity.EndpointState, events []endpoint.CacheEvent) {
-	if r, ok := c.Chooser.(capacity.Reporter); ok {
+	if r, ok := c.Chooser.(capacity.ReportReceiver); ok {
 		r.CacheEvents(now, state, events)
 	}
 }
--- a/places/ask.go
+++ b/places/ask.go
@@ -39,7 +39,7 @@
 	Urgent bool
 
 	// routed is what the router sees, made once when the ask comes in.
-	routed *capacity.Ask
+	routed *capacity.Request
 }
 
 func (a *Ask) excludes(id domain.EndpointID) bool {
@@ -51,8 +51,8 @@
 	return false
 }
 
-func (a *Ask) forRouter() *capacity.Ask {
-	return &capacity.Ask{
+func (a *Ask) forRouter() *capacity.Request {
+	return &capacity.Request{
 		Name:         a.Name,
 		Pool:         domain.PoolName(a.Service),
 		Organisation: a.Organisation,
--- a/places/choose.go
+++ b/places/choose.go
@@ -44,7 +44,7 @@
 	if !p.draw(now, ask, d.options, fleet) || len(p.scratch) == 0 {
 		return nil
 	}
-	w := capacity.Waiting{Ask: ask.routed, Arrived: now, FirstTokenDue: ask.FirstByteDue, Due: ask.Due, Pressing: true}
+	w := capacity.QueuedRequest{Request: ask.routed, Arrived: now, FirstTokenDue: ask.FirstByteDue, Due: ask.Due, Urgent: true}
 	at, ok := p.router.Choose(now, &w, p.scratch)
 	if !ok {
 		return nil
--- a/places/place.go
+++ b/places/place.go
@@ -26,7 +26,7 @@
 	desk    *Desk
 	pool    *pool
 	account *account
-	ask     *capacity.Ask
+	ask     *capacity.Request
 	// tier is the one in which the ask was counted.
 	tier    tier
 	granted time.Time
--- a/places/pool.go
+++ b/places/pool.go
@@ -128,7 +128,7 @@
 // heldFor is the mean time in seconds that a request keeps a place, a guess from the ask's kind until there is a sample. With
 // the engines' guess for plain calls too, nodes that had just been restarted refused them: 585 in the second after all 69
 // nodes of a large deployment had been restarted, though half of the plain calls of that second were answered in 44 ms.
-func (p *pool) heldFor(ask *capacity.Ask) float64 {
+func (p *pool) heldFor(ask *capacity.Request) float64 {
 	switch {
 	case p.held.samples > 0:
 		return p.held.value
@@ -140,7 +140,7 @@
 }
 
 // keep counts the time in seconds that the ask's request kept a place.
-func (p *pool) keep(ask *capacity.Ask, of tier, held float64) {
+func (p *pool) keep(ask *capacity.Request, of tier, held float64) {
 	p.held.value = p.heldFor(ask)
 	p.held.add(held)
 	p.demand.of(of).kept(held)
--- a/places/prospect.go
+++ b/places/prospect.go
@@ -51,7 +51,7 @@
 		return prospect{
 			inTime:   ask.AnswerTokens < longAnswer || f.Total <= left,
 			punctual: late || f.FirstToken <= first,
-			calm:     a.state.Requests == 0 || ask.EventGap <= 0 || f.Reading <= calm,
+			calm:     a.state.Requests == 0 || ask.EventGap <= 0 || f.Prefill <= calm,
 			even:     ask.AnswerTokens <= ask.EventTokens || ask.EventGap <= 0 || a.pause(now, ask.EventTokens) <= longest,
 		}
 	}
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -37,7 +37,7 @@
 	return rt, states
 }
 
-func conversation(n uint64) capacity.Ask {
+func conversation(n uint64) capacity.Request {
 	blocks := make([]uint64, 32)
 	for i := range blocks {
 		blocks[i] = mix(uint64(i) + 1)
@@ -45,7 +45,7 @@
 			blocks[i] = mix(n<<20 + uint64(i) + 1)
 		}
 	}
-	return capacity.Ask{
+	return capacity.Request{
 		Pool: "model/m", Session: fmt.Sprintf("s%d", n), Fingerprint: n + 1,
 		PromptTokens: 2048, AnswerTokens: 200, Blocks: blocks,
 	}
@@ -55,7 +55,7 @@
 	rt, states := fleet(size, 40)
 	ask := conversation(uint64(size*20 + 7))
 	now := time.Unix(1, 0)
-	waiting := capacity.Waiting{Ask: &ask, Due: now.Add(time.Minute)}
+	waiting := capacity.QueuedRequest{Request: &ask, Due: now.Add(time.Minute)}
 	b.ReportAllocs()
 	for b.Loop() {
 		rt.Choose(now, &waiting, states)
--- a/routing/compare_test.go
+++ b/routing/compare_test.go
@@ -33,12 +33,12 @@
 	first  time.Time // zero once noticed
 	end    time.Time
 	engine *modelEngine
-	ask    capacity.Ask
+	ask    capacity.Request
 	result capacity.Result
 }
 
 // chooseFunc is a way of choosing.
-type chooseFunc func(m *model, waiting *capacity.Waiting) int
+type chooseFunc func(m *model, waiting *capacity.QueuedRequest) int
 
 type model struct {
 	random  *rand.Rand
@@ -66,7 +66,7 @@
 
 // run plays conversations at a rate of turns a second for some virtual time.
 func (m *model) run(choose chooseFunc, rate float64, length time.Duration) {
-	var turns []capacity.Ask
+	var turns []capacity.Request
 	nextReport := t0
 	for m.now.Sub(t0) < length {
 		m.now = m.now.Add(duration(m.random.ExpFloat64() / rate))
@@ -87,11 +87,11 @@
 }
 
 // turn continues a conversation or begins one, and places it.
-func (m *model) turn(turns []capacity.Ask, choose chooseFunc) []capacity.Ask {
+func (m *model) turn(turns []capacity.Request, choose chooseFunc) []capacity.Request {
 	m.count++
 	at := m.random.IntN(60)
 	for len(turns) <= at {
-		turns = append(turns, capacity.Ask{Pool: "model/m", Blocks: []uint64{1, 2, 3, 4, 5, 6, 7, 8}})
+		turns = append(turns, capacity.Request{Pool: "model/m", Blocks: []uint64{1, 2, 3, 4, 5, 6, 7, 8}})
 	}
 	ask := turns[at]
 	if len(ask.Blocks) > 100 {
@@ -105,12 +105,12 @@
 	ask.PromptTokens = 64*len(ask.Blocks) + 20
 	ask.AnswerTokens = int(math.Exp(3 + 3*m.random.Float64()))
 	turns[at] = ask
-	waiting := capacity.Waiting{Ask: &ask, Due: m.now.Add(time.Minute), Pressing: true}
+	waiting := capacity.QueuedRequest{Request: &ask, Due: m.now.Add(time.Minute), Urgent: true}
 	m.place(m.engines[choose(m, &waiting)], ask)
 	return turns
 }
 
-func (m *model) place(e *modelEngine, ask capacity.Ask) {
+func (m *model) place(e *modelEngine, ask capacity.Request) {
 	m.router.Granted(m.now, e.state, &ask)
 	cached := 64 * e.cache.Depth(ask.Blocks, 0)
 	e.cache.Dispatched(m.now, ask.Blocks)
@@ -165,8 +165,8 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-func random(m *model, _ *capacity.Waiting) int     { return m.random.IntN(len(m.engines)) }
-func roundRobin(m *model, _ *capacity.Waiting) int { return m.count % len(m.engines) }
+func random(m *model, _ *capacity.QueuedRequest) int     { return m.random.IntN(len(m.engines)) }
+func roundRobin(m *model, _ *capacity.QueuedRequest) int { return m.count % len(m.engines) }
 
 // least returns the engine for which value is least, a random one of several.
 func least(m *model, value func(e *modelEngine) int) int {
@@ -185,15 +185,15 @@
 	return best
 }
 
-func leastReported(m *model, _ *capacity.Waiting) int {
+func leastReported(m *model, _ *capacity.QueuedRequest) int {
 	return least(m, func(e *modelEngine) int { return e.reported })
 }
 
-func leastOutstanding(m *model, _ *capacity.Waiting) int {
+func leastOutstanding(m *model, _ *capacity.QueuedRequest) int {
 	return least(m, func(e *modelEngine) int { return e.state.Requests })
 }
 
-func byRouter(m *model, w *capacity.Waiting) int {
+func byRouter(m *model, w *capacity.QueuedRequest) int {
 	at, _ := m.router.Choose(m.now, w, m.states)
 	return at
 }
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -19,7 +19,7 @@
 )
 
 // Observe implements capacity.Chooser.
-func (rt *Router) Observe(now time.Time, state *capacity.EndpointState, ask *capacity.Ask, result capacity.Result) {
+func (rt *Router) Observe(now time.Time, state *capacity.EndpointState, ask *capacity.Request, result capacity.Result) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.forget(now)
@@ -45,7 +45,7 @@
 }
 
 // unknownFlight stands for a grant of which nothing was noted.
-func (rt *Router) unknownFlight(now time.Time, state *capacity.EndpointState, ask *capacity.Ask) flight {
+func (rt *Router) unknownFlight(now time.Time, state *capacity.EndpointState, ask *capacity.Request) flight {
 	return flight{
 		placed: now,
 		work:   float64(ask.PromptTokens + rt.options.RequestTokens*state.Requests),
@@ -54,7 +54,7 @@
 	}
 }
 
-func (rt *Router) completed(now time.Time, e *Endpoint, f flight, ask *capacity.Ask, state *capacity.EndpointState, result capacity.Result) {
+func (rt *Router) completed(now time.Time, e *Endpoint, f flight, ask *capacity.Request, state *capacity.EndpointState, result capacity.Result) {
 	e.ejector.Succeed()
 	rt.options.Quarantine.Completed(ask.Fingerprint)
 	e.trust.Observe(f.cached, float64(result.CachedTokens))
@@ -122,7 +122,7 @@
 }
 
 // crashed blames the content, and ejects the endpoint. Its cache is gone.
-func (rt *Router) crashed(now time.Time, e *Endpoint, f flight, ask *capacity.Ask, last bool) {
+func (rt *Router) crashed(now time.Time, e *Endpoint, f flight, ask *capacity.Request, last bool) {
 	if now.Sub(e.crash.at) > crashWindow {
 		e.crash = crashEvent{at: now, alone: last}
 		e.prefixes.Clear()
@@ -175,7 +175,7 @@
 	delete(rt.endpoints, id)
 }
 
-// Report implements capacity.Reporter.
+// Report implements capacity.ReportReceiver.
 func (rt *Router) Report(now time.Time, state *capacity.EndpointState, report endpoint.LoadReport) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -186,7 +186,7 @@
 	}
 }
 
-// CacheEvents implements capacity.Reporter. Events told twice are ignored; a
+// CacheEvents implements capacity.ReportReceiver. Events told twice are ignored; a
 // sequence that begins anew tells that the endpoint has lost its cache.
 func (rt *Router) CacheEvents(now time.Time, state *capacity.EndpointState, events []endpoint.CacheEvent) {
 	rt.mu.Lock()
--- a/routing/prefixtokens.go
+++ b/routing/prefixtokens.go
@@ -6,7 +6,7 @@
 )
 
 // prefixTokens returns the tokens of the ask's first blocks.
-func prefixTokens(ask *capacity.Ask, blocks int) int {
+func prefixTokens(ask *capacity.Request, blocks int) int {
 	if ask.BlockTokens == nil {
 		return min(blocks*prefix.BlockTokens, ask.PromptTokens)
 	}
--- a/routing/quarantine/quarantine_test.go
+++ b/routing/quarantine/quarantine_test.go
@@ -152,11 +152,11 @@
 type site struct {
 	router  *routing.Router
 	states  []*capacity.EndpointState
-	running map[int][]capacity.Ask
+	running map[int][]capacity.Request
 }
 
 func newSite(name string, q routing.Quarantine) *site {
-	s := &site{router: routing.NewRouter(routing.Options{Quarantine: q}), running: make(map[int][]capacity.Ask)}
+	s := &site{router: routing.NewRouter(routing.Options{Quarantine: q}), running: make(map[int][]capacity.Request)}
 	for i := range 2 {
 		s.states = append(s.states, &capacity.EndpointState{ID: domain.EndpointID(fmt.Sprint(name, i)), Row: &config.EndpointRow{ID: domain.EndpointID(fmt.Sprint(name, i))}})
 	}
@@ -166,11 +166,11 @@
 // offer places an ask with the content, or reports that it was quarantined.
 func (s *site) offer(fingerprint uint64) bool {
 	now := time.Now()
-	ask := capacity.Ask{Pool: "model/m", Fingerprint: fingerprint, PromptTokens: 100, AnswerTokens: 10}
+	ask := capacity.Request{Pool: "model/m", Fingerprint: fingerprint, PromptTokens: 100, AnswerTokens: 10}
 	if s.router.Admit(now, &ask) != nil {
 		return false
 	}
-	if at, ok := s.router.Choose(now, &capacity.Waiting{Ask: &ask}, s.states); ok {
+	if at, ok := s.router.Choose(now, &capacity.QueuedRequest{Request: &ask}, s.states); ok {
 		s.router.Granted(now, s.states[at], &ask)
 		s.states[at].Requests++
 		s.running[at] = append(s.running[at], ask)
--- a/routing/request.go
+++ b/routing/request.go
@@ -10,7 +10,7 @@
 // Request is what the steps see of an ask.
 type Request struct {
 	Now time.Time
-	Ask *capacity.Ask
+	Ask *capacity.Request
 	// Due is when the answer must be complete.
 	Due time.Time
 	// Suspect is true if the same content was running where an endpoint crashed.
--- a/routing/router.go
+++ b/routing/router.go
@@ -34,8 +34,8 @@
 }
 
 var (
-	_ capacity.Chooser  = (*Router)(nil)
-	_ capacity.Reporter = (*Router)(nil)
+	_ capacity.Chooser        = (*Router)(nil)
+	_ capacity.ReportReceiver = (*Router)(nil)
 )
 
 // NewRouter returns a Router that has learned nothing.
@@ -56,7 +56,7 @@
 }
 
 // Admit refuses content in quarantine.
-func (rt *Router) Admit(_ time.Time, ask *capacity.Ask) error {
+func (rt *Router) Admit(_ time.Time, ask *capacity.Request) error {
 	left := rt.options.Quarantine.Quarantined(ask.Fingerprint)
 	if left <= 0 {
 		return nil
@@ -79,17 +79,17 @@
 }
 
 // Choose implements capacity.Chooser.
-func (rt *Router) Choose(now time.Time, waiting *capacity.Waiting, states []*capacity.EndpointState) (int, bool) {
+func (rt *Router) Choose(now time.Time, waiting *capacity.QueuedRequest, states []*capacity.EndpointState) (int, bool) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.counters.decisions.Inc()
 	r := rt.request(now, waiting)
-	candidates := rt.pipeline.Filter(r, rt.candidates(now, states, waiting.Ask.Pool))
+	candidates := rt.pipeline.Filter(r, rt.candidates(now, states, waiting.Request.Pool))
 	if len(candidates) == 0 {
 		return rt.chooseFiltered(r, waiting, states)
 	}
 	best := rt.pipeline.Choose(r, candidates)
-	if !waiting.Pressing && rt.betterLater(r, best, candidates) {
+	if !waiting.Urgent && rt.betterLater(r, best, candidates) {
 		rt.counters.held.Inc()
 		return 0, false
 	}
@@ -98,9 +98,9 @@
 
 // chooseFiltered decides when the filters keep nothing: the ask waits, unless it
 // would be refused for that.
-func (rt *Router) chooseFiltered(r *Request, waiting *capacity.Waiting, states []*capacity.EndpointState) (int, bool) {
+func (rt *Router) chooseFiltered(r *Request, waiting *capacity.QueuedRequest, states []*capacity.EndpointState) (int, bool) {
 	rt.counters.filtered.Inc()
-	if !waiting.Pressing {
+	if !waiting.Urgent {
 		return 0, false
 	}
 	return rt.pipeline.Choose(r, rt.candidates(r.Now, states, r.Ask.Pool)).index, true
@@ -115,12 +115,12 @@
 }
 
 // Granted implements capacity.Chooser.
-func (rt *Router) Granted(now time.Time, state *capacity.EndpointState, ask *capacity.Ask) {
+func (rt *Router) Granted(now time.Time, state *capacity.EndpointState, ask *capacity.Request) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	e := rt.endpoint(now, state)
 	e.look(now, state)
-	r := rt.request(now, &capacity.Waiting{Ask: ask})
+	r := rt.request(now, &capacity.QueuedRequest{Request: ask})
 	c := rt.estimate(r, state, e)
 	rt.count(ask, c)
 	rt.note(r, c)
@@ -165,13 +165,13 @@
 	return probe
 }
 
-func (rt *Router) count(ask *capacity.Ask, c *Candidate) {
+func (rt *Router) count(ask *capacity.Request, c *Candidate) {
 	rt.counters.prompt.Add(ask.PromptTokens)
 	rt.counters.predicted.Add(int(c.Estimate.CachedTokens))
 }
 
 // remember notes where the session went.
-func (rt *Router) remember(now time.Time, id domain.EndpointID, ask *capacity.Ask) {
+func (rt *Router) remember(now time.Time, id domain.EndpointID, ask *capacity.Request) {
 	if ask.Session == "" {
 		return
 	}
@@ -184,19 +184,19 @@
 
 // Forecast implements capacity.Chooser. It knows nothing of an endpoint as long as
 // there are few samples of it and of its generation.
-func (rt *Router) Forecast(now time.Time, state *capacity.EndpointState, ask *capacity.Ask) capacity.Forecast {
+func (rt *Router) Forecast(now time.Time, state *capacity.EndpointState, ask *capacity.Request) capacity.Forecast {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	e := rt.endpoint(now, state)
 	if max(e.profile.Samples(), e.generation.profile.Samples()) < rt.options.ForecastSamples {
 		return capacity.Forecast{}
 	}
-	r := rt.request(now, &capacity.Waiting{Ask: ask})
+	r := rt.request(now, &capacity.QueuedRequest{Request: ask})
 	c := rt.estimate(r, state, e)
 	return capacity.Forecast{
 		FirstToken: duration(c.Estimate.FirstToken),
 		Total:      duration(c.Estimate.Total),
-		Reading:    duration(c.Estimate.Work * e.Speed().First.Slope),
+		Prefill:    duration(c.Estimate.Work * e.Speed().First.Slope),
 	}
 }
 
@@ -212,8 +212,8 @@
 }
 
 // request makes what the steps see of an ask.
-func (rt *Router) request(now time.Time, waiting *capacity.Waiting) *Request {
-	ask := waiting.Ask
+func (rt *Router) request(now time.Time, waiting *capacity.QueuedRequest) *Request {
+	ask := waiting.Request
 	rt.current = Request{
 		Now:      now,
 		Ask:      ask,
@@ -229,7 +229,7 @@
 
 // affinity returns the hash by which ties are broken: that of the session, or of the
 // first prompt block; asks that have neither take turns.
-func (rt *Router) affinity(ask *capacity.Ask) uint64 {
+func (rt *Router) affinity(ask *capacity.Request) uint64 {
 	switch {
 	case ask.Session != "":
 		return xxhash.Sum64String(ask.Session)
@@ -257,10 +257,10 @@
 
 // endpoint returns what has been learned of an endpoint, making it at first.
 func (rt *Router) endpoint(now time.Time, state *capacity.EndpointState) *Endpoint {
-	e, ok := state.Learned.(*Endpoint)
+	e, ok := state.ChooserState.(*Endpoint)
 	if !ok {
 		e = NewEndpoint(now, state.Row, rt.generation(state.Row.Generation), rt.options.PrefixBlocks)
-		state.Learned = e
+		state.ChooserState = e
 	}
 	if name := state.Row.Generation; e.generationName != name {
 		e.join(name, rt.generation(name))
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -33,25 +33,25 @@
 
 // held is a grant that the bench holds.
 type held struct {
-	ask   capacity.Ask
+	ask   capacity.Request
 	state *capacity.EndpointState
 }
 
-func (b *bench) ask() capacity.Ask {
+func (b *bench) ask() capacity.Request {
 	b.asks++
-	return capacity.Ask{Pool: "model/m", PromptTokens: 400, AnswerTokens: 100, Fingerprint: b.asks}
+	return capacity.Request{Pool: "model/m", PromptTokens: 400, AnswerTokens: 100, Fingerprint: b.asks}
 }
 
 // choose returns the endpoint's place, -1 if the ask is to wait.
-func (b *bench) choose(ask capacity.Ask, pressing bool) int {
-	waiting := capacity.Waiting{Ask: &ask, Due: b.now.Add(time.Minute), Pressing: pressing}
+func (b *bench) choose(ask capacity.Request, pressing bool) int {
+	waiting := capacity.QueuedRequest{Request: &ask, Due: b.now.Add(time.Minute), Urgent: pressing}
 	if at, ok := b.router.Choose(b.now, &waiting, b.states); ok {
 		return at
 	}
 	return -1
 }
 
-func (b *bench) grant(at int, ask capacity.Ask) held {
+func (b *bench) grant(at int, ask capacity.Request) held {
 	state := b.states[at]
 	b.router.Granted(b.now, state, &ask)
 	state.Requests++
@@ -207,7 +207,7 @@
 		b.now = b.now.Add(200 * time.Millisecond)
 	}
 	assert.Equal(t, b.router.State()[0].Failures, 1)
-	assert.Equal(t, b.states[0].Learned.(*Endpoint).ejector.Health(b.now), HealthProbation)
+	assert.Equal(t, b.states[0].ChooserState.(*Endpoint).ejector.Health(b.now), HealthProbation)
 }
 
 func TestLastEndpointsStay(t *testing.T) {
@@ -245,7 +245,7 @@
 	other.Session = "another"
 	next := ask
 	next.Blocks = []uint64{1}
-	for name, ask := range map[string]capacity.Ask{"shared prompt": other, "next turn": next} {
+	for name, ask := range map[string]capacity.Request{"shared prompt": other, "next turn": next} {
 		b.grant(first, b.ask())
 		assert.Equal(t, b.choose(ask, false), first, name)
 	}
@@ -255,7 +255,7 @@
 	b.end(b.grant(first, other), complete(1))
 	assert.Assert(t, b.router.State()[first].CacheTrust < before, "nothing of it was cached")
 	b.router.CacheEvents(b.now, b.states[first], []endpoint.CacheEvent{{Sequence: 9, Block: 5, Stored: true}})
-	e := b.states[first].Learned.(*Endpoint)
+	e := b.states[first].ChooserState.(*Endpoint)
 	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 64)
 	b.router.CacheEvents(b.now, b.states[first], []endpoint.CacheEvent{{Sequence: 1, Block: 5, Stored: true}})
 	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 0, "the endpoint began anew")
@@ -268,7 +268,7 @@
 	b := newBench(t, 4, Options{})
 	served := make(map[int]int)
 	for range 400 {
-		ask := capacity.Ask{Pool: "service/catalogue"}
+		ask := capacity.Request{Pool: "service/catalogue"}
 		at := b.choose(ask, false)
 		served[at]++
 		h := b.grant(at, ask)
@@ -280,7 +280,7 @@
 	}
 	b.load(3, 1)
 	for range 20 {
-		assert.Assert(t, b.choose(capacity.Ask{Pool: "service/catalogue"}, false) != 1)
+		assert.Assert(t, b.choose(capacity.Request{Pool: "service/catalogue"}, false) != 1)
 	}
 }
 
@@ -293,7 +293,7 @@
 		b.grant(0, b.ask())
 		b.states[0].AnswerTokens = 5
 		b.router.Report(b.now, b.states[0], endpoint.LoadReport{})
-		b.router.Granted(b.now, b.states[0], &capacity.Ask{})
+		b.router.Granted(b.now, b.states[0], &capacity.Request{})
 		b.states = b.states[1:]
 		got := b.choose(b.ask(), false)
 		assert.Equal(t, got, min(want, 0), "ratio %v", ratio)
@@ -373,6 +373,6 @@
 	f := NewFactory(Options{})
 	state := &capacity.EndpointState{ID: "e", Row: &config.EndpointRow{ID: "e"}}
 	chooser := f.New()
-	chooser.Granted(t0, state, &capacity.Ask{})
+	chooser.Granted(t0, state, &capacity.Request{})
 	assert.Equal(t, len(f.State()), 1)
 }
--- a/scheduler/schedulertest/capacity.go
+++ b/scheduler/schedulertest/capacity.go
@@ -14,7 +14,7 @@
 	endpoints []domain.EndpointID
 	err       error
 	blocked   bool
-	asks      []capacity.Ask
+	asks      []capacity.Request
 	grants    []*Grant
 }
 
@@ -36,10 +36,10 @@
 }
 
 // Asks returns the asks so far.
-func (c *Capacity) Asks() []capacity.Ask {
+func (c *Capacity) Asks() []capacity.Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]capacity.Ask(nil), c.asks...)
+	return append([]capacity.Request(nil), c.asks...)
 }
 
 // Grants returns the grants so far.
@@ -61,7 +61,7 @@
 }
 
 // Acquire grants, refuses or waits as told.
-func (c *Capacity) Acquire(ctx context.Context, ask capacity.Ask) (capacity.Grant, error) {
+func (c *Capacity) Acquire(ctx context.Context, ask capacity.Request) (capacity.Grant, error) {
 	c.mu.Lock()
 	c.asks = append(c.asks, ask)
 	if c.blocked {
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -60,9 +60,9 @@
 // timeLeft is what is left of the deadline.
 func (t *task) timeLeft() time.Duration { return t.deadline() - time.Since(t.started) }
 
-func (t *task) ask(deadline time.Duration) capacity.Ask {
+func (t *task) ask(deadline time.Duration) capacity.Request {
 	request := &t.request
-	return capacity.Ask{
+	return capacity.Request{
 		Name:         request.Key.String(),
 		Pool:         request.Pool,
 		Organisation: request.Organisation.ID,
--- a/sizing/settings_test.go
+++ b/sizing/settings_test.go
@@ -26,7 +26,7 @@
 	return map[string]float64{
 		"retention_seconds":         settings.Default().Retention.Window.Seconds(),
 		"answer_bytes_bound":        float64(settings.Default().Retention.AnswerBytes),
-		"renew_seconds":             capacity.DefaultRenewEvery.Seconds(),
+		"renew_seconds":             capacity.DefaultRenewInterval.Seconds(),
 		"tick_seconds":              capacity.DefaultTick.Seconds(),
 		"prefix_blocks":             routing.DefaultPrefixBlocks,
 		"characters_per_token":      prefix.CharactersPerToken,
