--- a/capacity/accounts.go
+++ b/capacity/accounts.go
@@ -6,15 +6,15 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// release ends a grant or withdraws an ask. What is not known is ignored.
+// release ends a grant or cancels a queued request. Unknown identifiers are ignored.
 func (o *owner) release(now time.Time, from domain.Member, p *pool, message *releaseMessage) {
-	h, ok := p.holders[lifeOfMember(from)]
+	h, ok := p.holders[keyOfMember(from)]
 	if !ok {
 		return
 	}
 	h.heard = now
 	if e, ok := h.entries[message.ID]; ok {
-		o.dropEntry(e)
+		o.removeEntry(e)
 		return
 	}
 	g, ok := h.grants[message.ID]
@@ -25,12 +25,12 @@
 	if message.Result != nil {
 		result = *message.Result
 	}
-	o.end(now, g, result)
-	o.place(now)
+	o.endGrant(now, g, result)
+	o.schedule(now)
 }
 
-// renew compares a holder's account with the owner's. It reports whether they
-// are the same.
+// renew applies the holder's progress and compares its digests with the owner's
+// records. It reports whether they match.
 func (o *owner) renew(now time.Time, from domain.Member, p *pool, r *poolRenewal) bool {
 	h := p.holder(from, now)
 	changes, err := decodeProgress(r.Progress)
@@ -39,91 +39,90 @@
 	}
 	for _, c := range changes {
 		if g, ok := h.grants[c.id]; ok {
-			g.place.progress(g, c.code)
+			g.endpoint.setProgress(g, c.code)
 		}
 	}
-	return h.grantsDigest == r.Grants && h.entriesDigest == r.Asks
+	return h.grantsDigest == r.Grants && h.entriesDigest == r.Requests
 }
 
-// list takes the names of all that a holder has and returns those that the owner
-// does not know as such: the holder registers them, and learns so of a grant whose
-// notice was lost. What the holder does not name is dropped, unless it may have
-// crossed the list on the way.
-func (o *owner) list(now time.Time, from domain.Member, p *pool, grants, asks []askID) []askID {
+// list takes the identifiers of everything that a holder has and returns those that the
+// owner does not have in that state. The holder then registers them, and so also learns
+// of a grant whose notice was lost. Whatever the holder does not list is dropped,
+// unless it is so recent that it may have crossed the list in transit.
+func (o *owner) list(now time.Time, from domain.Member, p *pool, grants, requests []requestID) []requestID {
 	h := p.holder(from, now)
-	held := make(map[askID]bool, len(grants)+len(asks))
-	var unknown []askID
+	held := make(map[requestID]bool, len(grants)+len(requests))
+	var unknown []requestID
 	for _, id := range grants {
 		held[id] = true
 		if _, ok := h.grants[id]; !ok {
 			unknown = append(unknown, id)
 		}
 	}
-	for _, id := range asks {
+	for _, id := range requests {
 		held[id] = true
 		if _, ok := h.entries[id]; !ok {
 			unknown = append(unknown, id)
 		}
 	}
 	o.dropUnlisted(now, h, held)
-	o.place(now)
+	o.schedule(now)
 	return unknown
 }
 
-func (o *owner) dropUnlisted(now time.Time, h *holder, held map[askID]bool) {
+func (o *owner) dropUnlisted(now time.Time, h *holder, held map[requestID]bool) {
 	for id, g := range h.grants {
 		if !held[id] && now.Sub(g.since) >= o.options.ListGracePeriod {
 			o.counts.Expired++
-			o.end(now, g, Result{})
+			o.endGrant(now, g, Result{})
 		}
 	}
 	for id, e := range h.entries {
-		if !held[id] && now.Sub(e.waiting.Arrived) >= o.options.ListGracePeriod {
+		if !held[id] && now.Sub(e.queued.Arrived) >= o.options.ListGracePeriod {
 			o.counts.Expired++
-			o.dropEntry(e)
+			o.removeEntry(e)
 		}
 	}
 }
 
-// register takes asks and grants that another owner, or an earlier life of this
-// one, knew. It returns the rulings on the asks. Anything that a settled owner did
-// not know shows that another one has been at work: all holders must be asked
-// again before it grants.
-func (o *owner) register(now time.Time, from domain.Member, p *pool, records []record) []ruling {
+// register takes requests and grants that another owner, or an earlier incarnation of
+// this one, knew, and returns the decisions on the requests. A record that a settled
+// owner does not know shows that another owner has been active: all holders must then
+// be asked again before this owner grants.
+func (o *owner) register(now time.Time, from domain.Member, p *pool, records []record) []decision {
 	h := p.holder(from, now)
 	if o.settled && !h.knows(records) {
-		o.unsettle()
+		o.resetSettled()
 		o.collectAgain = true
 	}
-	var rulings []ruling
+	var decisions []decision
 	for i := range records {
 		r := &records[i]
 		if r.Endpoint != "" {
 			o.adopt(now, h, p, r)
 			continue
 		}
-		request := askRequest{ID: r.ID, Ask: r.Ask, Mode: r.Mode}
-		rulings = append(rulings, o.ask(now, from, p, &request))
+		message := acquireMessage{ID: r.ID, Request: r.Request, Mode: r.Mode}
+		decisions = append(decisions, o.acquire(now, from, p, &message))
 	}
-	return rulings
+	return decisions
 }
 
-// adopt takes a grant into the accounts, whatever the limits say: it is being
-// used.
+// adopt records a grant regardless of the limits, since the slot is already in use.
 func (o *owner) adopt(now time.Time, h *holder, p *pool, r *record) {
 	if _, ok := h.grants[r.ID]; ok {
 		return
 	}
 	if e, ok := h.entries[r.ID]; ok {
-		o.dropEntry(e)
+		o.removeEntry(e)
 	}
-	pl, ok := o.places[r.Endpoint]
+	ep, ok := o.endpoints[r.Endpoint]
 	if !ok {
 		return
 	}
-	g := &grant{id: r.ID, holder: h, pool: p, place: pl, ask: r.Ask, since: now.Add(-r.Held)}
-	o.chooser.Granted(now, &pl.state, &r.Ask)
-	o.hold(g)
-	pl.progress(g, r.Progress)
+	g := &grant{id: r.ID, holder: h, pool: p, endpoint: ep, request: r.Request, since: now.Add(-r.Held)}
+	o.chooser.Granted(now, &ep.state, &r.Request)
+	o.addGrant(g)
+	ep.setProgress(g, r.Progress)
 	o.counts.Adopted++
 }
--- a/capacity/acquire.go
+++ b/capacity/acquire.go
@@ -7,37 +7,37 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// visitAttempts is the most data centres tried after one round of quotes.
-const visitAttempts = 3
+// maxMoveAttempts is the most data centres tried after one round of quotes.
+const maxMoveAttempts = 3
 
-// acquisition is the way of one ask to a place. It holds at most one place in a
-// queue, but for the moment in which it moves.
+// acquisition drives one request until it is granted or refused. It is in at most one
+// owner's queue, except while it moves to another.
 type acquisition struct {
 	s             *Service
-	ask           Request
+	request       Request
 	firstTokenDue time.Time
 	due           time.Time
 	wake          chan struct{}
-	// hold is the ask's place in an owner's queue.
-	hold *hold
-	// moves counts changes of data centre.
-	moves int
-	// failedSince is when the owner was first found out of reach.
-	failedSince time.Time
-	soughtAt    time.Time
+	// handle is the request at its present owner.
+	handle *handle
+	// moveCount counts moves between data centres.
+	moveCount int
+	// failedSince is when the owner was first found unreachable.
+	failedSince  time.Time
+	lastSearchAt time.Time
 }
 
 // Acquire implements Client.
-func (s *Service) Acquire(ctx context.Context, ask Request) (Grant, error) {
+func (s *Service) Acquire(ctx context.Context, request Request) (Grant, error) {
 	now := time.Now()
 	a := &acquisition{
-		s:    s,
-		ask:  ask,
-		due:  now.Add(ask.Deadline),
-		wake: make(chan struct{}, 1),
+		s:       s,
+		request: request,
+		due:     now.Add(request.Deadline),
+		wake:    make(chan struct{}, 1),
 	}
-	if ask.FirstToken > 0 {
-		a.firstTokenDue = now.Add(ask.FirstToken)
+	if request.FirstToken > 0 {
+		a.firstTokenDue = now.Add(request.FirstToken)
 	}
 	grant, err := a.run(ctx)
 	if err != nil {
@@ -47,36 +47,36 @@
 	return grant, nil
 }
 
-// home reports whether the ask waits in this node's own data centre, or where it
-// is served in place of it.
-func (a *acquisition) home() bool {
-	return a.hold.link.key.dc == a.s.self.DataCentre || a.hold.currentMode() == modeHomeless
+// isLocal reports whether the request is queued in this node's own data centre, or in
+// one that serves it instead because its own does not serve the pool.
+func (a *acquisition) isLocal() bool {
+	return a.handle.link.key.dc == a.s.self.DataCentre || a.handle.getMode() == modeUnservedLocally
 }
 
-// run leads the ask to a place or a refusal.
+// run drives the request to a grant or a refusal.
 func (a *acquisition) run(ctx context.Context) (Grant, error) {
-	a.open(ctx, a.s.self.DataCentre, modeFirst)
+	a.enqueue(ctx, a.s.self.DataCentre, modeInitial)
 	for {
 		if err := ctx.Err(); err != nil {
-			a.hold.withdraw()
+			a.handle.cancel()
 			return nil, err
 		}
-		state, r := a.hold.get()
+		state, r := a.handle.current()
 		switch state {
-		case holdGranted:
-			return a.hold, nil
-		case holdRefused:
-			if refusal := a.refused(ctx, r); refusal != nil {
+		case handleGranted:
+			return a.handle, nil
+		case handleRefused:
+			if refusal := a.handleRefusal(ctx, r); refusal != nil {
 				return nil, a.s.refusal(refusal)
 			}
-		case holdSeek:
-			a.seek(ctx, r)
-		case holdFailed:
-			a.failed(ctx)
+		case handleSearch:
+			a.searchElsewhere(ctx, r)
+		case handleFailed:
+			a.retryOwner(ctx)
 		default:
 			a.wait(ctx, a.due)
 		}
-		if state != holdGranted && !time.Now().Before(a.due) {
+		if state != handleGranted && !time.Now().Before(a.due) {
 			if grant, err := a.expire(); grant != nil || err != nil {
 				return grant, err
 			}
@@ -84,31 +84,31 @@
 	}
 }
 
-// expire ends the ask at its deadline, unless it has been granted meanwhile.
+// expire ends the request at its deadline, unless it has been granted meanwhile.
 func (a *acquisition) expire() (Grant, error) {
-	if state, _ := a.hold.get(); state == holdGranted {
-		return a.hold, nil
+	if state, _ := a.handle.current(); state == handleGranted {
+		return a.handle, nil
 	}
-	a.hold.withdraw()
-	return nil, a.s.refusal(&Refusal{Err: ErrDeadline, RetryAfter: retryMin})
+	a.handle.cancel()
+	return nil, a.s.refusal(&Refusal{Err: ErrDeadline, RetryAfter: minRetryAfter})
 }
 
-// open puts the ask into the queue of a data centre's owner.
-func (a *acquisition) open(ctx context.Context, dc domain.DataCentre, m mode) {
-	a.hold = a.newHold(dc)
-	if !a.s.current().serves(dc, a.ask.Pool) {
-		a.hold.refuse(reasonNoEndpoint)
+// enqueue sends the request to the owner of its pool in a data centre.
+func (a *acquisition) enqueue(ctx context.Context, dc domain.DataCentre, m mode) {
+	a.handle = a.newHandle(dc)
+	if !a.s.currentLayout().serves(dc, a.request.Pool) {
+		a.handle.refuseLocally(reasonNoEndpoint)
 		return
 	}
-	a.hold.request(ctx, m)
+	a.handle.send(ctx, m)
 }
 
-func (a *acquisition) newHold(dc domain.DataCentre) *hold {
-	h := &hold{
+func (a *acquisition) newHandle(dc domain.DataCentre) *handle {
+	h := &handle{
 		service:       a.s,
-		link:          a.s.links.get(linkKey{dc, a.ask.Pool}, a.s.current()),
-		id:            askID(a.s.lastID.Add(1)),
-		ask:           a.ask,
+		link:          a.s.links.get(linkKey{dc, a.request.Pool}, a.s.currentLayout()),
+		id:            requestID(a.s.lastID.Add(1)),
+		request:       a.request,
 		firstTokenDue: a.firstTokenDue,
 		due:           a.due,
 		wake:          a.wake,
@@ -118,24 +118,24 @@
 	return h
 }
 
-// refuse ends an ask that no owner was asked for.
-func (h *hold) refuse(why reason) {
+// refuseLocally refuses a request that was not sent to any owner.
+func (h *handle) refuseLocally(why reason) {
 	h.link.mu.Lock()
 	defer h.link.mu.Unlock()
-	h.ruling = ruling{ID: h.id, Verdict: verdictRefused, Reason: why, RetryAfter: retryMin}
-	h.set(holdRefused)
+	h.decision = decision{ID: h.id, Kind: decisionRefused, Reason: why, RetryAfter: minRetryAfter}
+	h.setState(handleRefused)
 }
 
-// settleWake takes out the signal of changes that have been looked at. The state must
-// be read again after it, since it is set before the signal.
-func (a *acquisition) settleWake() {
+// drainWake discards a pending wake signal. The caller must read the state again
+// afterwards, since the state is set before the signal.
+func (a *acquisition) drainWake() {
 	select {
 	case <-a.wake:
 	default:
 	}
 }
 
-// wait returns when the state changes, the context ends or the instant comes.
+// wait returns when the state changes, the context ends or the given time comes.
 func (a *acquisition) wait(ctx context.Context, until time.Time) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -146,106 +146,108 @@
 	}
 }
 
-// refused looks for a place elsewhere after an owner's refusal. It returns the
-// refusal if there is none.
-func (a *acquisition) refused(ctx context.Context, r ruling) *Refusal {
+// handleRefusal tries other data centres after an owner's refusal. It returns the
+// refusal if none of them takes the request.
+func (a *acquisition) handleRefusal(ctx context.Context, r decision) *Refusal {
 	refusal := &Refusal{Err: r.Reason.Err(), RetryAfter: r.RetryAfter}
-	wasHome := a.home()
-	a.hold.forget()
+	wasLocal := a.isLocal()
+	a.handle.removeRefused()
 	if r.Reason == reasonQuarantined {
 		return refusal
 	}
-	if !wasHome {
-		a.goHome(ctx)
+	if !wasLocal {
+		a.requeueLocally(ctx)
 		return nil
 	}
-	if a.moves < a.s.options.MaxMoves && a.visit(ctx, true) {
+	if a.moveCount < a.s.options.MaxMoves && a.moveWithoutRevoking(ctx, true) {
 		return nil
 	}
-	if r.Reason == reasonNoEndpoint && a.settleElsewhere(ctx) {
+	if r.Reason == reasonNoEndpoint && a.moveToServing(ctx) {
 		return nil
 	}
-	if a.moves < 2*a.s.options.MaxMoves && a.visitLast(ctx, true) {
+	if a.moveCount < 2*a.s.options.MaxMoves && a.moveByRevoking(ctx, true) {
 		return nil
 	}
 	return refusal
 }
 
-// forget takes a hold that its owner has refused out of the account.
-func (h *hold) forget() {
+// removeRefused takes a request that its owner has refused out of the link's records.
+func (h *handle) removeRefused() {
 	h.link.mu.Lock()
 	defer h.link.mu.Unlock()
-	h.close()
+	h.removeFromLink()
 }
 
-// goHome puts the ask into its own data centre's queue again.
-func (a *acquisition) goHome(ctx context.Context) {
-	m := modeFirst
-	if a.moves >= a.s.options.MaxMoves {
-		m = modeLast
+// requeueLocally sends the request to its own data centre's owner again.
+func (a *acquisition) requeueLocally(ctx context.Context) {
+	m := modeInitial
+	if a.moveCount >= a.s.options.MaxMoves {
+		m = modeFinal
 	}
-	a.open(ctx, a.s.self.DataCentre, m)
+	a.enqueue(ctx, a.s.self.DataCentre, m)
 }
 
-// seek asks the other data centres, while the ask keeps its place in the queue;
-// then it is this owner or nobody.
-func (a *acquisition) seek(ctx context.Context, r ruling) {
-	if a.moves < a.s.options.MaxMoves && a.visit(ctx, r.Late) {
+// searchElsewhere tries the other data centres while the request stays queued at its
+// present owner. If none takes it, the owner is told that it has to serve the request
+// itself.
+func (a *acquisition) searchElsewhere(ctx context.Context, r decision) {
+	if a.moveCount < a.s.options.MaxMoves && a.moveWithoutRevoking(ctx, r.DeadlineAtRisk) {
 		return
 	}
-	if !r.Lower && a.visitLast(ctx, r.Late) {
+	if !r.CanRevoke && a.moveByRevoking(ctx, r.DeadlineAtRisk) {
 		return
 	}
-	if state, _ := a.hold.get(); state == holdSeek {
-		a.hold.seekDone()
-		a.hold.request(ctx, modeLast)
+	if state, _ := a.handle.current(); state == handleSearch {
+		a.handle.searchDone()
+		a.handle.send(ctx, modeFinal)
 	}
 }
 
-func (h *hold) currentMode() mode {
+func (h *handle) getMode() mode {
 	h.link.mu.Lock()
 	defer h.link.mu.Unlock()
 	return h.mode
 }
 
-// seekDone notes that the other data centres have been asked.
-func (h *hold) seekDone() {
+// searchDone notes that the other data centres have been tried.
+func (h *handle) searchDone() {
 	h.link.mu.Lock()
 	defer h.link.mu.Unlock()
-	if h.state == holdSeek {
-		h.state = holdAsked
+	if h.state == handleSearch {
+		h.state = handleSent
 	}
 }
 
-// failed asks an owner that did not reply again after a while, and the other data
-// centres when it has not for long.
-func (a *acquisition) failed(ctx context.Context) {
+// retryOwner sends the request again, after a pause, to an owner that did not reply.
+// Once the owner has failed for OwnerFailureTimeout, the other data centres are tried
+// as well.
+func (a *acquisition) retryOwner(ctx context.Context) {
 	now := time.Now()
-	if !a.home() {
-		a.hold.withdraw()
-		a.goHome(ctx)
+	if !a.isLocal() {
+		a.handle.cancel()
+		a.requeueLocally(ctx)
 		return
 	}
 	if a.failedSince.IsZero() {
 		a.failedSince = now
 	}
 	long := now.Sub(a.failedSince) >= a.s.options.OwnerFailureTimeout
-	if long && now.Sub(a.soughtAt) >= a.s.options.OwnerFailureTimeout {
-		a.soughtAt = now
-		if a.visit(ctx, true) || a.visitLast(ctx, true) {
+	if long && now.Sub(a.lastSearchAt) >= a.s.options.OwnerFailureTimeout {
+		a.lastSearchAt = now
+		if a.moveWithoutRevoking(ctx, true) || a.moveByRevoking(ctx, true) {
 			return
 		}
 	}
-	// The failure itself has set wake: without taking that out, an owner whose calls
-	// fail at once would be asked again without a pause.
-	a.settleWake()
-	if state, _ := a.hold.get(); state == holdFailed {
+	// The failure itself has set wake. Without draining it, an owner whose calls fail
+	// immediately would be called in a loop without a pause.
+	a.drainWake()
+	if state, _ := a.handle.current(); state == handleFailed {
 		a.wait(ctx, earlier(now.Add(a.s.options.RetryInterval), a.due))
 	}
-	if state, _ := a.hold.get(); state != holdFailed || ctx.Err() != nil || !time.Now().Before(a.due) {
+	if state, _ := a.handle.current(); state != handleFailed || ctx.Err() != nil || !time.Now().Before(a.due) {
 		return
 	}
-	a.hold.request(ctx, a.hold.currentMode())
+	a.handle.send(ctx, a.handle.getMode())
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -255,7 +257,6 @@
 	return b
 }
 
-// refusal counts a refusal and returns it as an error.
 func (s *Service) refusal(r *Refusal) error {
 	s.counts.refused(r.Err)
 	return r
--- a/capacity/bench_test.go
+++ b/capacity/bench_test.go
@@ -15,8 +15,8 @@
 	"hawthornrill.example/hawthornrill/peer/peertest"
 )
 
-// benchOwner returns an owner with so many endpoints and organisations, every
-// place taken and so many asks waiting.
+// benchOwner returns an owner with the given numbers of endpoints, organisations and
+// queued requests, and every slot taken.
 func benchOwner(endpoints, limit, organisations, waiting int) *ownerTest {
 	var rows []config.EndpointRow
 	for i := range endpoints {
@@ -28,7 +28,7 @@
 		o.config.Organisations[id] = &config.Organisation{OrganisationRow: config.OrganisationRow{ID: id, Weight: 1 + i%5}}
 	}
 	for i := range endpoints*limit + waiting {
-		o.put(benchAsk(i, organisations))
+		o.request(benchRequest(i, organisations))
 	}
 	o.takeOut()
 	return o
@@ -38,15 +38,15 @@
 	return domain.OrganisationID(fmt.Sprintf("organisation-%d", i))
 }
 
-func benchAsk(i, organisations int) Request {
+func benchRequest(i, organisations int) Request {
 	return Request{
 		Pool: quotePool, Organisation: organisationID(i * 7919 % organisations), Tier: domain.Tier(i % 3),
 		PromptTokens: 100 + i%4000, AnswerTokens: 300, Deadline: time.Hour,
 	}
 }
 
-// BenchmarkSlopeDecision measures one request at the owner: an ask that is
-// queued, a release, and the grant of the freed place to the first ask in order.
+// BenchmarkSlopeDecision measures one request at the owner: queuing it, a release, and
+// the grant of the free slot to the first request in queue order.
 func BenchmarkSlopeDecision(b *testing.B) {
 	for _, s := range []struct{ endpoints, organisations, waiting int }{
 		{4, 2900, 1000}, {33, 2900, 1000}, {130, 2900, 1000},
@@ -55,11 +55,11 @@
 	} {
 		b.Run(fmt.Sprintf("endpoints=%d/organisations=%d/waiting=%d", s.endpoints, s.organisations, s.waiting), func(b *testing.B) {
 			o := benchOwner(s.endpoints, 8, s.organisations, s.waiting)
-			asks := make([]Request, 4096)
-			for i := range asks {
-				asks[i] = benchAsk(i, s.organisations)
+			requests := make([]Request, 4096)
+			for i := range requests {
+				requests[i] = benchRequest(i, s.organisations)
 			}
-			held := make([]askID, 0, 1<<12)
+			held := make([]requestID, 0, 1<<12)
 			for id := range o.holderOf(quotePool).grants {
 				held = append(held, id)
 			}
@@ -67,11 +67,11 @@
 			i := 0
 			for b.Loop() {
 				o.now = o.now.Add(time.Millisecond)
-				o.put(asks[i%len(asks)])
-				o.done(held[i%len(held)])
+				o.request(requests[i%len(requests)])
+				o.releaseGrant(held[i%len(held)])
 				for _, out := range o.out {
-					if out.ruling.Verdict == verdictGranted {
-						held[i%len(held)] = out.ruling.ID
+					if out.decision.Kind == decisionGranted {
+						held[i%len(held)] = out.decision.ID
 					}
 				}
 				o.out = o.out[:0]
@@ -81,22 +81,22 @@
 	}
 }
 
-// BenchmarkSlopeRevocation measures the choice of a grant to revoke.
+// BenchmarkSlopeRevocation measures the selection of grants to revoke.
 func BenchmarkSlopeRevocation(b *testing.B) {
 	for _, endpoints := range []int{4, 33, 130} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
 			o := benchOwner(endpoints, 100, 100, 0)
-			e := &entry{pool: o.pools[quotePool], ask: ask(0)}
+			e := &entry{pool: o.pools[quotePool], request: newRequest(0)}
 			for b.Loop() {
-				if o.victims(o.now, e) == nil {
-					b.Fatal("no victim")
+				if o.planRevocation(o.now, e) == nil {
+					b.Fatal("no grant to revoke")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkSlopeTick measures a tick by the number of asks that wait.
+// BenchmarkSlopeTick measures a tick by the number of queued requests.
 func BenchmarkSlopeTick(b *testing.B) {
 	for _, waiting := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// BenchmarkSlopeOwnerMemory measures bytes at the owner per waiting ask, per
-// grant, per endpoint and per organisation that has been served.
+// BenchmarkSlopeOwnerMemory measures bytes at the owner per queued request, per grant
+// and per endpoint.
 func BenchmarkSlopeOwnerMemory(b *testing.B) {
 	for _, n := range []int{1000, 4000, 16000} {
 		for _, s := range []struct {
@@ -139,8 +139,8 @@
 	return m.HeapAlloc
 }
 
-// benchPair returns two nodes of which the first owns the pool, and the client's
-// service of the second.
+// benchPair returns the network of two nodes, one of which owns the pool, and the other
+// one's service.
 func benchPair(b *testing.B, limit int) (*peertest.Network, *Service) {
 	network := peertest.NewNetwork()
 	view := &config.StaticView{}
@@ -148,7 +148,7 @@
 	peers := []domain.Member{{Node: "a1", Incarnation: 1, DataCentre: "a"}, {Node: "a2", Incarnation: 1, DataCentre: "a"}}
 	var services []*Service
 	for _, self := range peers {
-		v := &members{}
+		v := &staticMembers{}
 		v.current.Store(&membership.Snapshot{Self: self, Peers: []membership.Peer{{Member: peers[0]}, {Member: peers[1]}}})
 		services = append(services, New(Options{Transport: network.Node(self), Membership: v, Config: view}))
 	}
@@ -161,7 +161,7 @@
 		network.Close()
 	})
 	time.Sleep(100 * time.Millisecond)
-	owner, _ := services[0].current().owner("a", quotePool)
+	owner, _ := services[0].currentLayout().owner("a", quotePool)
 	network.ResetCounts()
 	if owner.Node == "a1" {
 		return network, services[1]
@@ -169,13 +169,13 @@
 	return network, services[0]
 }
 
-// BenchmarkSlopeMessages measures messages and payload bytes per request by the
-// number of prefix blocks: an ask, its grant and the release.
+// BenchmarkSlopeMessages measures messages and payload bytes per request by the number
+// of prefix blocks: the request, its grant and the release.
 func BenchmarkSlopeMessages(b *testing.B) {
 	for _, blocks := range []int{0, 16, 128} {
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
 			network, client := benchPair(b, 1000)
-			a := benchAsk(1, 2900)
+			a := benchRequest(1, 2900)
 			a.Session, a.Fingerprint, a.FirstToken = "0123456789abcdef0123456789abcdef", 1<<63, 310*time.Millisecond
 			for i := range blocks {
 				a.Blocks = append(a.Blocks, mix(uint64(i)))
@@ -197,7 +197,8 @@
 	}
 }
 
-// BenchmarkSlopeClientMemory measures bytes at the holder's node per grant held.
+// BenchmarkSlopeClientMemory measures bytes per grant held, at the owner and the holder
+// together.
 func BenchmarkSlopeClientMemory(b *testing.B) {
 	for _, grants := range []int{1000, 4000, 16000} {
 		b.Run(fmt.Sprintf("grants=%d", grants), func(b *testing.B) {
@@ -205,7 +206,7 @@
 				network, client := benchPair(b, grants)
 				owner := heapBytes()
 				for i := range grants {
-					if _, err := client.Acquire(context.Background(), benchAsk(i, 2900)); err != nil {
+					if _, err := client.Acquire(context.Background(), benchRequest(i, 2900)); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -216,14 +217,14 @@
 	}
 }
 
-// BenchmarkSlopeRenewal measures the bytes of a renewal and its reply by the
-// number of pools, and by the number of grants whose progress it reports.
+// BenchmarkSlopeRenewal measures the bytes of a renewal and its reply by the number of
+// pools, and by the number of grants whose progress it reports.
 func BenchmarkSlopeRenewal(b *testing.B) {
 	for _, s := range []struct{ pools, progress int }{{1, 0}, {8, 0}, {33, 0}, {1, 10}, {1, 100}, {1, 1000}} {
 		b.Run(fmt.Sprintf("pools=%d/progress=%d", s.pools, s.progress), func(b *testing.B) {
 			var changes []progressChange
 			for i := range s.progress {
-				changes = append(changes, progressChange{askID(1000000 + 18*i), progressFirstToken})
+				changes = append(changes, progressChange{requestID(1000000 + 18*i), progressFirstToken})
 			}
 			var size int
 			for b.Loop() {
@@ -232,7 +233,7 @@
 					m.Pools = append(m.Pools, poolRenewal{
 						Pool:     domain.PoolName(fmt.Sprintf("model/quote-%02d", i)),
 						Grants:   digest{Count: 300, Sum: mix(uint64(i))},
-						Asks:     digest{Count: 30, Sum: mix(uint64(i + 100))},
+						Requests: digest{Count: 30, Sum: mix(uint64(i + 100))},
 						Progress: encodeProgress(changes),
 					})
 				}
--- a/capacity/calls.go
+++ b/capacity/calls.go
@@ -8,84 +8,85 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// ownerAttempts is the most owners asked in a row for one ask.
-const ownerAttempts = 3
+// maxOwnerAttempts is the most owners tried in a row for one request.
+const maxOwnerAttempts = 3
 
-// call asks another node, or serves the request here if it is this one.
-func call[Request, Reply any](ctx context.Context, s *Service, to domain.Member, timeout time.Duration,
-	method peer.Method, request Request, local func(domain.Member, *Request) Reply) (Reply, error) {
+// call calls another node, or handles the request locally if the node is this one.
+func call[Req, Resp any](ctx context.Context, s *Service, to domain.Member, timeout time.Duration,
+	method peer.Method, request Req, local func(domain.Member, *Req) Resp) (Resp, error) {
 	if to.SameLife(s.self) {
 		return local(s.self, &request), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return peer.Call[Request, Reply](ctx, s.transport, to, method, request)
+	return peer.Call[Req, Resp](ctx, s.transport, to, method, request)
 }
 
-// request asks the link's owner for a place, and follows its word about another
-// owner. The result is in the hold's state at the ask's deadline at the latest.
-func (h *hold) request(ctx context.Context, m mode) {
+// send sends the request to the link's owner and follows redirects to another owner.
+// The result is in the handle's state no later than the request's deadline.
+func (h *handle) send(ctx context.Context, m mode) {
 	ctx, cancel := context.WithDeadline(ctx, h.due)
 	defer cancel()
 	h.setMode(m)
-	for range ownerAttempts {
-		owner, known := h.link.current()
+	for range maxOwnerAttempts {
+		owner, known := h.link.currentOwner()
 		if !known {
-			h.failed()
+			h.fail()
 			return
 		}
-		if !h.requestFrom(ctx, owner, m) {
+		if !h.sendTo(ctx, owner, m) {
 			return
 		}
 	}
-	h.failed()
+	h.fail()
 }
 
-// requestFrom asks one owner. It reports whether another one is to be asked.
-func (h *hold) requestFrom(ctx context.Context, owner domain.Member, m mode) (again bool) {
+// sendTo sends the request to one owner. It reports whether another one must be tried.
+func (h *handle) sendTo(ctx context.Context, owner domain.Member, m mode) (again bool) {
 	s := h.service
 	now := time.Now()
-	request := askRequest{ID: h.id, Ask: h.outstanding(now), Mode: m}
-	reply, err := call(ctx, s, owner, s.options.CallTimeout, methodAsk, request, s.serveAsk)
+	message := acquireMessage{ID: h.id, Request: h.requestAt(now), Mode: m}
+	reply, err := call(ctx, s, owner, s.options.CallTimeout, methodAcquire, message, s.serveAcquire)
 	if err != nil {
-		s.counts.unreachable.Inc()
-		h.failed()
+		s.counts.ownerUnreachable.Inc()
+		h.fail()
 		return false
 	}
-	if reply.Verdict == verdictMoved {
-		return reply.Owner != nil && s.follow(h.link, *reply.Owner)
+	if reply.Kind == decisionNotOwner {
+		return reply.Owner != nil && s.redirect(h.link, *reply.Owner)
 	}
 	if h.apply(owner, reply, time.Now()) {
 		s.release(owner, h.link.key.pool, h.id, nil)
 	}
-	return h.unanswered()
+	return h.isSent()
 }
 
-// unanswered reports whether the owner's reply came too late to count, because
-// this node deals with another one by now.
-func (h *hold) unanswered() bool {
-	state, _ := h.get()
-	return state == holdAsked
+// isSent reports whether the owner's reply was ignored because this node uses another
+// owner by now.
+func (h *handle) isSent() bool {
+	state, _ := h.current()
+	return state == handleSent
 }
 
-// follow takes an owner's word about another one, and registers with that.
-func (s *Service) follow(l *link, owner domain.Member) bool {
-	if !l.follow(owner, time.Now()) {
+// redirect switches the link to the owner that another node named, and registers with
+// it.
+func (s *Service) redirect(l *link, owner domain.Member) bool {
+	if !l.redirect(owner, time.Now()) {
 		return false
 	}
 	s.background(func(ctx context.Context) { s.registerAll(ctx, l) })
 	return true
 }
 
-func (h *hold) setMode(m mode) {
+func (h *handle) setMode(m mode) {
 	h.link.mu.Lock()
 	defer h.link.mu.Unlock()
 	h.mode = m
 }
 
-// release gives a place back, or withdraws an ask. If the message is lost, the
-// next renewals tell.
-func (s *Service) release(to domain.Member, pool domain.PoolName, id askID, result *Result) {
+// release returns a grant or cancels a request. A lost message is made up for by the
+// next renewals.
+func (s *Service) release(to domain.Member, pool domain.PoolName, id requestID, result *Result) {
 	message := releaseMessage{Pool: pool, ID: id, Result: result}
 	if to.SameLife(s.self) {
 		s.serveRelease(s.self, &message)
@@ -96,28 +97,28 @@
 	}
 }
 
-// noticed takes the rulings that an owner sent.
-func (s *Service) noticed(from domain.Member, n notice) {
+// handleNotice applies the decisions that an owner sent.
+func (s *Service) handleNotice(from domain.Member, n notice) {
 	l := s.links.find(linkKey{from.DataCentre, n.Pool})
-	for _, r := range n.Rulings {
-		// A place that is not known here is given back once more: the owner has not
-		// heard of its release.
-		giveBack := r.Verdict == verdictGranted || r.Verdict == verdictRevoked
+	for _, r := range n.Decisions {
+		// A grant that is unknown here is released again: the owner has not received
+		// its release.
+		mustRelease := r.Kind == decisionGranted || r.Kind == decisionRevoked
 		if l != nil {
-			if h := l.hold(r.ID); h != nil {
-				giveBack = h.apply(from, r, time.Now())
+			if h := l.find(r.ID); h != nil {
+				mustRelease = h.apply(from, r, time.Now())
 			}
 		}
-		if giveBack {
-			s.counts.givenBack.Inc()
+		if mustRelease {
+			s.counts.unknownGrants.Inc()
 			s.release(from, n.Pool, r.ID, nil)
 		}
 	}
 }
 
-// hold returns an ask or grant of the account, or nil.
-func (l *link) hold(id askID) *hold {
+// find returns the handle with the identifier, or nil.
+func (l *link) find(id requestID) *handle {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.holds[id]
+	return l.handles[id]
 }
--- a/capacity/cluster_test.go
+++ b/capacity/cluster_test.go
@@ -18,18 +18,18 @@
 	"hawthornrill.example/hawthornrill/peer/peertest"
 )
 
-// members is a membership.View that a test sets.
-type members struct {
+// staticMembers is a membership.View that a test sets.
+type staticMembers struct {
 	current atomic.Pointer[membership.Snapshot]
 }
 
-func (m *members) Current() *membership.Snapshot { return m.current.Load() }
+func (m *staticMembers) Current() *membership.Snapshot { return m.current.Load() }
 
-// testNode is one life of a node in a cluster.
+// testNode is one incarnation of a node in a cluster.
 type testNode struct {
 	*Service
 	member  domain.Member
-	view    *members
+	view    *staticMembers
 	options Options
 	stop    context.CancelFunc
 	done    chan struct{}
@@ -49,8 +49,9 @@
 	ended chan struct{}
 }
 
-// inCluster runs a test of nodes named "dc-number" in virtual time.
-func inCluster(t *testing.T, rows []config.EndpointRow, options Options, names []domain.NodeID, f func(t *testing.T, c *cluster)) {
+// runCluster runs a test in virtual time with nodes whose names consist of a data
+// centre and a number.
+func runCluster(t *testing.T, rows []config.EndpointRow, options Options, names []domain.NodeID, f func(t *testing.T, c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &cluster{
 			t:       t,
@@ -79,19 +80,19 @@
 	})
 }
 
-// centreOf takes the data centre from a node's name.
-func centreOf(name domain.NodeID) domain.DataCentre {
+// dataCentreOf returns the data centre that a node's name begins with.
+func dataCentreOf(name domain.NodeID) domain.DataCentre {
 	var dc string
 	var n int
 	_, _ = fmt.Sscanf(string(name), "%1s%d", &dc, &n)
 	return domain.DataCentre(dc)
 }
 
-// add starts a life of a node.
+// add starts an incarnation of a node.
 func (c *cluster) add(name domain.NodeID, incarnation domain.Incarnation) *testNode {
-	member := domain.Member{Node: name, Incarnation: incarnation, DataCentre: centreOf(name), Address: "127.0.0.1:1"}
+	member := domain.Member{Node: name, Incarnation: incarnation, DataCentre: dataCentreOf(name), Address: "127.0.0.1:1"}
 	ctx, stop := context.WithCancel(context.Background())
-	n := &testNode{member: member, view: &members{}, stop: stop, done: make(chan struct{})}
+	n := &testNode{member: member, view: &staticMembers{}, stop: stop, done: make(chan struct{})}
 	c.nodes[name] = n
 	c.status[name] = membership.StatusAlive
 	n.view.current.Store(c.snapshot(member))
@@ -105,7 +106,7 @@
 	return n
 }
 
-// crash ends a node without a farewell.
+// crash stops a node without a graceful shutdown.
 func (c *cluster) crash(name domain.NodeID) {
 	c.network.Crash(name)
 	c.nodes[name].stop()
@@ -127,7 +128,7 @@
 	}
 }
 
-// snapshot is what all nodes are told of the members.
+// snapshot is the membership view given to all nodes.
 func (c *cluster) snapshot(self domain.Member) *membership.Snapshot {
 	s := &membership.Snapshot{Self: self}
 	for _, n := range c.nodes {
@@ -142,7 +143,7 @@
 	return s
 }
 
-// publish tells all nodes, or the given ones, who is there.
+// publish updates the membership view of the given nodes, or of all.
 func (c *cluster) publish(names ...domain.NodeID) {
 	for name, n := range c.nodes {
 		if len(names) == 0 || slices.Contains(names, name) {
@@ -151,8 +152,8 @@
 	}
 }
 
-// configure puts endpoints in force, with tiers gold, silver and bronze and an
-// organisation of each.
+// configure sets the endpoints, with tiers gold, silver and bronze and two
+// organisations of different weights.
 func (c *cluster) configure(rows []config.EndpointRow) {
 	c.config.Set(testSnapshot(rows))
 }
@@ -180,28 +181,28 @@
 	return s
 }
 
-// engine returns a row that serves the models.
+// engine returns the row of an engine that serves the models.
 func engine(id domain.EndpointID, dc domain.DataCentre, limit int, models string) config.EndpointRow {
 	return config.EndpointRow{ID: id, Kind: config.KindEngine, DataCentre: dc, Serves: models, Weight: 100, Limit: limit}
 }
 
-// ownerOf returns the node that owns the pool in a data centre by the first
-// node's view.
+// ownerOf returns the node that owns the pool in a data centre, according to the view
+// of the first given node.
 func (c *cluster) ownerOf(at domain.NodeID, dc domain.DataCentre, pool domain.PoolName) domain.NodeID {
-	member, ok := c.nodes[at].current().owner(dc, pool)
+	member, ok := c.nodes[at].currentLayout().owner(dc, pool)
 	assert.Assert(c.t, ok)
 	return member.Node
 }
 
-// account returns the owner's account of a pool.
+// dump returns the state of the only pool group that the node owns.
 func (c *cluster) dump(name domain.NodeID) GroupDump {
 	owned := c.nodes[name].Dump().Owned
 	assert.Equal(c.t, len(owned), 1)
 	return owned[0]
 }
 
-// waitingAsk is an Acquire under way.
-type waitingAsk struct {
+// pendingAcquire is a running call of Acquire.
+type pendingAcquire struct {
 	mu      sync.Mutex
 	grant   Grant
 	err     error
@@ -211,14 +212,14 @@
 	started time.Time
 }
 
-// begin starts an Acquire in the background.
-func (c *cluster) begin(name domain.NodeID, ask Request) *waitingAsk {
+// acquire starts a call of Acquire in the background.
+func (c *cluster) acquire(name domain.NodeID, request Request) *pendingAcquire {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancels = append(c.cancels, cancel)
-	w := &waitingAsk{cancel: cancel, started: time.Now()}
+	w := &pendingAcquire{cancel: cancel, started: time.Now()}
 	service := c.nodes[name].Service
 	go func() {
-		grant, err := service.Acquire(ctx, ask)
+		grant, err := service.Acquire(ctx, request)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.grant, w.err, w.done, w.ended = grant, err, true, time.Now()
@@ -226,16 +227,16 @@
 	return w
 }
 
-// settled waits a little and returns how the ask stands.
-func (w *waitingAsk) result() (Grant, error, bool) {
+// result waits until all goroutines are blocked and returns the outcome so far.
+func (w *pendingAcquire) result() (Grant, error, bool) {
 	synctest.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.grant, w.err, w.done
 }
 
-// granted asserts that the ask has its grant after the given time.
-func (w *waitingAsk) granted(t *testing.T, after time.Duration) Grant {
+// requireGranted requires the request to be granted after the given time.
+func (w *pendingAcquire) requireGranted(t *testing.T, after time.Duration) Grant {
 	t.Helper()
 	time.Sleep(after)
 	grant, err, done := w.result()
@@ -244,16 +245,17 @@
 	return grant
 }
 
-// waits asserts that the ask still waits after the given time.
-func (w *waitingAsk) waits(t *testing.T, after time.Duration) {
+// requireWaiting requires the request to be waiting after the given time.
+func (w *pendingAcquire) requireWaiting(t *testing.T, after time.Duration) {
 	t.Helper()
 	time.Sleep(after)
 	_, err, done := w.result()
 	assert.Assert(t, !done, "ended: %v", err)
 }
 
-// refused asserts that the ask was refused for the reason after the given time.
-func (w *waitingAsk) refused(t *testing.T, after time.Duration, reason error) *Refusal {
+// requireRefused requires the request to be refused for the reason after the given
+// time.
+func (w *pendingAcquire) requireRefused(t *testing.T, after time.Duration, reason error) *Refusal {
 	t.Helper()
 	time.Sleep(after)
 	_, err, done := w.result()
@@ -272,10 +274,10 @@
 
 const quotePool = domain.PoolName("model/quote")
 
-// ask returns an ask with a deadline of a minute.
-func ask(tier domain.Tier) Request {
+// newRequest returns a request with a deadline of a minute.
+func newRequest(tier domain.Tier) Request {
 	return Request{Pool: quotePool, Organisation: "light", Tier: tier, PromptTokens: 10, AnswerTokens: 10, Deadline: time.Minute}
 }
 
-// used is the result of an ordinary request.
-var used = Result{Dispatched: true, Complete: true}
+// completedResult is the result of a request that was served completely.
+var completedResult = Result{Dispatched: true, Complete: true}
--- a/capacity/collect.go
+++ b/capacity/collect.go
@@ -14,32 +14,33 @@
 )
 
 const (
-	// collectParallel bounds the nodes asked at once.
-	collectParallel = 16
-	// collectRounds bounds how often a new owner asks, while another node takes
-	// itself for the owner.
-	collectRounds = 3
-	// suspectPatience is how long the answers of nodes thought out of reach are
-	// waited for when all others are there.
-	suspectPatience = 50 * time.Millisecond
+	// maxParallelCollects bounds the concurrent calls.
+	maxParallelCollects = 16
+	// maxCollectRounds bounds how often a new owner asks again while another node
+	// claims ownership.
+	maxCollectRounds = 3
+	// unreachableTimeout is how long the answers of nodes believed unreachable are
+	// awaited once all others have answered.
+	unreachableTimeout = 50 * time.Millisecond
 )
 
-// collect asks the nodes of the data centre, this one among them, what they hold of
-// a new owner's pools, and lets it grant when all have answered, or Options.Settle has passed.
-func (s *Service) collect(c *cell) {
-	pools, begun := c.beginCollect()
-	if !begun {
+// collect asks all nodes of the data centre, including this one, what they hold of a
+// new owner's pools. The owner may grant when all have answered, or when
+// Options.SettleTimeout has passed.
+func (s *Service) collect(c *lockedOwner) {
+	pools, started := c.beginCollect()
+	if !started {
 		return
 	}
-	s.takeAll(c, s.self, s.serveCollect(&collectRequest{DataCentre: s.self.DataCentre, Pools: pools}))
-	others := s.neighbours(membership.StatusAlive, membership.StatusLeaving)
-	suspects := s.neighbours(membership.StatusUnreachable)
+	s.registerReply(c, s.self, s.serveCollect(&collectRequest{DataCentre: s.self.DataCentre, Pools: pools}))
+	others := s.localPeers(membership.StatusAlive, membership.StatusLeaving)
+	suspects := s.localPeers(membership.StatusUnreachable)
 	if len(others)+len(suspects) == 0 {
 		s.settle(c)
 		return
 	}
 	s.background(func(ctx context.Context) {
-		for range collectRounds {
+		for range maxCollectRounds {
 			if s.collectOnce(ctx, c, others, suspects, pools) {
 				break
 			}
@@ -48,22 +49,23 @@
 	})
 }
 
-// beginCollect returns the pools to ask about, and false if that is being done.
-func (c *cell) beginCollect() ([]domain.PoolName, bool) {
+// beginCollect returns the pools to ask about, and false if a collection is already
+// running.
+func (c *lockedOwner) beginCollect() ([]domain.PoolName, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.collecting {
+	if c.isCollecting {
 		return nil, false
 	}
-	c.collecting = true
+	c.isCollecting = true
 	c.owner.lastTick = time.Now()
 	return c.owner.poolNames(), true
 }
 
-// collectOnce asks every neighbour once. Those thought out of reach are not waited
-// for as long. It returns false, at the end of Options.Settle, if one of them takes
-// itself for the owner.
-func (s *Service) collectOnce(ctx context.Context, c *cell, others, suspects []domain.Member, pools []domain.PoolName) bool {
+// collectOnce asks every other node once, and waits less long for those believed
+// unreachable. If any node claims ownership, it returns false at the end of
+// Options.SettleTimeout.
+func (s *Service) collectOnce(ctx context.Context, c *lockedOwner, others, suspects []domain.Member, pools []domain.PoolName) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.options.SettleTimeout)
 	defer cancel()
 	var disputed atomic.Bool
@@ -72,7 +74,7 @@
 	<-asked
 	select {
 	case <-suspected:
-	case <-time.After(suspectPatience):
+	case <-time.After(unreachableTimeout):
 	}
 	if disputed.Load() {
 		<-ctx.Done()
@@ -80,14 +82,14 @@
 	return !disputed.Load()
 }
 
-// collectFromAll asks the members at once. The channel is closed when all have
-// answered or their time is up.
-func (s *Service) collectFromAll(ctx context.Context, c *cell, members []domain.Member, pools []domain.PoolName, disputed *atomic.Bool) <-chan struct{} {
+// collectFromAll asks the members concurrently. The channel is closed when all have
+// answered or timed out.
+func (s *Service) collectFromAll(ctx context.Context, c *lockedOwner, members []domain.Member, pools []domain.PoolName, disputed *atomic.Bool) <-chan struct{} {
 	done := make(chan struct{})
 	s.tasks.Go(func() {
 		defer close(done)
 		var group errgroup.Group
-		group.SetLimit(collectParallel)
+		group.SetLimit(maxParallelCollects)
 		for _, member := range members {
 			group.Go(func() error {
 				if s.collectFrom(ctx, c, member, pools) {
@@ -101,45 +103,44 @@
 	return done
 }
 
-// collectFrom asks one neighbour. It reports whether that takes itself for the
-// owner.
-func (s *Service) collectFrom(ctx context.Context, c *cell, member domain.Member, pools []domain.PoolName) bool {
+// collectFrom asks one node. It reports whether that node claims ownership.
+func (s *Service) collectFrom(ctx context.Context, c *lockedOwner, member domain.Member, pools []domain.PoolName) bool {
 	request := collectRequest{DataCentre: s.self.DataCentre, Pools: pools}
 	reply, err := peer.Call[collectRequest, collectReply](ctx, s.transport, member, methodCollect, request)
 	if err != nil {
 		return false
 	}
-	s.takeAll(c, member, reply)
-	return reply.Elsewhere
+	s.registerReply(c, member, reply)
+	return reply.ClaimsOwnership
 }
 
-// takeAll puts a node's accounts into the owner's.
-func (s *Service) takeAll(c *cell, from domain.Member, reply collectReply) {
+// registerReply registers a node's requests and grants with the owner.
+func (s *Service) registerReply(c *lockedOwner, from domain.Member, reply collectReply) {
 	for i := range reply.Accounts {
-		s.take(c, from, &reply.Accounts[i])
+		s.registerAccount(c, from, &reply.Accounts[i])
 	}
 }
 
-func (s *Service) take(c *cell, from domain.Member, r *registerRequest) {
+func (s *Service) registerAccount(c *lockedOwner, from domain.Member, r *registerRequest) {
 	out, _, _ := c.do(r.Pool, func(now time.Time, o *owner, p *pool) {
 		h := p.holder(from, now)
-		for _, ruling := range o.register(now, from, p, r.Records) {
-			if ruling.Verdict != verdictQueued {
-				o.send(h, p, ruling)
+		for _, d := range o.register(now, from, p, r.Records) {
+			if d.Kind != decisionQueued {
+				o.send(h, p, d)
 			}
 		}
 	})
 	s.deliver(out)
 }
 
-func (s *Service) settle(c *cell) {
+func (s *Service) settle(c *lockedOwner) {
 	s.deliver(c.settle())
 }
 
-func (c *cell) settle() []outgoing {
+func (c *lockedOwner) settle() []outgoing {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.collecting = false
+	c.isCollecting = false
 	if c.lost {
 		return nil
 	}
@@ -147,9 +148,8 @@
 	return c.owner.takeOut()
 }
 
-// neighbours returns the other nodes of the data centre that have one of the
-// statuses.
-func (s *Service) neighbours(statuses ...membership.Status) []domain.Member {
+// localPeers returns the other nodes of the data centre that have one of the statuses.
+func (s *Service) localPeers(statuses ...membership.Status) []domain.Member {
 	var others []domain.Member
 	members := s.options.Membership.Current()
 	for i := range members.Peers {
@@ -164,11 +164,11 @@
 // serveCollect tells a new owner what this node holds.
 func (s *Service) serveCollect(r *collectRequest) collectReply {
 	var reply collectReply
-	view := s.current()
+	view := s.currentLayout()
 	now := time.Now()
 	for _, name := range r.Pools {
-		if s.cell(view, name) != nil {
-			reply.Elsewhere = true
+		if s.ownerOf(view, name) != nil {
+			reply.ClaimsOwnership = true
 		}
 		l := s.links.find(linkKey{r.DataCentre, name})
 		if l == nil {
@@ -181,7 +181,6 @@
 	return reply
 }
 
-// poolNames returns the group's pools.
 func (o *owner) poolNames() []domain.PoolName {
 	names := make([]domain.PoolName, 0, len(o.pools))
 	for name := range o.pools {
--- a/capacity/design_test.go
+++ b/capacity/design_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// The model behind docs/design/capacity.md: where asks queue, and what that does
-// to the highest tier. 12 endpoints of 8 places, half of them twice as slow;
-// service times of 0.1 to 10 s, log-uniform; 20, 30 and 50 % of the asks in three
+// The model behind docs/design/capacity.md compares where requests are queued, and how
+// that affects the highest tier. 12 endpoints of 8 slots, half of them twice as slow;
+// service times of 0.1 to 10 s, log-uniform; 20, 30 and 50 % of the requests in three
 // tiers; 1.2 times the capacity is offered for 300 s.
 const (
 	modelEndpoints = 12
@@ -19,7 +19,7 @@
 	modelOffered   = 1.2
 )
 
-type modelAsk struct {
+type modelRequest struct {
 	tier    int
 	arrived float64
 	service float64
@@ -43,8 +43,8 @@
 	return last
 }
 
-// modelDesign says at which queue an ask waits, and from which queues a freed
-// place of an endpoint is served.
+// modelDesign selects the queue that a request joins, and the queues from which a free
+// slot of an endpoint is served.
 type modelDesign struct {
 	queues int
 	join   func(random *rand.Rand, m *modelRun) int
@@ -52,7 +52,7 @@
 }
 
 type modelRun struct {
-	queues   [][]modelAsk
+	queues   [][]modelRequest
 	free     []int
 	events   modelEvents
 	waits    []float64
@@ -60,8 +60,8 @@
 	inverted int
 }
 
-// next takes the highest ask of the queues.
-func (m *modelRun) next(from []int) (modelAsk, bool) {
+// takeHighest removes the request of the highest tier from the queues.
+func (m *modelRun) takeHighest(from []int) (modelRequest, bool) {
 	best := -1
 	for _, q := range from {
 		if len(m.queues[q]) > 0 && (best < 0 || m.queues[q][0].tier < m.queues[best][0].tier) {
@@ -69,40 +69,40 @@
 		}
 	}
 	if best < 0 {
-		return modelAsk{}, false
+		return modelRequest{}, false
 	}
-	ask := m.queues[best][0]
+	request := m.queues[best][0]
 	m.queues[best] = m.queues[best][1:]
-	return ask, true
+	return request, true
 }
 
-// start begins services while the endpoint has places and asks.
+// start starts services while the endpoint has free slots and requests.
 func (m *modelRun) start(now float64, endpoint int, from []int) {
 	for m.free[endpoint] > 0 {
-		ask, ok := m.next(from)
+		request, ok := m.takeHighest(from)
 		if !ok {
 			return
 		}
 		m.free[endpoint]--
 		m.started++
-		if slices.ContainsFunc(m.queues, func(q []modelAsk) bool { return len(q) > 0 && q[0].tier < ask.tier }) {
+		if slices.ContainsFunc(m.queues, func(q []modelRequest) bool { return len(q) > 0 && q[0].tier < request.tier }) {
 			m.inverted++
 		}
-		if ask.tier == 0 {
-			m.waits = append(m.waits, now-ask.arrived)
+		if request.tier == 0 {
+			m.waits = append(m.waits, now-request.arrived)
 		}
-		heap.Push(&m.events, modelEvent{now + ask.service*float64(1+endpoint%2), endpoint})
+		heap.Push(&m.events, modelEvent{now + request.service*float64(1+endpoint%2), endpoint})
 	}
 }
 
-func (m *modelRun) put(q int, ask modelAsk) {
-	at, _ := slices.BinarySearchFunc(m.queues[q], ask.tier+1, func(a modelAsk, tier int) int { return a.tier - tier })
-	m.queues[q] = slices.Insert(m.queues[q], at, ask)
+func (m *modelRun) enqueue(q int, request modelRequest) {
+	at, _ := slices.BinarySearchFunc(m.queues[q], request.tier+1, func(a modelRequest, tier int) int { return a.tier - tier })
+	m.queues[q] = slices.Insert(m.queues[q], at, request)
 }
 
 func (d modelDesign) run(seed uint64) *modelRun {
 	random := rand.New(rand.NewPCG(seed, 1))
-	m := &modelRun{queues: make([][]modelAsk, d.queues), free: slices.Repeat([]int{modelPlaces}, modelEndpoints)}
+	m := &modelRun{queues: make([][]modelRequest, d.queues), free: slices.Repeat([]int{modelPlaces}, modelEndpoints)}
 	mean := 9.9 / math.Log(100)
 	rate := modelOffered * modelPlaces * modelEndpoints * 0.75 / mean
 	heap.Push(&m.events, modelEvent{0, -1})
@@ -114,7 +114,7 @@
 			continue
 		}
 		tier := []int{0, 0, 1, 1, 1, 2, 2, 2, 2, 2}[random.IntN(10)]
-		m.put(d.join(random, m), modelAsk{tier, event.at, 0.1 * math.Pow(100, random.Float64())})
+		m.enqueue(d.join(random, m), modelRequest{tier, event.at, 0.1 * math.Pow(100, random.Float64())})
 		for endpoint := range modelEndpoints {
 			m.start(event.at, endpoint, d.serve(random, endpoint))
 		}
@@ -123,8 +123,8 @@
 	return m
 }
 
-// shortest returns the least loaded of d endpoints.
-func shortest(d int) func(*rand.Rand, *modelRun) int {
+// leastLoadedOf returns the least loaded of d random endpoints.
+func leastLoadedOf(d int) func(*rand.Rand, *modelRun) int {
 	return func(random *rand.Rand, m *modelRun) int {
 		best := -1
 		for _, e := range random.Perm(modelEndpoints)[:d] {
@@ -136,17 +136,17 @@
 	}
 }
 
-func own(_ *rand.Rand, endpoint int) []int { return []int{endpoint} }
+func ownEndpoint(_ *rand.Rand, endpoint int) []int { return []int{endpoint} }
 
-// BenchmarkDesign compares the designs.
+// BenchmarkDesign compares the designs by the waiting times of the highest tier.
 func BenchmarkDesign(b *testing.B) {
 	for _, design := range []struct {
 		name string
 		modelDesign
 	}{
 		{"owner-per-pool", modelDesign{1, func(*rand.Rand, *modelRun) int { return 0 }, func(*rand.Rand, int) []int { return []int{0} }}},
-		{"owner-per-endpoint-of-2", modelDesign{modelEndpoints, shortest(2), own}},
-		{"owner-per-endpoint-of-all", modelDesign{modelEndpoints, shortest(modelEndpoints), own}},
+		{"owner-per-endpoint-of-2", modelDesign{modelEndpoints, leastLoadedOf(2), ownEndpoint}},
+		{"owner-per-endpoint-of-all", modelDesign{modelEndpoints, leastLoadedOf(modelEndpoints), ownEndpoint}},
 		{"stealing-from-2-of-7-nodes", modelDesign{7, func(r *rand.Rand, _ *modelRun) int { return r.IntN(7) }, func(r *rand.Rand, _ int) []int { return r.Perm(7)[:2] }}},
 	} {
 		b.Run(design.name, func(b *testing.B) {
--- a/capacity/dump.go
+++ b/capacity/dump.go
@@ -13,7 +13,7 @@
 type Dump struct {
 	Owned []GroupDump `json:"owned"`
 	Links []LinkDump  `json:"links"`
-	// Leaving lists the endpoints that this node says are leaving.
+	// Leaving lists the endpoints that this node has marked as leaving.
 	Leaving []domain.EndpointID `json:"leaving,omitempty"`
 }
 
@@ -28,7 +28,7 @@
 	Holders   []HolderDump        `json:"holders,omitempty"`
 }
 
-// EndpointDump is the account of one endpoint.
+// EndpointDump is the owner's state of one endpoint.
 type EndpointDump struct {
 	ID             domain.EndpointID   `json:"id"`
 	Limit          int                 `json:"limit"`
@@ -40,7 +40,7 @@
 	Tiers          map[domain.Tier]int `json:"tiers,omitempty"`
 }
 
-// HolderDump is the account of one node with one pool.
+// HolderDump is what the owner has recorded of one node for one pool.
 type HolderDump struct {
 	Pool    domain.PoolName `json:"pool"`
 	Holder  string          `json:"holder"`
@@ -49,7 +49,7 @@
 	Heard   time.Duration   `json:"heard_ago_ns"`
 }
 
-// LinkDump is this node's own account with an owner.
+// LinkDump is this node's client-side state towards one owner.
 type LinkDump struct {
 	DataCentre domain.DataCentre `json:"data_centre"`
 	Pool       domain.PoolName   `json:"pool"`
@@ -58,12 +58,11 @@
 	Waiting    int               `json:"waiting"`
 }
 
-// Dump returns the service's state.
 func (s *Service) Dump() Dump {
 	d := Dump{Leaving: s.leaving.all()}
-	cells := *s.cells.Load()
-	for _, name := range slices.Sorted(maps.Keys(cells)) {
-		c := cells[name]
+	owners := *s.owners.Load()
+	for _, name := range slices.Sorted(maps.Keys(owners)) {
+		c := owners[name]
 		c.mu.Lock()
 		d.Owned = append(d.Owned, c.owner.dump(time.Now()))
 		c.mu.Unlock()
@@ -77,7 +76,7 @@
 func (l *link) dump() LinkDump {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := LinkDump{DataCentre: l.key.dc, Pool: l.key.pool, Grants: l.grants.Count, Waiting: l.asks.Count}
+	d := LinkDump{DataCentre: l.key.dc, Pool: l.key.pool, Grants: l.granted.Count, Waiting: l.waiting.Count}
 	if l.known {
 		d.Owner = l.owner.String()
 	}
@@ -95,8 +94,8 @@
 	for item := range o.queue.Ordered() {
 		d.Waiting[item.Tier]++
 	}
-	for _, id := range slices.Sorted(maps.Keys(o.places)) {
-		d.Endpoints = append(d.Endpoints, o.places[id].dump())
+	for _, id := range slices.Sorted(maps.Keys(o.endpoints)) {
+		d.Endpoints = append(d.Endpoints, o.endpoints[id].dump())
 	}
 	for _, name := range d.Pools {
 		d.Holders = append(d.Holders, o.pools[name].dump(now)...)
@@ -104,7 +103,7 @@
 	return d
 }
 
-func (p *place) dump() EndpointDump {
+func (p *ownedEndpoint) dump() EndpointDump {
 	d := EndpointDump{
 		ID:             p.state.ID,
 		Limit:          p.state.Limit,
--- a/capacity/entry.go
+++ b/capacity/entry.go
@@ -6,40 +6,44 @@
 	"hawthornrill.example/hawthornrill/queue"
 )
 
-// entry is an ask that waits at its owner.
+// entry is a request queued at its owner.
 type entry struct {
 	item    queue.Item[*entry]
-	id      askID
+	id      requestID
 	holder  *holder
 	pool    *pool
-	ask     Request
-	waiting QueuedRequest
-	// forecast is the least that any endpoint looked at would need.
+	request Request
+	queued  QueuedRequest
+	// forecast is the least time that any sampled endpoint would need.
 	forecast Forecast
-	// visiting is true for an ask from another data centre.
-	visiting bool
-	// seeking is true while the client asks other data centres.
-	seeking  bool
-	soughtAt time.Time
-	// soughtLate is true if it does so for the deadline.
-	soughtLate bool
-	// refused is why the ask was refused, once it is.
-	refused reason
-	// aimLost is true once nothing can be done for the first token's aim.
-	aimLost bool
-	// victim is the grant revoked to make room, while it is not released.
+	// remote is true for a request from another data centre.
+	remote bool
+	// searching is true while the client tries other data centres.
+	searching  bool
+	searchedAt time.Time
+	// deadlineAtRisk is true if it does so because of the deadline.
+	deadlineAtRisk bool
+	// refusal is the reason of the refusal, once the request is refused.
+	refusal reason
+	// firstTokenMissed is true once the first-token target can no longer be met.
+	firstTokenMissed bool
+	// victim is the grant revoked to make room, until it is released.
 	victim *grant
-	// missRound is the search in which the ask could not be placed.
-	missRound uint64
+	// skipRound is the last scheduling round in which the request could not be placed.
+	skipRound uint64
 }
 
-// tokens is the room that the ask takes inside an engine.
-func (e *entry) tokens() int { return e.ask.PromptTokens + e.ask.AnswerTokens }
+// tokens is the number of tokens that the request reserves at an endpoint.
+func (e *entry) tokens() int { return e.request.PromptTokens + e.request.AnswerTokens }
 
-// aims reports whether the ask has an aim for its first token that may be met yet.
-func (e *entry) aims() bool { return !e.aimLost && !e.waiting.FirstTokenDue.IsZero() }
+// hasFirstTokenTarget reports whether the request has a first-token target that can
+// still be met.
+func (e *entry) hasFirstTokenTarget() bool {
+	return !e.firstTokenMissed && !e.queued.FirstTokenDue.IsZero()
+}
 
-// covered reports whether a place revoked for the ask is still on its way.
-func (e *entry) covered(now time.Time, patience time.Duration) bool {
-	return e.victim != nil && now.Sub(e.victim.revokedAt) < patience
+// revocationPending reports whether a slot revoked for the request is still expected to
+// be released.
+func (e *entry) revocationPending(now time.Time, timeout time.Duration) bool {
+	return e.victim != nil && now.Sub(e.victim.revokedAt) < timeout
 }
--- a/capacity/grant.go
+++ b/capacity/grant.go
@@ -6,75 +6,77 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// freshFor is the age up to which a grant is taken as not yet dispatched if its
+// assumeUndispatched is the age up to which a grant counts as not yet dispatched if its
 // holder has not reported otherwise.
-const freshFor = 100 * time.Millisecond
+const assumeUndispatched = 100 * time.Millisecond
 
-// grant is a place that is taken, as its owner knows it.
+// grant is an occupied slot as its owner knows it.
 type grant struct {
-	id     askID
-	holder *holder
-	pool   *pool
-	place  *place
-	// ask is without Blocks, Session and Name.
-	ask      Request
+	id       requestID
+	holder   *holder
+	pool     *pool
+	endpoint *ownedEndpoint
+	// request is without Blocks, Session and Name.
+	request  Request
 	since    time.Time
 	progress progressCode
 	// revokedAt is zero unless the grant is revoked.
 	revokedAt  time.Time
 	notifiedAt time.Time
-	// beneficiary is the ask that it was revoked for, while that waits.
+	// beneficiary is the queued request that the grant was revoked for, while that
+	// waits.
 	beneficiary *entry
 }
 
-func (g *grant) tokens() int { return g.ask.PromptTokens + g.ask.AnswerTokens }
+func (g *grant) tokens() int { return g.request.PromptTokens + g.request.AnswerTokens }
 
 func (g *grant) revoked() bool { return !g.revokedAt.IsZero() }
 
-// remaining is the number of answer tokens yet to come.
-func (g *grant) remaining() int { return max(g.ask.AnswerTokens-g.progress.tokens(), 0) }
+// remaining is the number of answer tokens still expected.
+func (g *grant) remaining() int { return max(g.request.AnswerTokens-g.progress.tokens(), 0) }
 
-// prefilling is the number of prompt tokens if no answer token was reported.
-func (g *grant) prefilling() int {
+// pendingPrefill is the number of prompt tokens, or 0 once an answer token was
+// reported.
+func (g *grant) pendingPrefill() int {
 	if g.progress >= progressFirstToken {
 		return 0
 	}
-	return g.ask.PromptTokens
+	return g.request.PromptTokens
 }
 
-// loss ranks what would be thrown away by a revocation, the least first.
-type loss struct {
+// revocationCost ranks the work that a revocation would discard, the least first.
+type revocationCost struct {
 	// phase is 0 for not dispatched, 1 for prefill, 2 for decoding.
 	phase  int
 	tokens int
 }
 
-func (g *grant) loss(now time.Time) loss {
+func (g *grant) revocationCost(now time.Time) revocationCost {
 	switch {
-	case g.progress == progressNone && now.Sub(g.since) < freshFor:
-		return loss{}
+	case g.progress == progressNone && now.Sub(g.since) < assumeUndispatched:
+		return revocationCost{}
 	case g.progress < progressFirstToken:
-		return loss{phase: 1, tokens: g.ask.PromptTokens}
+		return revocationCost{phase: 1, tokens: g.request.PromptTokens}
 	default:
-		return loss{phase: 2, tokens: g.ask.PromptTokens + g.progress.tokens()}
+		return revocationCost{phase: 2, tokens: g.request.PromptTokens + g.progress.tokens()}
 	}
 }
 
-func (l loss) less(o loss) bool {
+func (l revocationCost) less(o revocationCost) bool {
 	if l.phase != o.phase {
 		return l.phase < o.phase
 	}
 	return l.tokens < o.tokens
 }
 
-func (l loss) plus(o loss) loss {
-	return loss{phase: max(l.phase, o.phase), tokens: l.tokens + o.tokens}
+func (l revocationCost) plus(o revocationCost) revocationCost {
+	return revocationCost{phase: max(l.phase, o.phase), tokens: l.tokens + o.tokens}
 }
 
-// lifeOf names one life of a node.
-type lifeOf struct {
+// memberKey identifies one incarnation of a node.
+type memberKey struct {
 	node        domain.NodeID
 	incarnation domain.Incarnation
 }
 
-func lifeOfMember(m domain.Member) lifeOf { return lifeOf{m.Node, m.Incarnation} }
+func keyOfMember(m domain.Member) memberKey { return memberKey{m.Node, m.Incarnation} }
--- a/capacity/handlers.go
+++ b/capacity/handlers.go
@@ -9,14 +9,13 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// handle registers the handlers of all methods.
-func (s *Service) handle() {
+func (s *Service) registerHandlers() {
 	t := s.transport
-	peer.Handle(t, methodAsk, func(_ context.Context, from domain.Member, r askRequest) (ruling, error) {
-		return s.serveAsk(from, &r), nil
+	peer.Handle(t, methodAcquire, func(_ context.Context, from domain.Member, r acquireMessage) (decision, error) {
+		return s.serveAcquire(from, &r), nil
 	})
 	peer.Handle(t, methodNotice, func(_ context.Context, from domain.Member, n notice) (struct{}, error) {
-		s.noticed(from, n)
+		s.handleNotice(from, n)
 		return struct{}{}, nil
 	})
 	peer.Handle(t, methodRelease, func(_ context.Context, from domain.Member, m releaseMessage) (struct{}, error) {
@@ -44,24 +43,24 @@
 	})
 }
 
-func (s *Service) serveAsk(from domain.Member, r *askRequest) ruling {
-	var result ruling
-	owned := s.withOwner(r.Ask.Pool, func(now time.Time, o *owner, p *pool) {
-		result = o.ask(now, from, p, r)
+func (s *Service) serveAcquire(from domain.Member, r *acquireMessage) decision {
+	var result decision
+	owned := s.withOwner(r.Request.Pool, func(now time.Time, o *owner, p *pool) {
+		result = o.acquire(now, from, p, r)
 	})
 	if !owned {
-		return s.movedRuling(r)
+		return s.notOwnerDecision(r)
 	}
 	return result
 }
 
-// movedRuling names the owner, if there is one.
-func (s *Service) movedRuling(r *askRequest) ruling {
-	owner, ok := s.current().owner(s.self.DataCentre, r.Ask.Pool)
+// notOwnerDecision redirects to the owner, if there is one.
+func (s *Service) notOwnerDecision(r *acquireMessage) decision {
+	owner, ok := s.currentLayout().owner(s.self.DataCentre, r.Request.Pool)
 	if !ok {
-		return ruling{ID: r.ID, Verdict: verdictRefused, Reason: reasonNoEndpoint, RetryAfter: retryMin}
+		return decision{ID: r.ID, Kind: decisionRefused, Reason: reasonNoEndpoint, RetryAfter: minRetryAfter}
 	}
-	return ruling{ID: r.ID, Verdict: verdictMoved, Owner: &owner}
+	return decision{ID: r.ID, Kind: decisionNotOwner, Owner: &owner}
 }
 
 func (s *Service) serveRelease(from domain.Member, m *releaseMessage) {
@@ -84,8 +83,8 @@
 		same = o.renew(now, from, p, r)
 	})
 	if !owned {
-		if owner, ok := s.current().owner(s.self.DataCentre, r.Pool); ok {
-			reply.Moved = append(reply.Moved, movedPool{Pool: r.Pool, Owner: owner})
+		if owner, ok := s.currentLayout().owner(s.self.DataCentre, r.Pool); ok {
+			reply.Redirected = append(reply.Redirected, redirectedPool{Pool: r.Pool, Owner: owner})
 		}
 		return
 	}
@@ -99,26 +98,26 @@
 	if err != nil {
 		return listReply{}, fmt.Errorf("grants: %w", err)
 	}
-	asks, err := decodeIDs(r.Asks)
+	requests, err := decodeIDs(r.Requests)
 	if err != nil {
-		return listReply{}, fmt.Errorf("asks: %w", err)
+		return listReply{}, fmt.Errorf("requests: %w", err)
 	}
-	var unknown []askID
+	var unknown []requestID
 	s.withOwner(r.Pool, func(now time.Time, o *owner, p *pool) {
-		unknown = o.list(now, from, p, grants, asks)
+		unknown = o.list(now, from, p, grants, requests)
 	})
 	return listReply{Unknown: encodeIDs(unknown)}, nil
 }
 
 func (s *Service) serveRegister(from domain.Member, r *registerRequest) registerReply {
-	var rulings []ruling
+	var decisions []decision
 	owned := s.withOwner(r.Pool, func(now time.Time, o *owner, p *pool) {
-		rulings = o.register(now, from, p, r.Records)
+		decisions = o.register(now, from, p, r.Records)
 	})
 	if owned {
-		return registerReply{Rulings: rulings}
+		return registerReply{Decisions: decisions}
 	}
-	owner, ok := s.current().owner(s.self.DataCentre, r.Pool)
+	owner, ok := s.currentLayout().owner(s.self.DataCentre, r.Pool)
 	if !ok {
 		return registerReply{}
 	}
@@ -127,13 +126,13 @@
 
 func (s *Service) serveQuote(r *quoteRequest) quote {
 	var result quote
-	owned := s.withOwner(r.Ask.Pool, func(now time.Time, o *owner, p *pool) {
-		result = o.quote(now, p, &r.Ask)
+	owned := s.withOwner(r.Request.Pool, func(now time.Time, o *owner, p *pool) {
+		result = o.quote(now, p, &r.Request)
 	})
 	if owned {
 		return result
 	}
-	if owner, ok := s.current().owner(s.self.DataCentre, r.Ask.Pool); ok {
+	if owner, ok := s.currentLayout().owner(s.self.DataCentre, r.Request.Pool); ok {
 		return quote{Refused: reasonNoEndpoint, Owner: &owner}
 	}
 	return quote{Refused: reasonNoEndpoint}
--- a/capacity/holder.go
+++ b/capacity/holder.go
@@ -6,13 +6,13 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// holder is the account of one life of a node with one pool.
+// holder is what an owner has recorded of one incarnation of a node for one pool.
 type holder struct {
 	member  domain.Member
 	heard   time.Time
-	entries map[askID]*entry
-	grants  map[askID]*grant
-	// The digests sum up the keys of the two maps.
+	entries map[requestID]*entry
+	grants  map[requestID]*grant
+	// The digests cover the keys of the two maps.
 	entriesDigest digest
 	grantsDigest  digest
 }
@@ -20,8 +20,8 @@
 func newHolder(member domain.Member) *holder {
 	return &holder{
 		member:  member,
-		entries: make(map[askID]*entry),
-		grants:  make(map[askID]*grant),
+		entries: make(map[requestID]*entry),
+		grants:  make(map[requestID]*grant),
 	}
 }
 
@@ -45,7 +45,7 @@
 	h.grantsDigest.remove(g.id)
 }
 
-// knows reports whether all the records are in the account.
+// knows reports whether all the records are known as grants or queued requests.
 func (h *holder) knows(records []record) bool {
 	for i := range records {
 		_, granted := h.grants[records[i].ID]
--- a/capacity/idlist.go
+++ b/capacity/idlist.go
@@ -6,31 +6,30 @@
 	"slices"
 )
 
-// errIDList means that a list of identifiers does not decode.
-var errIDList = errors.New("capacity: malformed list of identifiers")
+var errMalformedIDList = errors.New("capacity: malformed list of identifiers")
 
-// digest sums up a set of identifiers: their number and the exclusive or of
-// their mixed values.
+// digest summarises a set of identifiers: their number and the exclusive or of their
+// mixed values.
 type digest struct {
 	Count int    `cbor:"1,keyasint,omitempty"`
 	Sum   uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-func (d *digest) add(id askID) {
+func (d *digest) add(id requestID) {
 	d.Count++
 	d.Sum ^= mix(uint64(id))
 }
 
-func (d *digest) remove(id askID) {
+func (d *digest) remove(id requestID) {
 	d.Count--
 	d.Sum ^= mix(uint64(id))
 }
 
-// encodeIDs returns the identifiers, sorted, as the varints of their differences.
-func encodeIDs(ids []askID) []byte {
+// encodeIDs sorts the identifiers and returns their differences as varints.
+func encodeIDs(ids []requestID) []byte {
 	slices.Sort(ids)
 	var out []byte
-	var last askID
+	var last requestID
 	for _, id := range ids {
 		out = binary.AppendUvarint(out, uint64(id-last))
 		last = id
@@ -39,15 +38,15 @@
 }
 
 // decodeIDs is the inverse of encodeIDs.
-func decodeIDs(data []byte) ([]askID, error) {
-	var ids []askID
-	var last askID
+func decodeIDs(data []byte) ([]requestID, error) {
+	var ids []requestID
+	var last requestID
 	for len(data) > 0 {
 		difference, n := binary.Uvarint(data)
 		if n <= 0 {
-			return nil, errIDList
+			return nil, errMalformedIDList
 		}
-		last += askID(difference)
+		last += requestID(difference)
 		ids = append(ids, last)
 		data = data[n:]
 	}
--- a/capacity/promises_test.go
+++ b/capacity/invariants_test.go
@@ -12,27 +12,26 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Under random asks, releases and lapses of time, with holders that heed
-// revocations: limits hold, the accounts add
-// up, no ask is refused while a grant of a lower tier that could make room for it
-// is not revoked, and no ask is granted before a higher one that could use the
-// same place.
-func TestPromisesUnderRandomUse(t *testing.T) {
+// Random requests, releases and ticks, with holders that obey revocations: limits hold,
+// the counters are consistent, no request is refused while a grant of a lower tier that
+// could make room for it is not revoked, and no request is granted before a higher one
+// that could use the same slot.
+func TestInvariantsUnderRandomUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rows := []config.EndpointRow{engine("e1", "a", 2, "quote"), engine("e2", "a", 3, "quote hint"), engine("e3", "a", 1, "hint")}
 		o := newOwnerTest(Options{QueueLimit: 6, GrantTTL: time.Hour}, rows...)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				o.check(t, o.randomAsk(t))
+				o.checkDecision(t, o.randomRequest(t))
 			case 2:
-				o.endOne(t)
+				o.releaseOne(t)
 			case 3:
-				o.after(o.options.Tick)
+				o.advance(o.options.Tick)
 			}
 			for len(o.out) > 0 {
 				for _, out := range o.takeOut() {
-					o.check(t, out.ruling)
+					o.checkDecision(t, out.decision)
 				}
 			}
 			o.checkAccounts(t)
@@ -40,19 +39,19 @@
 	})
 }
 
-func (t *ownerTest) randomAsk(r *rapid.T) ruling {
-	a := ask(domain.Tier(rapid.IntRange(0, 2).Draw(r, "tier")))
+func (t *ownerTest) randomRequest(r *rapid.T) decision {
+	a := newRequest(domain.Tier(rapid.IntRange(0, 2).Draw(r, "tier")))
 	a.Pool = rapid.SampledFrom([]domain.PoolName{quotePool, "model/hint"}).Draw(r, "pool")
 	a.Deadline = time.Duration(rapid.IntRange(1, 30).Draw(r, "deadline")) * time.Second
-	if rapid.Bool().Draw(r, "aim") {
+	if rapid.Bool().Draw(r, "first token target") {
 		a.FirstToken = a.Deadline / 4
 	}
-	t.asked = append(t.asked, a)
-	return t.put(a)
+	t.requests = append(t.requests, a)
+	return t.request(a)
 }
 
-func (t *ownerTest) endOne(r *rapid.T) {
-	var ids []askID
+func (t *ownerTest) releaseOne(r *rapid.T) {
+	var ids []requestID
 	for _, p := range t.pools {
 		for id := range t.holderOf(p.name).grants {
 			ids = append(ids, id)
@@ -62,27 +61,27 @@
 		return
 	}
 	slices.Sort(ids)
-	id := rapid.SampledFrom(ids).Draw(r, "end")
-	p := t.pools[t.asked[id-1].Pool]
-	t.release(t.now, t.member, p, &releaseMessage{Pool: p.name, ID: id, Result: &used})
+	id := rapid.SampledFrom(ids).Draw(r, "release")
+	p := t.pools[t.requests[id-1].Pool]
+	t.release(t.now, t.member, p, &releaseMessage{Pool: p.name, ID: id, Result: &completedResult})
 }
 
-// check looks at a refusal: no grant of a lower tier may be left that is not
-// revoked; and at a grant: no higher ask of the pool may wait.
-func (t *ownerTest) check(r *rapid.T, ruling ruling) {
-	a := t.asked[ruling.ID-1]
+// checkDecision checks a refusal: there must be no unrevoked grant of a lower tier. It
+// checks a grant: no request of a higher tier may be queued for the pool.
+func (t *ownerTest) checkDecision(r *rapid.T, d decision) {
+	a := t.requests[d.ID-1]
 	p := t.pools[a.Pool]
-	switch ruling.Verdict {
-	case verdictRefused:
-		for _, pl := range p.places {
-			lowest, ok := pl.lowest()
-			assert.Assert(r, !ok || !a.Tier.Above(lowest), "tier %d refused while %d is served", a.Tier, lowest)
+	switch d.Kind {
+	case decisionRefused:
+		for _, ep := range p.endpoints {
+			lowest, ok := ep.lowestRevocable()
+			assert.Assert(r, !ok || !a.Tier.Above(lowest), "tier %d refused while tier %d holds a revocable grant", a.Tier, lowest)
 		}
-	case verdictRevoked:
-		t.release(t.now, t.member, p, &releaseMessage{Pool: p.name, ID: ruling.ID, Result: &used})
-	case verdictGranted:
+	case decisionRevoked:
+		t.release(t.now, t.member, p, &releaseMessage{Pool: p.name, ID: d.ID, Result: &completedResult})
+	case decisionGranted:
 		for _, e := range t.holderOf(a.Pool).entries {
-			assert.Assert(r, !e.ask.Tier.Above(a.Tier), "tier %d granted before %d", a.Tier, e.ask.Tier)
+			assert.Assert(r, !e.request.Tier.Above(a.Tier), "tier %d granted before tier %d", a.Tier, e.request.Tier)
 		}
 	}
 }
@@ -97,7 +96,7 @@
 	}
 	assert.Equal(r, t.queue.Len(), waiting)
 	assert.Assert(r, waiting <= 6+len(t.revoking))
-	for _, p := range t.places {
+	for _, p := range t.endpoints {
 		assert.Assert(r, p.state.Requests <= p.state.Limit)
 		grants -= p.state.Requests
 	}
--- a/capacity/layout.go
+++ b/capacity/layout.go
@@ -10,44 +10,43 @@
 	"hawthornrill.example/hawthornrill/membership"
 )
 
-// groupName names a pool group: its first pool in alphabetical order.
-type groupName = domain.PoolName
+// poolGroup identifies a pool group by its first pool in alphabetical order.
+type poolGroup = domain.PoolName
 
-// layout tells, for one configuration and one view of the members, which pools
-// exist in which data centre and which node owns them. It is immutable.
+// layout holds, for one configuration and one membership view, the pools of each data
+// centre and the nodes that own them. It is immutable.
 type layout struct {
 	config  *config.Snapshot
 	members *membership.Snapshot
-	// centres holds the pools of each data centre.
-	centres map[domain.DataCentre]*centre
-	// elsewhere lists, for each pool, the data centres that serve it, sorted.
-	elsewhere map[domain.PoolName][]domain.DataCentre
-	lowest    domain.Tier
+	// dataCentres holds the pools of each data centre.
+	dataCentres map[domain.DataCentre]*dataCentreLayout
+	// dataCentresOf lists, for each pool, the data centres that serve it, sorted.
+	dataCentresOf map[domain.PoolName][]domain.DataCentre
+	lowestTier    domain.Tier
 }
 
-// centre is the part of a layout that describes one data centre. Pools that
-// share an endpoint form a group, so that one owner accounts for it.
-type centre struct {
-	groupOf map[domain.PoolName]groupName
-	groups  map[groupName]*groupLayout
+// dataCentreLayout is the part of a layout for one data centre. Pools that share an
+// endpoint form a group, so that a single owner accounts for the endpoint.
+type dataCentreLayout struct {
+	groupOf map[domain.PoolName]poolGroup
+	groups  map[poolGroup]*groupLayout
 	// alive are the members that may own pools, sorted by node.
 	alive []domain.Member
 }
 
-// groupLayout lists what a group consists of.
+// groupLayout lists the pools and endpoints of a group.
 type groupLayout struct {
-	name      groupName
+	name      poolGroup
 	pools     []domain.PoolName
 	endpoints []*config.EndpointRow
 }
 
-// newLayout computes the layout.
 func newLayout(c *config.Snapshot, m *membership.Snapshot) *layout {
 	l := &layout{
-		config:    c,
-		members:   m,
-		centres:   make(map[domain.DataCentre]*centre),
-		elsewhere: make(map[domain.PoolName][]domain.DataCentre),
+		config:        c,
+		members:       m,
+		dataCentres:   make(map[domain.DataCentre]*dataCentreLayout),
+		dataCentresOf: make(map[domain.PoolName][]domain.DataCentre),
 	}
 	if c != nil {
 		l.addPools(c)
@@ -56,13 +55,13 @@
 	return l
 }
 
-// withMembers returns a layout of the same configuration for other members.
+// withMembers returns a layout of the same configuration with other members.
 func (l *layout) withMembers(m *membership.Snapshot) *layout {
 	next := *l
 	next.members = m
-	next.centres = make(map[domain.DataCentre]*centre, len(l.centres))
-	for dc, c := range l.centres {
-		next.centres[dc] = &centre{groupOf: c.groupOf, groups: c.groups}
+	next.dataCentres = make(map[domain.DataCentre]*dataCentreLayout, len(l.dataCentres))
+	for dc, c := range l.dataCentres {
+		next.dataCentres[dc] = &dataCentreLayout{groupOf: c.groupOf, groups: c.groups}
 	}
 	next.addMembers(m)
 	return &next
@@ -70,7 +69,7 @@
 
 func (l *layout) addPools(c *config.Snapshot) {
 	for _, t := range c.Table.Tiers {
-		l.lowest = max(l.lowest, t.Rank)
+		l.lowestTier = max(l.lowestTier, t.Rank)
 	}
 	rows := make(map[domain.DataCentre]*poolUnion)
 	for pool, endpoints := range c.Pools {
@@ -84,12 +83,12 @@
 		}
 	}
 	for dc, union := range rows {
-		l.centres[dc] = union.centre()
+		l.dataCentres[dc] = union.layout()
 		for pool := range union.parent {
-			l.elsewhere[pool] = append(l.elsewhere[pool], dc)
+			l.dataCentresOf[pool] = append(l.dataCentresOf[pool], dc)
 		}
 	}
-	for _, dcs := range l.elsewhere {
+	for _, dcs := range l.dataCentresOf {
 		slices.Sort(dcs)
 	}
 }
@@ -100,17 +99,17 @@
 		if p.Status != membership.StatusAlive {
 			continue
 		}
-		if c, ok := l.centres[p.DataCentre]; ok {
+		if c, ok := l.dataCentres[p.DataCentre]; ok {
 			c.alive = append(c.alive, p.Member)
 		}
 	}
 }
 
-// owner returns the member that owns the pool in the data centre: the first in
-// rendezvous order among the alive ones. ok is false if the pool does not exist
-// there or nobody is alive.
+// owner returns the member that owns the pool in the data centre: the first of the
+// alive members in rendezvous order. ok is false if the pool does not exist there or no
+// member is alive.
 func (l *layout) owner(dc domain.DataCentre, pool domain.PoolName) (domain.Member, bool) {
-	c, ok := l.centres[dc]
+	c, ok := l.dataCentres[dc]
 	if !ok {
 		return domain.Member{}, false
 	}
@@ -123,7 +122,7 @@
 
 // serves reports whether the pool has endpoints in the data centre.
 func (l *layout) serves(dc domain.DataCentre, pool domain.PoolName) bool {
-	c, ok := l.centres[dc]
+	c, ok := l.dataCentres[dc]
 	if !ok {
 		return false
 	}
@@ -131,9 +130,9 @@
 	return ok
 }
 
-// rendezvous returns the member with the greatest hash. It depends on the node
-// and not on its incarnation, so that a restarted node owns what it owned.
-func rendezvous(group groupName, members []domain.Member) domain.Member {
+// rendezvous returns the member with the greatest hash. The hash covers the node and
+// not its incarnation, so that a restarted node owns the same groups as before.
+func rendezvous(group poolGroup, members []domain.Member) domain.Member {
 	seed := xxhash.Sum64String(string(group))
 	best, bestScore := 0, uint64(0)
 	for i := range members {
@@ -155,8 +154,8 @@
 	return x
 }
 
-// nextLayout computes a layout, from the last one where that has the same
-// configuration.
+// nextLayout computes a layout, and reuses the last one's pools if the configuration is
+// the same.
 func nextLayout(old *layout, c *config.Snapshot, m *membership.Snapshot) *layout {
 	if old != nil && old.config == c {
 		return old.withMembers(m)
@@ -164,8 +163,8 @@
 	return newLayout(c, m)
 }
 
-// over reports whether a life has ended, as far as the members' view tells.
-func (l *layout) over(member domain.Member) bool {
+// hasEnded reports whether an incarnation has ended according to the membership view.
+func (l *layout) hasEnded(member domain.Member) bool {
 	for i := range l.members.Peers {
 		p := &l.members.Peers[i]
 		if p.Node == member.Node {
--- a/capacity/leastoutstanding.go
+++ b/capacity/leastoutstanding.go
@@ -2,17 +2,16 @@
 
 import "time"
 
-// LeastOutstanding is the plain Chooser: it takes the endpoint with the least
-// outstanding requests for its limit, and knows no speeds.
+// LeastOutstanding is the default Chooser: it takes the endpoint with the fewest
+// outstanding requests relative to its limit, and makes no forecasts.
 type LeastOutstanding struct{}
 
-// NewLeastOutstanding returns the plain Chooser.
 func NewLeastOutstanding() LeastOutstanding { return LeastOutstanding{} }
 
-// Admit admits every ask.
+// Admit admits every request.
 func (LeastOutstanding) Admit(time.Time, *Request) error { return nil }
 
-// Choose returns the candidate with the smallest part of its limit in use.
+// Choose returns the candidate with the smallest fraction of its limit in use.
 func (LeastOutstanding) Choose(_ time.Time, _ *QueuedRequest, candidates []*EndpointState) (int, bool) {
 	best := 0
 	for i, c := range candidates {
@@ -26,7 +25,7 @@
 // Granted does nothing.
 func (LeastOutstanding) Granted(time.Time, *EndpointState, *Request) {}
 
-// Forecast knows nothing.
+// Forecast returns zero values, for unknown.
 func (LeastOutstanding) Forecast(time.Time, *EndpointState, *Request) Forecast { return Forecast{} }
 
 // Observe does nothing.
--- a/capacity/leaving.go
+++ b/capacity/leaving.go
@@ -12,7 +12,7 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// leavingSet holds the endpoints that this node says are leaving.
+// leavingSet holds the endpoints that this node has marked as leaving.
 type leavingSet struct {
 	mu        sync.Mutex
 	endpoints map[domain.EndpointID]struct{}
@@ -37,23 +37,23 @@
 	return slices.Sorted(maps.Keys(l.endpoints))
 }
 
-// SetEndpointLeaving says, in this node's name, that an endpoint is leaving or is
-// not. Its owner gives it no new grants from then on; those that it has go on. The
-// word is repeated until it is taken back, and lapses with this node.
+// SetEndpointLeaving marks an endpoint as leaving on this node's behalf, or removes the
+// mark. Its owner makes no new grants at a marked endpoint; existing grants continue.
+// The mark is sent repeatedly until it is removed, and expires if this node stops.
 func (s *Service) SetEndpointLeaving(id domain.EndpointID, leaving bool) {
 	if s.leaving.set(id, leaving) {
-		s.sayLeaving(id, leaving)
+		s.sendLeaving(id, leaving)
 	}
 }
 
-// repeatLeaving says again which endpoints are leaving.
+// repeatLeaving sends all marks of leaving endpoints again.
 func (s *Service) repeatLeaving() {
 	for _, id := range s.leaving.all() {
-		s.sayLeaving(id, true)
+		s.sendLeaving(id, true)
 	}
 }
 
-func (s *Service) sayLeaving(id domain.EndpointID, leaving bool) {
+func (s *Service) sendLeaving(id domain.EndpointID, leaving bool) {
 	row, ok := s.endpointRow(id)
 	if !ok {
 		return
@@ -62,7 +62,7 @@
 	if len(pools) == 0 {
 		return
 	}
-	owner, ok := s.current().owner(row.DataCentre, pools[0])
+	owner, ok := s.currentLayout().owner(row.DataCentre, pools[0])
 	if !ok {
 		return
 	}
@@ -75,7 +75,7 @@
 }
 
 func (s *Service) endpointRow(id domain.EndpointID) (*config.EndpointRow, bool) {
-	c := s.current().config
+	c := s.currentLayout().config
 	if c == nil {
 		return nil, false
 	}
@@ -83,16 +83,16 @@
 	return row, ok
 }
 
-// Report hands an endpoint's own account of its load to the owner's Chooser. It
-// does nothing if this node does not own the endpoint's pool.
+// Report passes an endpoint's load report to the owner's Chooser. It does nothing if
+// this node does not own the endpoint's pool.
 func (s *Service) Report(id domain.EndpointID, report endpoint.LoadReport) {
 	s.withReporter(id, func(now time.Time, r ReportReceiver, state *EndpointState) {
 		r.Report(now, state, report)
 	})
 }
 
-// CacheEvents hands an engine's prompt-cache events to the owner's Chooser. It
-// does nothing if this node does not own the endpoint's pool.
+// CacheEvents passes an engine's prompt-cache events to the owner's Chooser. It does
+// nothing if this node does not own the endpoint's pool.
 func (s *Service) CacheEvents(id domain.EndpointID, events []endpoint.CacheEvent) {
 	s.withReporter(id, func(now time.Time, r ReportReceiver, state *EndpointState) {
 		r.CacheEvents(now, state, events)
@@ -110,7 +110,7 @@
 	}
 	s.withOwner(pools[0], func(now time.Time, o *owner, _ *pool) {
 		r, ok := o.chooser.(ReportReceiver)
-		if p, known := o.places[id]; ok && known {
+		if p, known := o.endpoints[id]; ok && known {
 			f(now, r, &p.state)
 		}
 	})
--- a/capacity/link.go
+++ b/capacity/link.go
@@ -9,33 +9,34 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// hintEvery bounds how often an owner's word about another owner is followed.
-const hintEvery = time.Second
+// minRedirectInterval limits how often a redirect to another owner is followed.
+const minRedirectInterval = time.Second
 
-// linkKey names a pool of a data centre.
+// linkKey identifies a pool of a data centre.
 type linkKey struct {
 	dc   domain.DataCentre
 	pool domain.PoolName
 }
 
-// link is this node's account with the owner of one pool.
+// link is this node's client-side state towards the owner of one pool.
 type link struct {
 	key linkKey
 
 	mu sync.Mutex
-	// owner is whom this node deals with; known is false if there is nobody.
+	// owner is the owner that this node uses; known is false if there is none.
 	owner domain.Member
 	known bool
-	// seen is the owner by this node's own view when it last changed.
-	seen     domain.Member
-	hintedAt time.Time
-	holds    map[askID]*hold
-	asks     digest
-	grants   digest
-	// changes counts asks that came and went.
+	// viewOwner is the owner according to this node's membership view when that last
+	// changed.
+	viewOwner    domain.Member
+	redirectedAt time.Time
+	handles      map[requestID]*handle
+	waiting      digest
+	granted      digest
+	// changes counts requests added and removed.
 	changes uint64
-	// quiet is true once the owner has agreed that the account is empty.
-	quiet bool
+	// idle is true once the owner has confirmed that this node holds nothing.
+	idle bool
 }
 
 // linkTable holds the links of a node.
@@ -44,7 +45,7 @@
 	links map[linkKey]*link
 }
 
-// get returns the link to a pool, a new one if need be.
+// get returns the link to a pool and creates it if necessary.
 func (t *linkTable) get(key linkKey, l *layout) *link {
 	t.mu.RLock()
 	found, ok := t.links[key]
@@ -57,8 +58,8 @@
 	if found, ok := t.links[key]; ok {
 		return found
 	}
-	created := &link{key: key, holds: make(map[askID]*hold)}
-	created.look(l)
+	created := &link{key: key, handles: make(map[requestID]*handle)}
+	created.updateOwner(l)
 	t.links[key] = created
 	return created
 }
@@ -84,69 +85,70 @@
 	return links
 }
 
-// look takes the owner from a layout if that names another one than before. It
-// reports whether the link has a new owner to register with.
-func (l *link) look(view *layout) bool {
+// updateOwner takes the owner from a layout if it differs from that of the last layout.
+// It reports whether there are requests to register with a new owner.
+func (l *link) updateOwner(view *layout) bool {
 	owner, ok := view.owner(l.key.dc, l.key.pool)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !ok {
-		l.abandon()
+		l.clearOwner()
 		return false
 	}
-	if l.known && owner.SameLife(l.seen) {
+	if l.known && owner.SameLife(l.viewOwner) {
 		return false
 	}
-	l.owner, l.seen, l.known = owner, owner, true
-	return len(l.holds) > 0
+	l.owner, l.viewOwner, l.known = owner, owner, true
+	return len(l.handles) > 0
 }
 
-// abandon notes that the pool has no owner; asks that wait for it fail.
-func (l *link) abandon() {
+// clearOwner notes that the pool has no owner and fails the queued requests. The lock
+// must be held.
+func (l *link) clearOwner() {
 	l.known = false
-	for _, h := range l.holds {
-		h.fail()
+	for _, h := range l.handles {
+		h.failLocked()
 	}
 }
 
-// follow takes an owner's word that another one is the owner. It reports whether
-// that was news.
-func (l *link) follow(owner domain.Member, now time.Time) bool {
+// redirect switches to the owner that another node named. It reports whether that was a
+// change.
+func (l *link) redirect(owner domain.Member, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if owner.SameLife(l.owner) || (!l.hintedAt.IsZero() && now.Sub(l.hintedAt) < hintEvery) {
+	if owner.SameLife(l.owner) || (!l.redirectedAt.IsZero() && now.Sub(l.redirectedAt) < minRedirectInterval) {
 		return false
 	}
-	l.owner, l.known, l.hintedAt = owner, true, now
+	l.owner, l.known, l.redirectedAt = owner, true, now
 	return true
 }
 
-// current returns the owner that this node deals with.
-func (l *link) current() (domain.Member, bool) {
+// currentOwner returns the owner that this node uses.
+func (l *link) currentOwner() (domain.Member, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.owner, l.known
 }
 
-// add puts a new ask into the account.
-func (l *link) add(h *hold) {
+// add records a new request.
+func (l *link) add(h *handle) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.holds[h.id] = h
+	l.handles[h.id] = h
 	l.changes++
-	l.quiet = false
-	l.asks.add(h.id)
+	l.idle = false
+	l.waiting.add(h.id)
 }
 
-// remove takes an ask or grant out of the account. The lock is held.
-func (l *link) remove(h *hold) {
-	delete(l.holds, h.id)
+// remove takes out a request or grant. The lock must be held.
+func (l *link) remove(h *handle) {
+	delete(l.handles, h.id)
 	l.changes++
-	if h.state == holdGranted {
-		l.grants.remove(h.id)
+	if h.state == handleGranted {
+		l.granted.remove(h.id)
 		return
 	}
-	l.asks.remove(h.id)
+	l.waiting.remove(h.id)
 }
 
 // linkRenewal is a renewal of one link.
@@ -154,73 +156,74 @@
 	link    *link
 	owner   domain.Member
 	message poolRenewal
-	// changes is the link's count at the time.
+	// changes is the link's count when the renewal was made.
 	changes uint64
 }
 
-// renewal sums the account up and notes that its progress has been reported. It
-// returns false if there is nothing to renew.
+// renewal summarises the link's requests and grants, and marks their progress as
+// reported. It returns false if there is nothing to renew.
 func (l *link) renewal() (linkRenewal, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.known || l.quiet {
+	if !l.known || l.idle {
 		return linkRenewal{}, false
 	}
 	var changes []progressChange
-	for id, h := range l.holds {
+	for id, h := range l.handles {
 		if code, changed := h.takeProgress(); changed {
 			changes = append(changes, progressChange{id: id, code: code})
 		}
 	}
-	r := poolRenewal{Pool: l.key.pool, Grants: l.grants, Asks: l.asks, Progress: encodeProgress(changes)}
+	r := poolRenewal{Pool: l.key.pool, Grants: l.granted, Requests: l.waiting, Progress: encodeProgress(changes)}
 	return linkRenewal{link: l, owner: l.owner, message: r, changes: l.changes}, true
 }
 
-// unreported forgets what progress has been reported.
-func (l *link) unreported() {
+// resetReported marks all progress as not reported.
+func (l *link) resetReported() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, h := range l.holds {
+	for _, h := range l.handles {
 		h.reported = progressNone
 	}
 }
 
-// agreed notes that the owner's account was the same as that of a renewal.
-func (l *link) agreed(changes uint64) {
+// confirm notes that the owner's records matched a renewal.
+func (l *link) confirm(changes uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.quiet = len(l.holds) == 0 && l.changes == changes
+	l.idle = len(l.handles) == 0 && l.changes == changes
 }
 
-// names returns the identifiers of all grants and asks.
-func (l *link) names() (grants, asks []askID) {
+// ids returns the identifiers of all grants and queued requests.
+func (l *link) ids() (grants, waiting []requestID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, h := range l.holds {
-		if h.state == holdGranted {
+	for id, h := range l.handles {
+		if h.state == handleGranted {
 			grants = append(grants, id)
 			continue
 		}
-		asks = append(asks, id)
+		waiting = append(waiting, id)
 	}
-	return grants, asks
+	return grants, waiting
 }
 
-// records describes the named asks and grants in full, or all if ids is nil but
-// those that no owner has answered yet: these are asked for by their callers.
-func (l *link) records(ids []askID, now time.Time) []record {
+// records describes the given requests and grants in full. If ids is nil, it describes
+// all but the requests that no owner has answered: these are sent again by their
+// callers.
+func (l *link) records(ids []requestID, now time.Time) []record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var records []record
 	if ids == nil {
-		for _, h := range l.holds {
-			if h.state != holdAsked {
+		for _, h := range l.handles {
+			if h.state != handleSent {
 				records = append(records, h.record(now))
 			}
 		}
 	}
 	for _, id := range ids {
-		if h, ok := l.holds[id]; ok {
+		if h, ok := l.handles[id]; ok {
 			records = append(records, h.record(now))
 		}
 	}
--- a/capacity/options.go
+++ b/capacity/options.go
@@ -12,66 +12,65 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Options are the parts and the numbers of a Service. Zero numbers are replaced
-// by the defaults below.
+// Options configures a Service. Zero numbers are replaced by the defaults below.
 type Options struct {
 	Transport  peer.Transport
 	Membership membership.View
 	Config     config.View
-	// NewChooser makes the Chooser of a pool group that this node comes to own.
-	// Nil stands for NewLeastOutstanding.
+	// NewChooser creates the Chooser of a pool group that this node comes to own. Nil
+	// stands for NewLeastOutstanding.
 	NewChooser func() Chooser
-	// Metrics is where counters are registered; nil for a set of its own.
+	// Metrics is where the counters are registered; nil for a new set.
 	Metrics *metrics.Set
 	Logger  zerolog.Logger
 
-	// QueueLimit is the most asks that wait at one owner for one pool group.
+	// QueueLimit is the most requests queued at one owner for one pool group.
 	QueueLimit int
-	// LookAhead is the most asks of one pool that are passed over, because they
-	// can't use the free places, in one search for the next ask to serve.
+	// LookAhead is the most requests of one pool that are skipped, because they can't
+	// use the free slots, in one scheduling round.
 	LookAhead int
-	// Tick is the interval at which an owner looks at deadlines, and a client at
+	// Tick is the interval at which an owner checks deadlines, and a client checks for
 	// changes of owner.
 	Tick time.Duration
-	// RenewInterval is the interval of renewals, one message per node and owner.
+	// RenewInterval is the interval between renewals, one message per node and owner.
 	RenewInterval time.Duration
-	// GrantTTL is how long an owner keeps the grants and asks of a holder that it
-	// does not hear of. It is the grace window within which two owners may
-	// over-grant.
+	// GrantTTL is how long an owner keeps the grants and requests of a holder that has
+	// sent nothing. It is the grace period within which two owners may together exceed
+	// an endpoint's limit.
 	GrantTTL time.Duration
-	// Settle is the longest a new owner waits for the holders' registrations
-	// before it grants.
+	// SettleTimeout is the longest that a new owner waits for the holders'
+	// registrations before it grants.
 	SettleTimeout time.Duration
-	// ListGracePeriod is how old a grant or ask must be before its absence from the
-	// holder's list counts; younger ones may have crossed the list on the way.
+	// ListGracePeriod is how old a grant or request must be before its absence from the
+	// holder's list counts; a younger one may have crossed the list in transit.
 	ListGracePeriod time.Duration
-	// FirstTokenMargin is how long before the last useful moment for the first token a
-	// place is sought by other means than waiting.
+	// FirstTokenMargin is how long before the first-token target becomes unreachable
+	// the owner seeks a slot by other means than waiting.
 	FirstTokenMargin time.Duration
 	// DeadlineMargin is the same for the deadline.
 	DeadlineMargin time.Duration
-	// Hopeless is the part of a forecast that must exceed the time left before an
-	// ask is refused for it, though a place is free.
+	// ForecastFactor is the fraction of a forecast that must exceed the time left
+	// before a request is refused because of it, even though a slot is free.
 	ForecastFactor float64
-	// RevokeInterval is the interval at which a revocation is repeated, and after
-	// which another grant is revoked for the same ask.
+	// RevokeInterval is the interval at which a revocation is repeated, and after which
+	// another grant is revoked for the same request.
 	RevokeInterval time.Duration
-	// SearchTimeout is how long an owner waits for a client that asks other data
+	// SearchTimeout is how long an owner waits for a client that tries other data
 	// centres.
 	SearchTimeout time.Duration
 	// CallTimeout bounds a call to an owner.
 	CallTimeout time.Duration
-	// QuoteTimeout bounds the questions to the owners of other data centres.
+	// QuoteTimeout bounds the quote calls to the owners of other data centres.
 	QuoteTimeout time.Duration
-	// QuoteTTL is how long their answers are used again for the lowest tier.
+	// QuoteTTL is how long quotes are cached for the lowest tier.
 	QuoteTTL time.Duration
-	// RetryInterval is the interval at which an owner that does not reply is asked
-	// again.
+	// RetryInterval is the interval at which calls to an owner that does not reply are
+	// repeated.
 	RetryInterval time.Duration
 	// OwnerFailureTimeout is how long an owner may fail to reply before other data
-	// centres are asked.
+	// centres are tried.
 	OwnerFailureTimeout time.Duration
-	// MaxMoves bounds how often one ask moves between data centres.
+	// MaxMoves bounds how often one request moves between data centres.
 	MaxMoves int
 }
 
--- a/capacity/overflow_test.go
+++ b/capacity/overflow_test.go
@@ -13,10 +13,11 @@
 	"hawthornrill.example/hawthornrill/membership"
 )
 
-var twoCentres = []domain.NodeID{"a1", "a2", "b1", "b2"}
+var twoDataCentres = []domain.NodeID{"a1", "a2", "b1", "b2"}
 
-// cutCentres parts the data centres a and b, and tells their nodes.
-func (c *cluster) cutCentres() {
+// partitionDataCentres separates the data centres a and b and updates their nodes'
+// membership views.
+func (c *cluster) partitionDataCentres() {
 	as, bs := []domain.NodeID{"a1", "a2"}, []domain.NodeID{"b1", "b2"}
 	c.network.Partition(as, bs)
 	c.setStatus(membership.StatusUnreachable, bs...)
@@ -28,7 +29,7 @@
 	time.Sleep(2 * time.Second)
 }
 
-func (c *cluster) healCentres() {
+func (c *cluster) healDataCentres() {
 	c.network.HealAll()
 	c.publish()
 	time.Sleep(time.Second)
@@ -40,43 +41,45 @@
 	}
 }
 
-// Two data centres have one place each. An ask at a whose first token is due in
-// 300 ms is served where it costs least.
+// Two data centres have one slot each. A request at a with a first-token target of 300
+// ms is served in the preferred order: a free slot locally, a free slot elsewhere, a
+// revocation locally, a revocation elsewhere.
 func TestOverflow(t *testing.T) {
 	tests := []struct {
 		name string
-		// a and b are the tiers that hold the places; -1 for a free one.
-		a, b int
-		cut  bool
-		// serves is the endpoint that serves the ask of tier 1; none if it waits.
+		// a and b are the tiers that hold the slots; -1 for a free one.
+		a, b        int
+		partitioned bool
+		// serves is the endpoint that serves the request of tier 1; empty if it stays
+		// queued.
 		serves domain.EndpointID
-		// revokes tells whether a grant was revoked for it.
+		// revokes is whether a grant is revoked for it.
 		revokes bool
 	}{
-		{"room at home", -1, -1, false, "ea", false},
-		{"room elsewhere", 1, -1, false, "eb", false},
-		{"room elsewhere before a revocation at home", 2, -1, false, "eb", false},
-		{"a revocation at home before one elsewhere", 2, 2, false, "ea", true},
-		{"a revocation elsewhere before missing the aim", 1, 2, false, "eb", true},
-		{"nothing lower anywhere", 1, 0, false, "", false},
-		{"a lower tier behind a cut can't be revoked", 1, 2, true, "", false},
-		{"a revocation at home during a cut", 2, -1, true, "ea", true},
+		{"free slot locally", -1, -1, false, "ea", false},
+		{"free slot elsewhere", 1, -1, false, "eb", false},
+		{"free slot elsewhere before a local revocation", 2, -1, false, "eb", false},
+		{"local revocation before one elsewhere", 2, 2, false, "ea", true},
+		{"revocation elsewhere before missing the first-token target", 1, 2, false, "eb", true},
+		{"no lower tier anywhere", 1, 0, false, "", false},
+		{"lower tier behind a partition can't be revoked", 1, 2, true, "", false},
+		{"local revocation during a partition", 2, -1, true, "ea", true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			rows := []config.EndpointRow{engine("ea", "a", 1, "quote"), engine("eb", "b", 1, "quote")}
-			inCluster(t, rows, Options{}, twoCentres, func(t *testing.T, c *cluster) {
-				if test.cut {
-					c.cutCentres()
+			runCluster(t, rows, Options{}, twoDataCentres, func(t *testing.T, c *cluster) {
+				if test.partitioned {
+					c.partitionDataCentres()
 				}
-				holders := []*waitingAsk{c.occupy(t, "a2", test.a), c.occupy(t, "b2", test.b)}
-				a := ask(1)
+				holders := []*pendingAcquire{c.occupy(t, "a2", test.a), c.occupy(t, "b2", test.b)}
+				a := newRequest(1)
 				a.FirstToken = 300 * time.Millisecond
-				w := c.begin("a1", a)
+				w := c.acquire("a1", a)
 				if test.serves == "" {
-					w.waits(t, time.Second)
+					w.requireWaiting(t, time.Second)
 				} else {
-					assert.Equal(t, w.granted(t, 300*time.Millisecond).Endpoint(), test.serves)
+					assert.Equal(t, w.requireGranted(t, 300*time.Millisecond).Endpoint(), test.serves)
 				}
 				revoked := 0
 				for _, h := range holders {
@@ -85,82 +88,83 @@
 					}
 				}
 				assert.Equal(t, revoked == 1, test.revokes)
-				if !test.cut || test.serves != "" {
+				if !test.partitioned || test.serves != "" {
 					return
 				}
-				// The promise during a cut is about the owners in reach; healed, it is
-				// about all again.
-				c.healCentres()
+				// During a partition the guarantee covers only the reachable owners;
+				// once healed, it covers all again.
+				c.healDataCentres()
 				a.FirstToken = 300 * time.Millisecond
-				assert.Equal(t, c.begin("a1", a).granted(t, 300*time.Millisecond).Endpoint(), domain.EndpointID("eb"))
+				assert.Equal(t, c.acquire("a1", a).requireGranted(t, 300*time.Millisecond).Endpoint(), domain.EndpointID("eb"))
 			})
 		})
 	}
 }
 
-// occupy takes a place for a holder that heeds revocations.
-func (c *cluster) occupy(t *testing.T, node domain.NodeID, tier int) *waitingAsk {
+// occupy takes a slot for a holder that obeys revocations.
+func (c *cluster) occupy(t *testing.T, node domain.NodeID, tier int) *pendingAcquire {
 	if tier < 0 {
 		return nil
 	}
-	w := c.begin(node, ask(domain.Tier(tier)))
-	grant := w.granted(t, 5*time.Millisecond)
+	w := c.acquire(node, newRequest(domain.Tier(tier)))
+	grant := w.requireGranted(t, 5*time.Millisecond)
 	go func() {
 		select {
 		case <-grant.Revoked():
-			grant.Release(used)
+			grant.Release(completedResult)
 		case <-c.ended:
 		}
 	}()
 	return w
 }
 
-// An ask that waits in another data centre and would be late there goes home, where
-// a lower tier has got a place meanwhile.
-func TestVisitorGoesHome(t *testing.T) {
+// A request that is queued in another data centre and would be late there returns to
+// its own, where a lower tier has been granted a slot meanwhile.
+func TestMovedRequestReturnsToLocalQueue(t *testing.T) {
 	rows := []config.EndpointRow{engine("ea", "a", 1, "quote"), engine("eb", "b", 1, "quote")}
-	inCluster(t, rows, Options{}, twoCentres, func(t *testing.T, c *cluster) {
-		c.begin("b1", ask(1)).granted(t, 100*time.Millisecond).Release(used)
-		c.begin("a1", ask(1)).granted(t, 20*time.Second).Release(used)
-		c.begin("b1", ask(1)).granted(t, 5*time.Millisecond)
-		held := c.begin("a1", ask(1)).granted(t, 5*time.Millisecond)
-		a := ask(1)
+	runCluster(t, rows, Options{}, twoDataCentres, func(t *testing.T, c *cluster) {
+		c.acquire("b1", newRequest(1)).requireGranted(t, 100*time.Millisecond).Release(completedResult)
+		c.acquire("a1", newRequest(1)).requireGranted(t, 20*time.Second).Release(completedResult)
+		c.acquire("b1", newRequest(1)).requireGranted(t, 5*time.Millisecond)
+		held := c.acquire("a1", newRequest(1)).requireGranted(t, 5*time.Millisecond)
+		a := newRequest(1)
 		a.FirstToken = 2 * time.Second
-		w := c.begin("a2", a)
-		w.waits(t, time.Second)
+		w := c.acquire("a2", a)
+		w.requireWaiting(t, time.Second)
 		assert.Equal(t, c.dump(c.ownerOf("b1", "b", quotePool)).Waiting[1], 1)
-		held.Release(used)
+		held.Release(completedResult)
 		c.occupy(t, "a1", 2)
-		assert.Equal(t, w.granted(t, time.Second).Endpoint(), domain.EndpointID("ea"))
+		assert.Equal(t, w.requireGranted(t, time.Second).Endpoint(), domain.EndpointID("ea"))
 	})
 }
 
-// A pool that only another data centre has is served from there, by waiting if
-// need be, and one that nobody has is refused.
-func TestPoolElsewhere(t *testing.T) {
+// A pool that only another data centre has is served from there, with queuing if
+// necessary. A pool that no data centre has is refused.
+func TestPoolServedOnlyElsewhere(t *testing.T) {
 	rows := []config.EndpointRow{engine("eb", "b", 1, "quote")}
-	inCluster(t, rows, Options{}, twoCentres, func(t *testing.T, c *cluster) {
-		grant := c.begin("a1", ask(1)).granted(t, 10*time.Millisecond)
-		w := c.begin("a2", ask(1))
-		w.waits(t, time.Second)
-		grant.Release(used)
-		w.granted(t, 10*time.Millisecond)
-		nobody := ask(0)
-		nobody.Pool = "model/none"
-		c.begin("a1", nobody).refused(t, 10*time.Millisecond, ErrNoEndpoint)
-		c.cutCentres()
-		c.begin("a1", ask(0)).refused(t, 10*time.Millisecond, ErrNoEndpoint)
+	runCluster(t, rows, Options{}, twoDataCentres, func(t *testing.T, c *cluster) {
+		grant := c.acquire("a1", newRequest(1)).requireGranted(t, 10*time.Millisecond)
+		w := c.acquire("a2", newRequest(1))
+		w.requireWaiting(t, time.Second)
+		grant.Release(completedResult)
+		w.requireGranted(t, 10*time.Millisecond)
+		unserved := newRequest(0)
+		unserved.Pool = "model/none"
+		c.acquire("a1", unserved).requireRefused(t, 10*time.Millisecond, ErrNoEndpoint)
+		c.partitionDataCentres()
+		c.acquire("a1", newRequest(0)).requireRefused(t, 10*time.Millisecond, ErrNoEndpoint)
 	})
 }
 
-// A flood of the lowest tier asks the other data centres a bounded number of times.
-func TestQuotesAreShared(t *testing.T) {
+// Many requests of the lowest tier cause only a bounded number of quote calls to other
+// data centres.
+func TestQuotesAreCachedForLowestTier(t *testing.T) {
 	rows := []config.EndpointRow{engine("ea", "a", 1, "quote"), engine("eb", "b", 1, "quote")}
-	inCluster(t, rows, Options{QueueLimit: 5}, twoCentres, func(t *testing.T, c *cluster) {
+	runCluster(t, rows, Options{QueueLimit: 5}, twoDataCentres, func(t *testing.T, c *cluster) {
 		c.occupy(t, "a1", 2)
 		c.occupy(t, "b1", 2)
 		for range 200 {
-			c.begin("a1", ask(2))
+			c.acquire("a1", newRequest(2))
 			time.Sleep(5 * time.Millisecond)
 		}
 		sent := c.network.Total(methodQuote).Messages
@@ -168,27 +172,27 @@
 	})
 }
 
-// Random asks over two data centres: whenever one is refused, no grant of a lower
-// tier has been held throughout the last second without being revoked; and no
-// endpoint ever has more grants in use than its limit.
-func TestNoHigherTierIsShed(t *testing.T) {
+// Random requests over two data centres: whenever one is refused, no grant of a lower
+// tier has been held for more than a second without being revoked; and no endpoint ever
+// has more grants in use than its limit.
+func TestNoHigherTierIsRefused(t *testing.T) {
 	for seed := range uint64(5) {
 		rows := []config.EndpointRow{
 			engine("ea1", "a", 2, "quote"), engine("ea2", "a", 1, "quote hint"),
 			engine("eb1", "b", 2, "quote"), engine("eb2", "b", 1, "hint"),
 		}
-		inCluster(t, rows, Options{QueueLimit: 8}, twoCentres, func(t *testing.T, c *cluster) {
+		runCluster(t, rows, Options{QueueLimit: 8}, twoDataCentres, func(t *testing.T, c *cluster) {
 			r := &randomLoad{c: c, t: t, inUse: make(map[domain.EndpointID]int), held: make(map[Grant]heldSince)}
 			random := rand.New(rand.NewPCG(seed, seed))
 			for range 400 {
-				r.one(random)
+				r.startRequest(random)
 				time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
 			}
 			time.Sleep(10 * time.Second)
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			assert.Assert(t, r.refused > 20 && r.served > 50, "served %d, refused %d", r.served, r.refused)
-			assert.Equal(t, r.broken, "")
+			assert.Equal(t, r.violation, "")
 		})
 	}
 }
@@ -199,7 +203,7 @@
 	at   time.Time
 }
 
-// randomLoad runs random asks and keeps the log of grants.
+// randomLoad makes random requests and records the grants in use.
 type randomLoad struct {
 	c               *cluster
 	t               *testing.T
@@ -207,11 +211,11 @@
 	inUse           map[domain.EndpointID]int
 	held            map[Grant]heldSince
 	served, refused int
-	broken          string
+	violation       string
 }
 
-func (r *randomLoad) one(random *rand.Rand) {
-	a := ask(domain.Tier(random.IntN(3)))
+func (r *randomLoad) startRequest(random *rand.Rand) {
+	a := newRequest(domain.Tier(random.IntN(3)))
 	if random.IntN(3) == 0 {
 		a.Pool = "model/hint"
 	}
@@ -219,43 +223,43 @@
 	if random.IntN(2) == 0 {
 		a.FirstToken = a.Deadline / 3
 	}
-	service := r.c.nodes[twoCentres[random.IntN(len(twoCentres))]].Service
+	service := r.c.nodes[twoDataCentres[random.IntN(len(twoDataCentres))]].Service
 	took := time.Duration(50+random.IntN(1500)) * time.Millisecond
 	go func() {
 		grant, err := service.Acquire(r.t.Context(), a)
 		if err != nil {
-			r.refuse(a, err)
+			r.recordRefusal(a, err)
 			return
 		}
-		r.hold(grant, a)
+		r.recordGrant(grant, a)
 		select {
 		case <-time.After(took):
 		case <-grant.Revoked():
 		}
-		r.drop(grant)
-		grant.Release(used)
+		r.recordRelease(grant)
+		grant.Release(completedResult)
 	}()
 }
 
-func (r *randomLoad) hold(grant Grant, a Request) {
+func (r *randomLoad) recordGrant(grant Grant, a Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.served++
 	r.held[grant] = heldSince{a.Tier, a.Pool, time.Now()}
 	r.inUse[grant.Endpoint()]++
 	if limit := r.c.config.Current().Endpoints[grant.Endpoint()].Limit; r.inUse[grant.Endpoint()] > limit {
-		r.broken = "more than the limit at " + string(grant.Endpoint())
+		r.violation = "limit exceeded at " + string(grant.Endpoint())
 	}
 }
 
-func (r *randomLoad) drop(grant Grant) {
+func (r *randomLoad) recordRelease(grant Grant) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.held, grant)
 	r.inUse[grant.Endpoint()]--
 }
 
-func (r *randomLoad) refuse(a Request, err error) {
+func (r *randomLoad) recordRefusal(a Request, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refused++
@@ -265,7 +269,7 @@
 			serves = serves || row.ID == grant.Endpoint()
 		}
 		if serves && a.Tier.Above(h.tier) && !isRevoked(grant) && time.Since(h.at) > time.Second {
-			r.broken = "a higher tier refused: " + err.Error()
+			r.violation = "higher tier refused while a lower one is served: " + err.Error()
 		}
 	}
 }
--- a/capacity/owner.go
+++ b/capacity/owner.go
@@ -11,50 +11,51 @@
 	"hawthornrill.example/hawthornrill/queue"
 )
 
-// owner decides for one pool group. It does no I/O, has no clock and no lock: its
-// methods take the present instant, and put what is to be sent into out.
+// owner makes the decisions for one pool group. It does no I/O and has no clock and no
+// lock: its methods take the current time, and append what is to be sent to out.
 type owner struct {
 	options *Options
 	chooser Chooser
-	name    groupName
+	name    poolGroup
 	dc      domain.DataCentre
 	config  *config.Snapshot
 	queue   *queue.Queue[*entry]
 	pools   map[domain.PoolName]*pool
 	// poolList holds the pools, sorted.
-	poolList []*pool
-	places   map[domain.EndpointID]*place
+	poolList  []*pool
+	endpoints map[domain.EndpointID]*ownedEndpoint
 	// revoking holds the grants that are revoked and not released.
 	revoking map[*grant]struct{}
 	// settled is true once the holders have registered what they hold.
 	settled bool
-	// collectAgain asks for another collection.
+	// collectAgain requests another collection from the holders.
 	collectAgain bool
 	lastTick     time.Time
 	ticks        uint64
 	out          []outgoing
-	// answering is the ask whose ruling is returned and not put into out.
-	answering *entry
-	// round numbers the searches for asks to place.
-	round      uint64
-	candidates []*EndpointState
-	choices    []*place
-	prospects  []prospect
-	counts     ownerCounts
+	// deciding is the request whose decision is returned as a reply and not appended to
+	// out.
+	deciding *entry
+	// round numbers the scheduling rounds.
+	round              uint64
+	candidates         []*EndpointState
+	candidateEndpoints []*ownedEndpoint
+	prospects          []revocationProspect
+	counts             ownerCounts
 }
 
-// outgoing is a ruling to be sent.
+// outgoing is a decision to be sent.
 type outgoing struct {
-	to     domain.Member
-	pool   domain.PoolName
-	ruling ruling
+	to       domain.Member
+	pool     domain.PoolName
+	decision decision
 }
 
-// ownerCounts counts decisions since the owner began.
+// ownerCounts counts decisions since the owner was created.
 type ownerCounts struct {
 	Granted  uint64 `json:"granted"`
 	Queued   uint64 `json:"queued"`
-	Sought   uint64 `json:"sought"`
+	Searched uint64 `json:"sought"`
 	Shed     uint64 `json:"shed"`
 	Deadline uint64 `json:"deadline"`
 	Refused  uint64 `json:"refused"`
@@ -63,29 +64,29 @@
 	Adopted  uint64 `json:"adopted"`
 }
 
-func newOwner(options *Options, name groupName, dc domain.DataCentre) *owner {
+func newOwner(options *Options, name poolGroup, dc domain.DataCentre) *owner {
 	return &owner{
-		options:  options,
-		chooser:  options.NewChooser(),
-		name:     name,
-		dc:       dc,
-		queue:    queue.New[*entry](options.QueueLimit),
-		pools:    make(map[domain.PoolName]*pool),
-		places:   make(map[domain.EndpointID]*place),
-		revoking: make(map[*grant]struct{}),
+		options:   options,
+		chooser:   options.NewChooser(),
+		name:      name,
+		dc:        dc,
+		queue:     queue.New[*entry](options.QueueLimit),
+		pools:     make(map[domain.PoolName]*pool),
+		endpoints: make(map[domain.EndpointID]*ownedEndpoint),
+		revoking:  make(map[*grant]struct{}),
 	}
 }
 
-// configure takes the group's endpoints and pools from a layout. Grants at an
-// endpoint that is gone from the configuration are kept until they end.
+// configure takes the group's endpoints and pools from a layout. Grants at an endpoint
+// that was removed from the configuration are kept until they end.
 func (o *owner) configure(now time.Time, l *layout) {
-	group := l.centres[o.dc].groups[o.name]
+	group := l.dataCentres[o.dc].groups[o.name]
 	o.config = l.config
 	o.configurePools(group, l)
-	o.configurePlaces(group)
-	o.link()
+	o.configureEndpoints(group)
+	o.linkPools()
 	o.listPools()
-	o.place(now)
+	o.schedule(now)
 }
 
 func (o *owner) listPools() {
@@ -101,7 +102,7 @@
 			p = newPool(name)
 			o.pools[name] = p
 		}
-		p.remote = len(l.elsewhere[name]) > 1
+		p.servedElsewhere = len(l.dataCentresOf[name]) > 1
 	}
 	for name, p := range o.pools {
 		if !kept[name] {
@@ -110,7 +111,7 @@
 	}
 }
 
-// dropPool forgets a pool that another group has now; its holders register with
+// dropPool removes a pool that now belongs to another group; its holders register with
 // the new owner.
 func (o *owner) dropPool(p *pool) {
 	for _, h := range p.holders {
@@ -118,55 +119,55 @@
 			o.queue.Remove(&e.item)
 		}
 		for _, g := range h.grants {
-			o.unplace(g)
+			o.removeGrant(g)
 		}
 	}
 	delete(o.pools, p.name)
 }
 
-func (o *owner) configurePlaces(group *groupLayout) {
-	for _, p := range o.places {
+func (o *owner) configureEndpoints(group *groupLayout) {
+	for _, p := range o.endpoints {
 		p.removed = true
 	}
 	for _, row := range group.endpoints {
-		p, ok := o.places[row.ID]
+		p, ok := o.endpoints[row.ID]
 		if !ok {
-			p = newPlace(row)
-			o.places[row.ID] = p
+			p = newOwnedEndpoint(row)
+			o.endpoints[row.ID] = p
 		}
 		p.configure(row)
 	}
 }
 
-// link joins places and pools anew and recounts.
-func (o *owner) link() {
+// linkPools rebuilds the references between endpoints and pools, and recounts.
+func (o *owner) linkPools() {
 	for _, p := range o.pools {
-		p.places, p.granted, p.inService, p.open = nil, 0, 0, 0
+		p.endpoints, p.granted, p.inService, p.available = nil, 0, 0, 0
 	}
-	for id, p := range o.places {
+	for id, p := range o.endpoints {
 		p.pools = nil
-		p.serving, p.open = false, false
+		p.inService, p.available = false, false
 		if p.removed && p.state.Requests == 0 {
-			delete(o.places, id)
+			delete(o.endpoints, id)
 			continue
 		}
 		if !p.removed {
-			o.linkPlace(p)
+			o.linkEndpoint(p)
 		}
 		p.refresh()
 	}
 	for _, p := range o.pools {
-		sortPlaces(p.places)
+		sortEndpoints(p.endpoints)
 	}
 }
 
-func (o *owner) linkPlace(p *place) {
+func (o *owner) linkEndpoint(p *ownedEndpoint) {
 	for _, name := range p.state.Row.PoolNames() {
 		pool, ok := o.pools[name]
 		if !ok {
 			continue
 		}
-		pool.places = append(pool.places, p)
+		pool.endpoints = append(pool.endpoints, p)
 		pool.granted += p.state.Requests
 		p.pools = append(p.pools, pool)
 	}
@@ -175,15 +176,16 @@
 // settle ends the wait for registrations.
 func (o *owner) settle(now time.Time) {
 	o.settled = true
-	o.place(now)
+	o.schedule(now)
 }
 
-// unsettle begins it anew, after a pause in which others may have taken over.
-func (o *owner) unsettle() { o.settled = false }
+// resetSettled stops granting until registrations have been collected again, after a
+// pause in which other nodes may have taken over.
+func (o *owner) resetSettled() { o.settled = false }
 
-// send puts a ruling into out.
-func (o *owner) send(h *holder, p *pool, r ruling) {
-	o.out = append(o.out, outgoing{to: h.member, pool: p.name, ruling: r})
+// send appends a decision to out.
+func (o *owner) send(h *holder, p *pool, r decision) {
+	o.out = append(o.out, outgoing{to: h.member, pool: p.name, decision: r})
 }
 
 // takeOut returns what is to be sent and empties out.
@@ -193,7 +195,7 @@
 	return out
 }
 
-// weight returns an organisation's weight in force.
+// weight returns an organisation's configured weight.
 func (o *owner) weight(id domain.OrganisationID) int {
 	if o.config == nil {
 		return 1
@@ -204,5 +206,5 @@
 	return 1
 }
 
-// bound lets the queue grow by the places that revocations are about to free.
-func (o *owner) bound() { o.queue.SetBound(o.options.QueueLimit + len(o.revoking)) }
+// updateQueueLimit extends the queue by the slots that pending revocations will free.
+func (o *owner) updateQueueLimit() { o.queue.SetBound(o.options.QueueLimit + len(o.revoking)) }
--- a/capacity/ownerquote.go
+++ b/capacity/ownerquote.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// quote estimates what would become of an ask from another data centre.
-func (o *owner) quote(now time.Time, p *pool, ask *Request) quote {
-	if why, _ := o.admit(now, p, ask); why != 0 {
+// quote estimates how a request from another data centre would be served.
+func (o *owner) quote(now time.Time, p *pool, request *Request) quote {
+	if why, _ := o.admit(now, p, request); why != 0 {
 		return quote{Refused: why}
 	}
-	e := &entry{pool: p, ask: *ask}
+	e := &entry{pool: p, request: *request}
 	f := o.forecast(now, e)
-	q := quote{FirstToken: f.FirstToken, Total: f.Total, Lower: o.victims(now, e) != nil}
-	ahead := o.queue.AheadOf(ask.Tier, ask.Organisation, o.weight(ask.Organisation))
+	q := quote{FirstToken: f.FirstToken, Total: f.Total, CanRevoke: o.planRevocation(now, e) != nil}
+	ahead := o.queue.AheadOf(request.Tier, request.Organisation, o.weight(request.Organisation))
 	if ahead > 0 || !p.hasRoom(e.tokens()) {
-		q.Wait = p.wait(ahead)
-		q.Unknown = p.held == 0
+		q.Wait = p.estimateWait(ahead)
+		q.WaitUnknown = p.meanHoldTime == 0
 	}
 	return q
 }
 
-// hasRoom reports whether any place could take an ask of so many tokens at once.
+// hasRoom reports whether any endpoint has room for a request of that many tokens.
 func (p *pool) hasRoom(tokens int) bool {
-	if p.open == 0 {
+	if p.available == 0 {
 		return false
 	}
-	for _, candidate := range p.places {
-		if candidate.open && candidate.fits(tokens) {
+	for _, candidate := range p.endpoints {
+		if candidate.available && candidate.fits(tokens) {
 			return true
 		}
 	}
--- a/capacity/ownertick.go
+++ b/capacity/ownertick.go
@@ -6,75 +6,77 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// scanShare is the number of asks of a tier that each tick may look at.
-const scanShare = 1000
+// maxScannedPerTick is about the most requests of a tier that are examined per tick on
+// average.
+const maxScannedPerTick = 1000
 
-// tick does what time demands: expires silent holders and marks of leaving
-// endpoints, serves the queue, looks after asks that would be late, and repeats
-// revocations. It must be called every Options.Tick.
+// tick does the periodic work: it expires holders that have sent nothing and marks of
+// leaving endpoints, runs the scheduler, reviews requests that would be late, and
+// repeats revocations. It must be called every Options.Tick.
 func (o *owner) tick(now time.Time) {
 	o.lastTick = now
 	o.expireHolders(now)
 	o.expireLeaving(now)
-	o.place(now)
-	o.considerAll(now)
+	o.schedule(now)
+	o.reviewAll(now)
 	o.repeatRevocations(now)
 }
 
-// overslept reports whether ticks have been missed for so long that other nodes
-// may have taken over.
-func (o *owner) overslept(now time.Time) bool {
+// missedTicks reports whether there was no tick for so long that other nodes may have
+// taken over.
+func (o *owner) missedTicks(now time.Time) bool {
 	return !o.lastTick.IsZero() && now.Sub(o.lastTick) > o.options.SettleTimeout
 }
 
 func (o *owner) expireHolders(now time.Time) {
 	for _, p := range o.pools {
-		for life, h := range p.holders {
+		for key, h := range p.holders {
 			if now.Sub(h.heard) < o.options.GrantTTL {
 				continue
 			}
-			o.forget(now, h)
-			delete(p.holders, life)
+			o.dropHolder(now, h)
+			delete(p.holders, key)
 		}
 	}
 }
 
-// forget ends everything that a holder has.
-func (o *owner) forget(now time.Time, h *holder) {
-	o.forgetAsks(h)
+// dropHolder ends all requests and grants of a holder.
+func (o *owner) dropHolder(now time.Time, h *holder) {
+	o.dropRequests(h)
 	for _, g := range h.grants {
 		o.counts.Expired++
-		o.end(now, g, Result{})
+		o.endGrant(now, g, Result{})
 	}
 }
 
-func (o *owner) forgetAsks(h *holder) {
+func (o *owner) dropRequests(h *holder) {
 	for _, e := range h.entries {
 		o.counts.Expired++
-		o.dropEntry(e)
+		o.removeEntry(e)
 	}
 }
 
-// ended drops the asks of a life that is over. Its grants stay until GrantTTL has
-// passed: an engine may go on with a broken stream, so that it can be resumed.
-func (o *owner) ended(over func(domain.Member) bool) {
+// dropEndedRequests drops the requests of incarnations that have ended. Their grants
+// stay until GrantTTL has passed: an engine may still be working on a broken stream, so
+// that it can be resumed.
+func (o *owner) dropEndedRequests(over func(domain.Member) bool) {
 	for _, p := range o.pools {
 		for _, h := range p.holders {
 			if len(h.entries) > 0 && over(h.member) {
-				o.forgetAsks(h)
+				o.dropRequests(h)
 			}
 		}
 	}
 }
 
-// considerAll looks after the asks that would be late, in order; refusing one
-// brings those behind it forward. A tier in which more wait than scanShare is
-// looked at in proportionately fewer ticks.
-func (o *owner) considerAll(now time.Time) {
+// reviewAll reviews the requests that would be late, in queue order; refusing one moves
+// up those behind it. A tier with more requests than maxScannedPerTick is examined in
+// proportionately fewer ticks.
+func (o *owner) reviewAll(now time.Time) {
 	o.ticks++
 	var late []*entry
 	for tier, waiting := range o.queue.Tiers() {
-		if o.ticks%uint64(1+waiting/scanShare) != 0 {
+		if o.ticks%uint64(1+waiting/maxScannedPerTick) != 0 {
 			continue
 		}
 		for item, ahead := range o.queue.TierPositions(tier) {
@@ -85,7 +87,7 @@
 	}
 	for _, e := range late {
 		if e.item.Waiting() {
-			o.consider(now, e, o.queue.Ahead(&e.item))
+			o.review(now, e, o.queue.Ahead(&e.item))
 		}
 	}
 }
@@ -94,15 +96,15 @@
 	for g := range o.revoking {
 		if now.Sub(g.notifiedAt) >= o.options.RevokeInterval {
 			g.notifiedAt = now
-			o.send(g.holder, g.pool, ruling{ID: g.id, Verdict: verdictRevoked})
+			o.send(g.holder, g.pool, decision{ID: g.id, Kind: decisionRevoked})
 		}
 	}
 }
 
-// setLeaving notes a node's word about an endpoint. It counts until it is taken
-// back or not repeated.
+// setLeaving sets or removes a node's mark on a leaving endpoint. A mark that is not
+// repeated expires after GrantTTL.
 func (o *owner) setLeaving(now time.Time, from domain.NodeID, id domain.EndpointID, leaving bool) {
-	p, ok := o.places[id]
+	p, ok := o.endpoints[id]
 	if !ok {
 		return
 	}
@@ -115,11 +117,11 @@
 		delete(p.leavingBy, from)
 	}
 	p.refresh()
-	o.place(now)
+	o.schedule(now)
 }
 
 func (o *owner) expireLeaving(now time.Time) {
-	for _, p := range o.places {
+	for _, p := range o.endpoints {
 		if len(p.leavingBy) == 0 {
 			continue
 		}
--- a/capacity/pool.go
+++ b/capacity/pool.go
@@ -6,80 +6,80 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// holdWeight is the weight of a new value in the mean time that places are held.
-const holdWeight = 0.05
+// holdTimeWeight is the weight of a new value in the moving average of hold times.
+const holdTimeWeight = 0.05
 
 // pool is one pool at its owner.
 type pool struct {
 	name domain.PoolName
-	// places are the endpoints that serve it, sorted by identifier.
-	places  []*place
-	holders map[lifeOf]*holder
-	// remote is true if other data centres serve it too.
-	remote bool
-	// waiting counts asks, granted counts grants at its places.
+	// endpoints are the endpoints that serve the pool, sorted by identifier.
+	endpoints []*ownedEndpoint
+	holders   map[memberKey]*holder
+	// servedElsewhere is true if other data centres serve the pool too.
+	servedElsewhere bool
+	// waiting counts queued requests, granted counts grants at the pool's endpoints.
 	waiting int
 	granted int
-	// inService counts places that take grants, open those that have room for
+	// inService counts endpoints that take grants, available those that have room for
 	// another request.
 	inService int
-	open      int
-	// held is the mean time that a place is held; zero if unknown.
-	held time.Duration
-	// missRound and misses count the asks passed over in the current search.
-	missRound uint64
-	misses    int
-	// reservedRound is the last search in which a place was kept for an ask that
-	// needs more tokens than are free.
+	available int
+	// meanHoldTime is the mean time for which a slot is held; zero if unknown.
+	meanHoldTime time.Duration
+	// skipRound and skipped count the requests skipped in the current scheduling round.
+	skipRound uint64
+	skipped   int
+	// reservedRound is the last scheduling round in which an endpoint was reserved for
+	// a request that needs more tokens than are free.
 	reservedRound uint64
 }
 
 func newPool(name domain.PoolName) *pool {
-	return &pool{name: name, holders: make(map[lifeOf]*holder)}
+	return &pool{name: name, holders: make(map[memberKey]*holder)}
 }
 
-// holder returns the account of a member, a new one if need be.
+// holder returns the records of a member and creates them if necessary.
 func (p *pool) holder(member domain.Member, now time.Time) *holder {
-	life := lifeOfMember(member)
-	h, ok := p.holders[life]
+	key := keyOfMember(member)
+	h, ok := p.holders[key]
 	if !ok {
 		h = newHolder(member)
-		p.holders[life] = h
+		p.holders[key] = h
 	}
 	h.heard = now
 	return h
 }
 
-// observeHold adds a time that a place was held to the mean.
+// observeHold adds a hold time to the mean.
 func (p *pool) observeHold(d time.Duration) {
-	if p.held == 0 {
-		p.held = d
+	if p.meanHoldTime == 0 {
+		p.meanHoldTime = d
 		return
 	}
-	p.held += time.Duration(holdWeight * float64(d-p.held))
+	p.meanHoldTime += time.Duration(holdTimeWeight * float64(d-p.meanHoldTime))
 }
 
-// wait estimates the time until a place is free for an ask with so many others
-// ahead of it: places are freed one in held/granted.
-func (p *pool) wait(ahead int) time.Duration {
-	if p.held == 0 || p.granted == 0 {
+// estimateWait estimates the time until a slot is free for a request with that many
+// others ahead of it: one slot is released every meanHoldTime/granted.
+func (p *pool) estimateWait(ahead int) time.Duration {
+	if p.meanHoldTime == 0 || p.granted == 0 {
 		return 0
 	}
-	return time.Duration(float64(p.held) * float64(ahead+1) / float64(p.granted))
+	return time.Duration(float64(p.meanHoldTime) * float64(ahead+1) / float64(p.granted))
 }
 
-// miss counts an ask passed over in the search.
-func (p *pool) miss(round uint64) {
-	if p.missRound != round {
-		p.missRound, p.misses = round, 0
+// skip counts a request skipped in the scheduling round.
+func (p *pool) skip(round uint64) {
+	if p.skipRound != round {
+		p.skipRound, p.skipped = round, 0
 	}
-	p.misses++
+	p.skipped++
 }
 
-// missed returns the number of asks passed over in the search.
-func (p *pool) missed(round uint64) int {
-	if p.missRound != round {
+// skippedIn returns the number of requests skipped in the scheduling round.
+func (p *pool) skippedIn(round uint64) int {
+	if p.skipRound != round {
 		return 0
 	}
-	return p.misses
+	return p.skipped
 }
--- a/capacity/poolunion.go
+++ b/capacity/poolunion.go
@@ -8,11 +8,11 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// poolUnion joins the pools of a data centre that share endpoints (disjoint
-// sets with path halving).
+// poolUnion groups the pools of a data centre that share endpoints, using disjoint sets
+// with path halving.
 type poolUnion struct {
 	parent map[domain.PoolName]domain.PoolName
-	// first is the pool that an endpoint was first seen in.
+	// first is the first pool added for an endpoint.
 	first map[domain.EndpointID]domain.PoolName
 	rows  map[domain.EndpointID]*config.EndpointRow
 }
@@ -38,8 +38,8 @@
 	u.join(pool, other)
 }
 
-// join makes the alphabetically first root the common one, so that the group's
-// name does not depend on the order of calls.
+// join merges two groups. The alphabetically first root becomes the common one, so that
+// the group's name does not depend on the order of calls.
 func (u *poolUnion) join(a, b domain.PoolName) {
 	a, b = u.find(a), u.find(b)
 	if a == b {
@@ -59,10 +59,10 @@
 	return pool
 }
 
-func (u *poolUnion) centre() *centre {
-	c := &centre{
-		groupOf: make(map[domain.PoolName]groupName, len(u.parent)),
-		groups:  make(map[groupName]*groupLayout),
+func (u *poolUnion) layout() *dataCentreLayout {
+	c := &dataCentreLayout{
+		groupOf: make(map[domain.PoolName]poolGroup, len(u.parent)),
+		groups:  make(map[poolGroup]*groupLayout),
 	}
 	for _, pool := range slices.Sorted(maps.Keys(u.parent)) {
 		name := u.find(pool)
--- a/capacity/progress.go
+++ b/capacity/progress.go
@@ -6,9 +6,8 @@
 	"slices"
 )
 
-// progressCode is a grant's progress in coarse steps, so that few renewals carry
-// it: not dispatched, dispatched, first token, then each doubling from
-// progressStep tokens.
+// progressCode is a grant's progress in coarse steps, so that few renewals carry it:
+// not dispatched, dispatched, first token, then each doubling from progressStep tokens.
 type progressCode uint8
 
 const (
@@ -18,12 +17,12 @@
 	progressSteps
 )
 
-// progressStep is the number of answer tokens of the first step after the first
-// token.
+// progressStep is the number of answer tokens of the first step after the first token.
 const progressStep = 64
 
-// codeOf returns the code of a number of answer tokens of a dispatched request.
-func codeOf(tokens int) progressCode {
+// progressCodeOf returns the code for the number of answer tokens of a dispatched
+// request.
+func progressCodeOf(tokens int) progressCode {
 	switch {
 	case tokens <= 0:
 		return progressDispatched
@@ -46,14 +45,14 @@
 	}
 }
 
-// progressChange is a grant's new code.
+// progressChange is a grant's new progress.
 type progressChange struct {
-	id   askID
+	id   requestID
 	code progressCode
 }
 
-// encodeProgress returns the changes, sorted by identifier, as differences and
-// codes.
+// encodeProgress returns the changes sorted by identifier, each as the difference to
+// the previous identifier and the code.
 func encodeProgress(changes []progressChange) []byte {
 	slices.SortFunc(changes, func(a, b progressChange) int {
 		if a.id < b.id {
@@ -62,7 +61,7 @@
 		return 1
 	})
 	var out []byte
-	var last askID
+	var last requestID
 	for _, c := range changes {
 		out = binary.AppendUvarint(out, uint64(c.id-last))
 		out = append(out, byte(c.code))
@@ -74,13 +73,13 @@
 // decodeProgress is the inverse of encodeProgress.
 func decodeProgress(data []byte) ([]progressChange, error) {
 	var changes []progressChange
-	var last askID
+	var last requestID
 	for len(data) > 0 {
 		difference, n := binary.Uvarint(data)
 		if n <= 0 || len(data) <= n {
-			return nil, errIDList
+			return nil, errMalformedIDList
 		}
-		last += askID(difference)
+		last += requestID(difference)
 		changes = append(changes, progressChange{id: last, code: progressCode(data[n])})
 		data = data[n+1:]
 	}
--- a/capacity/renewals.go
+++ b/capacity/renewals.go
@@ -8,10 +8,9 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// registerChunk is the most records in one message.
-const registerChunk = 256
+const maxRecordsPerMessage = 256
 
-// renew tells every owner, in one message each, what this node holds of it.
+// renew sends every owner one message that summarises what this node holds there.
 func (s *Service) renew() {
 	for _, r := range s.renewals() {
 		if r.owner.SameLife(s.self) {
@@ -29,7 +28,6 @@
 	links []linkRenewal
 }
 
-// message returns what is sent.
 func (r *ownerRenewal) message() renewal {
 	m := renewal{Pools: make([]poolRenewal, len(r.links))}
 	for i := range r.links {
@@ -38,26 +36,27 @@
 	return m
 }
 
-// unreported has the progress sent again, since the message may be lost.
-func (r *ownerRenewal) unreported() {
+// resetReported causes the progress to be sent again, since the message may have been
+// lost.
+func (r *ownerRenewal) resetReported() {
 	for i := range r.links {
-		r.links[i].link.unreported()
+		r.links[i].link.resetReported()
 	}
 }
 
-// renewals gathers the renewals by owner, in the order of the links.
+// renewals groups the links' renewals by owner, in the order of the links.
 func (s *Service) renewals() []*ownerRenewal {
 	var all []*ownerRenewal
-	byOwner := make(map[lifeOf]*ownerRenewal)
+	byOwner := make(map[memberKey]*ownerRenewal)
 	for _, l := range s.links.all() {
 		r, ok := l.renewal()
 		if !ok {
 			continue
 		}
-		found, ok := byOwner[lifeOfMember(r.owner)]
+		found, ok := byOwner[keyOfMember(r.owner)]
 		if !ok {
 			found = &ownerRenewal{owner: r.owner}
-			byOwner[lifeOfMember(r.owner)] = found
+			byOwner[keyOfMember(r.owner)] = found
 			all = append(all, found)
 		}
 		found.links = append(found.links, r)
@@ -68,8 +67,8 @@
 func (s *Service) renewWith(ctx context.Context, r *ownerRenewal) {
 	reply, err := call(ctx, s, r.owner, s.options.CallTimeout, methodRenew, r.message(), s.serveRenew)
 	if err != nil {
-		s.counts.unreachable.Inc()
-		r.unreported()
+		s.counts.ownerUnreachable.Inc()
+		r.resetReported()
 		return
 	}
 	for i := range r.links {
@@ -77,34 +76,34 @@
 	}
 }
 
-// reconcile settles what a renewal's reply says of one pool.
+// reconcile handles what a renewal's reply says about one pool.
 func (s *Service) reconcile(ctx context.Context, r *linkRenewal, reply *renewalReply) {
 	pool := r.link.key.pool
 	if slices.Contains(reply.Differ, pool) {
 		s.list(ctx, r.link, r.owner)
 		return
 	}
-	for i := range reply.Moved {
-		if reply.Moved[i].Pool == pool {
-			s.moved(ctx, r.link, reply.Moved[i].Owner)
+	for i := range reply.Redirected {
+		if reply.Redirected[i].Pool == pool {
+			s.followOwner(ctx, r.link, reply.Redirected[i].Owner)
 			return
 		}
 	}
-	r.link.agreed(r.changes)
+	r.link.confirm(r.changes)
 }
 
-func (s *Service) moved(ctx context.Context, l *link, owner domain.Member) {
-	if l.follow(owner, time.Now()) {
+func (s *Service) followOwner(ctx context.Context, l *link, owner domain.Member) {
+	if l.redirect(owner, time.Now()) {
 		s.registerAll(ctx, l)
 	}
 }
 
-// list names all that this node holds to the owner, and registers what the owner
-// does not know.
+// list sends the owner the identifiers of all that this node holds, and registers what
+// the owner does not know.
 func (s *Service) list(ctx context.Context, l *link, owner domain.Member) {
-	s.counts.lists.Inc()
-	grants, asks := l.names()
-	request := listRequest{Pool: l.key.pool, Grants: encodeIDs(grants), Asks: encodeIDs(asks)}
+	s.counts.listings.Inc()
+	grants, waiting := l.ids()
+	request := listRequest{Pool: l.key.pool, Grants: encodeIDs(grants), Requests: encodeIDs(waiting)}
 	local := func(from domain.Member, r *listRequest) listReply {
 		reply, _ := s.serveList(from, r)
 		return reply
@@ -120,14 +119,14 @@
 	s.registerRecords(ctx, l, l.records(unknown, time.Now()))
 }
 
-// registerAll tells the link's owner in full of all that this node holds.
+// registerAll registers all that this node holds with the link's owner.
 func (s *Service) registerAll(ctx context.Context, l *link) {
 	s.registerRecords(ctx, l, l.records(nil, time.Now()))
 }
 
 func (s *Service) registerRecords(ctx context.Context, l *link, records []record) {
 	for len(records) > 0 {
-		n := min(len(records), registerChunk)
+		n := min(len(records), maxRecordsPerMessage)
 		if !s.registerSome(ctx, l, records[:n]) {
 			return
 		}
@@ -135,43 +134,44 @@
 	}
 }
 
-// registerSome sends one message. It reports whether the owner took it.
+// registerSome sends one message. It reports whether the owner accepted it.
 func (s *Service) registerSome(ctx context.Context, l *link, records []record) bool {
-	owner, known := l.current()
+	owner, known := l.currentOwner()
 	if !known {
 		return false
 	}
 	request := registerRequest{Pool: l.key.pool, Records: records}
 	reply, err := call(ctx, s, owner, s.options.CallTimeout, methodRegister, request, s.serveRegister)
 	if err != nil {
-		l.failAsks(records)
+		l.failQueued(records)
 		return false
 	}
 	if reply.Owner != nil {
-		l.follow(*reply.Owner, time.Now())
-		l.failAsks(records)
+		l.redirect(*reply.Owner, time.Now())
+		l.failQueued(records)
 		return false
 	}
-	s.noticed(owner, notice{Pool: l.key.pool, Rulings: reply.Rulings})
+	s.handleNotice(owner, notice{Pool: l.key.pool, Decisions: reply.Decisions})
 	return true
 }
 
-// failAsks marks the waiting ones of the records, so that they are asked for anew.
-func (l *link) failAsks(records []record) {
+// failQueued fails the queued requests among the records, so that their callers send
+// them again.
+func (l *link) failQueued(records []record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range records {
-		if h, ok := l.holds[records[i].ID]; ok {
-			h.fail()
+		if h, ok := l.handles[records[i].ID]; ok {
+			h.failLocked()
 		}
 	}
 }
 
-// rehome registers what this node holds with owners that are new.
-func (s *Service) rehome() {
-	view := s.current()
+// registerWithNewOwners registers what this node holds with owners that have changed.
+func (s *Service) registerWithNewOwners() {
+	view := s.currentLayout()
 	for _, l := range s.links.all() {
-		if l.look(view) {
+		if l.updateOwner(view) {
 			s.background(func(ctx context.Context) { s.registerAll(ctx, l) })
 		}
 	}
--- a/capacity/revocation.go
+++ b/capacity/revocation.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// victimSample is the most grants of a tier looked at per endpoint, the newest
-	// first, because these have lost least.
-	victimSample = 8
-	// victimsSeen is about the most looked at over all endpoints of a pool.
-	victimsSeen = 256
+	// maxVictimsPerTier is the most grants of a tier examined per endpoint, the newest
+	// first, because these lose the least work.
+	maxVictimsPerTier = 8
+	// maxVictimsScanned is about the most grants examined over all endpoints of a pool.
+	maxVictimsScanned = 256
 )
 
-// plan is a set of grants at one place whose revocation makes room for an ask.
-type plan struct {
-	place   *place
-	victims []*grant
+// revocationPlan is a set of grants at one endpoint whose revocation makes room for a
+// request.
+type revocationPlan struct {
+	endpoint *ownedEndpoint
+	victims  []*grant
 	// tier is the highest tier among the victims.
 	tier domain.Tier
-	loss loss
+	cost revocationCost
 }
 
-// better reports whether the plan is to be preferred: it spares higher tiers,
-// then loses least.
-func (p *plan) better(o *plan) bool {
+// better reports whether the plan is preferable: it spares higher tiers, then loses the
+// least work.
+func (p *revocationPlan) better(o *revocationPlan) bool {
 	if o == nil {
 		return true
 	}
 	if p.tier != o.tier {
 		return o.tier.Above(p.tier)
 	}
-	return p.loss.less(o.loss)
+	return p.cost.less(o.cost)
 }
 
-// revokeFor revokes grants of the lowest tier below the ask's, so many that it
-// fits. It reports whether there were any.
+// revokeFor revokes as many grants below the request's tier, the lowest tier first, as
+// it needs to fit. It reports whether there were any to revoke.
 func (o *owner) revokeFor(now time.Time, e *entry) bool {
-	best := o.victims(now, e)
+	best := o.planRevocation(now, e)
 	if best == nil {
 		return false
 	}
@@ -52,44 +53,44 @@
 	return true
 }
 
-// revoke takes a grant back.
 func (o *owner) revoke(now time.Time, g *grant) {
-	g.place.revoke(g, now)
+	g.endpoint.revoke(g, now)
 	o.revoking[g] = struct{}{}
 	o.counts.Revoked++
-	o.bound()
-	o.send(g.holder, g.pool, ruling{ID: g.id, Verdict: verdictRevoked})
+	o.updateQueueLimit()
+	o.send(g.holder, g.pool, decision{ID: g.id, Kind: decisionRevoked})
 }
 
-// prospect is a place that holds a grant to revoke, with the least loss there.
-type prospect struct {
-	place *place
-	tier  domain.Tier
-	loss  loss
+// revocationProspect is an endpoint with a revocable grant, and the least cost of
+// revoking one there.
+type revocationProspect struct {
+	endpoint *ownedEndpoint
+	tier     domain.Tier
+	cost     revocationCost
 }
 
-// compare orders prospects: the lowest tier first, then the least loss.
-func (p prospect) compare(o prospect) int {
+// compare orders prospects: the lowest tier first, then the least cost.
+func (p revocationProspect) compare(o revocationProspect) int {
 	switch {
 	case p.tier != o.tier:
 		return int(o.tier) - int(p.tier)
-	case p.loss.less(o.loss):
+	case p.cost.less(o.cost):
 		return -1
-	case o.loss.less(p.loss):
+	case o.cost.less(p.cost):
 		return 1
 	default:
 		return 0
 	}
 }
 
-// victims returns the plan for the ask, or nil if there is none: at the place
-// whose first victim is of the lowest tier and loses least, unless making room
-// there reaches into a higher tier than at another one.
-func (o *owner) victims(now time.Time, e *entry) *plan {
-	o.gather(now, e)
-	var best *plan
+// planRevocation returns the plan for the request, or nil if there is none. It takes
+// the endpoint whose first victim is of the lowest tier and costs least, unless making
+// room there reaches into a higher tier than at another endpoint.
+func (o *owner) planRevocation(now time.Time, e *entry) *revocationPlan {
+	o.collectProspects(now, e)
+	var best *revocationPlan
 	for _, p := range o.prospects {
-		candidate := p.place.planFor(now, e)
+		candidate := p.endpoint.planFor(now, e)
 		if candidate == nil {
 			continue
 		}
@@ -103,24 +104,24 @@
 	return best
 }
 
-// gather collects the places that hold a grant below the ask's tier, best first.
-// The more places there are, the fewer grants it looks at in each.
-func (o *owner) gather(now time.Time, e *entry) {
+// collectProspects collects the endpoints that hold a grant below the request's tier,
+// best first. The more endpoints there are, the fewer grants are examined at each.
+func (o *owner) collectProspects(now time.Time, e *entry) {
 	o.prospects = o.prospects[:0]
-	sample := min(max(victimsSeen/max(len(e.pool.places), 1), 1), victimSample)
-	for _, p := range e.pool.places {
-		tier, ok := p.lowest()
-		if !ok || !p.serving || !e.ask.Tier.Above(tier) {
+	sample := min(max(maxVictimsScanned/max(len(e.pool.endpoints), 1), 1), maxVictimsPerTier)
+	for _, p := range e.pool.endpoints {
+		tier, ok := p.lowestRevocable()
+		if !ok || !p.inService || !e.request.Tier.Above(tier) {
 			continue
 		}
 		g := p.tier(tier).cheapest(now, nil, sample)
-		o.prospects = append(o.prospects, prospect{p, tier, g.loss(now)})
+		o.prospects = append(o.prospects, revocationProspect{p, tier, g.revocationCost(now)})
 	}
-	slices.SortFunc(o.prospects, prospect.compare)
+	slices.SortFunc(o.prospects, revocationProspect.compare)
 }
 
-// planFor returns the grants at this place to revoke for the ask, or nil.
-func (p *place) planFor(now time.Time, e *entry) *plan {
+// planFor returns the grants at this endpoint to revoke for the request, or nil.
+func (p *ownedEndpoint) planFor(now time.Time, e *entry) *revocationPlan {
 	count := max(p.state.Requests-p.state.Limit+1, 0)
 	tokens := 0
 	if p.state.TokenLimit > 0 {
@@ -129,13 +130,13 @@
 	if count == 0 && tokens <= 0 {
 		count = 1
 	}
-	result := &plan{place: p}
+	result := &revocationPlan{endpoint: p}
 	for _, t := range slices.Backward(p.tiers) {
-		if !e.ask.Tier.Above(t.rank) {
+		if !e.request.Tier.Above(t.rank) {
 			break
 		}
 		for count > 0 || tokens > 0 {
-			g := t.cheapest(now, result.victims, victimSample)
+			g := t.cheapest(now, result.victims, maxVictimsPerTier)
 			if g == nil {
 				break
 			}
@@ -150,29 +151,29 @@
 	return result
 }
 
-// suffices reports whether the plan makes room: nothing is lacking, or the place
+// suffices reports whether the plan makes room: nothing is lacking, or the endpoint
 // would be empty.
-func (p *place) suffices(result *plan, count, tokens int) bool {
+func (p *ownedEndpoint) suffices(result *revocationPlan, count, tokens int) bool {
 	return (count <= 0 && tokens <= 0) || len(result.victims) == p.state.Requests
 }
 
-func (p *plan) add(now time.Time, g *grant) {
+func (p *revocationPlan) add(now time.Time, g *grant) {
 	p.victims = append(p.victims, g)
-	p.tier = g.ask.Tier
-	p.loss = p.loss.plus(g.loss(now))
+	p.tier = g.request.Tier
+	p.cost = p.cost.plus(g.revocationCost(now))
 }
 
-// cheapest returns the grant whose revocation loses least, among the newest that
-// are neither revoked nor in the plan.
+// cheapest returns the grant whose revocation costs least, among the newest that are
+// neither revoked nor in the plan.
 func (t *tierGrants) cheapest(now time.Time, planned []*grant, sample int) *grant {
 	var best *grant
-	var least loss
+	var least revocationCost
 	seen := 0
 	for _, g := range slices.Backward(t.grants) {
 		if g.revoked() || slices.Contains(planned, g) {
 			continue
 		}
-		if l := g.loss(now); best == nil || l.less(least) {
+		if l := g.revocationCost(now); best == nil || l.less(least) {
 			best, least = g, l
 		}
 		if seen++; seen == sample {
--- a/capacity/service.go
+++ b/capacity/service.go
@@ -12,69 +12,69 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Service is a node's part in sharing capacity: the client of its own requests,
-// and the owner of those pools of its data centre that fall to it. It is safe
-// for concurrent use.
+// Service is a node's part in sharing capacity: the client for its own requests, and
+// the owner of those pools of its data centre that are assigned to it. It is safe for
+// concurrent use.
 type Service struct {
 	options   Options
 	transport peer.Transport
 	self      domain.Member
 	layout    atomic.Pointer[layout]
-	// layoutMu is held while the layout and the cells change.
+	// layoutMu is held while the layout and the owners change.
 	layoutMu sync.Mutex
-	// cells are the pool groups that this node owns; the map is replaced, never
-	// changed.
-	cells   atomic.Pointer[map[groupName]*cell]
+	// owners are the pool groups that this node owns; the map is replaced, never
+	// modified.
+	owners  atomic.Pointer[map[poolGroup]*lockedOwner]
 	links   linkTable
 	lastID  atomic.Uint64
 	leaving leavingSet
 	quotes  quoteCache
 	counts  serviceCounts
-	// changed has a value when the layout has changed.
-	changed chan struct{}
-	base    context.Context
-	stop    context.CancelFunc
-	tasks   sync.WaitGroup
-	// tasksMu keeps tasks from beginning after the end.
+	// layoutChanged receives a value when the layout has changed.
+	layoutChanged chan struct{}
+	base          context.Context
+	stop          context.CancelFunc
+	tasks         sync.WaitGroup
+	// tasksMu prevents tasks from starting after shutdown.
 	tasksMu sync.Mutex
 }
 
 var _ Client = (*Service)(nil)
 
-// cell is an owner with its lock.
-type cell struct {
+// lockedOwner is an owner with its lock.
+type lockedOwner struct {
 	mu    sync.Mutex
 	owner *owner
-	// collecting is true while holders are asked for what they hold.
-	collecting bool
-	// lost is true once this node does not own the group any more.
+	// isCollecting is true while holders are asked for what they hold.
+	isCollecting bool
+	// lost is true once this node no longer owns the group.
 	lost bool
 }
 
-// New registers the service's handlers with the transport, which must not have
-// started, and returns the service. Run must be called for it to work.
+// New returns a service and registers its handlers with the transport, which must not
+// have started. Run must be called for the service to work.
 func New(options Options) *Service {
 	s := &Service{
-		options:   options.withDefaults(),
-		transport: options.Transport,
-		self:      options.Transport.Self(),
-		changed:   make(chan struct{}, 1),
+		options:       options.withDefaults(),
+		transport:     options.Transport,
+		self:          options.Transport.Self(),
+		layoutChanged: make(chan struct{}, 1),
 	}
 	s.base, s.stop = context.WithCancel(context.Background())
-	s.cells.Store(&map[groupName]*cell{})
+	s.owners.Store(&map[poolGroup]*lockedOwner{})
 	s.links.links = make(map[linkKey]*link)
 	s.leaving.endpoints = make(map[domain.EndpointID]struct{})
 	s.quotes.quotes = make(map[quoteKey]cachedQuotes)
-	s.handle()
-	s.register()
+	s.registerHandlers()
+	s.registerMetrics()
 	return s
 }
 
-// Run does the service's periodic work until the context ends, then ends what it
-// has begun.
+// Run does the service's periodic work until the context ends, then stops its
+// background tasks.
 func (s *Service) Run(ctx context.Context) error {
 	defer s.tasks.Wait()
-	defer s.end()
+	defer s.shutDown()
 	tick := time.NewTicker(s.options.Tick)
 	defer tick.Stop()
 	renew := time.NewTicker(s.options.RenewInterval)
@@ -83,8 +83,8 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.changed:
-			s.rehome()
+		case <-s.layoutChanged:
+			s.registerWithNewOwners()
 		case <-tick.C:
 			s.tick()
 		case <-renew.C:
@@ -93,59 +93,59 @@
 	}
 }
 
-// tick looks for changes of the layout and gives every owner its tick.
+// tick checks for changes of the layout and calls every owner's tick.
 func (s *Service) tick() {
-	s.current()
-	for _, c := range *s.cells.Load() {
-		out, overslept := c.tick()
+	s.currentLayout()
+	for _, c := range *s.owners.Load() {
+		out, missed := c.tick()
 		s.deliver(out)
-		if overslept {
+		if missed {
 			s.collect(c)
 		}
 	}
 }
 
-// tick gives the owner its tick. If ticks have been missed for long, the owner
-// grants nothing until the holders have been asked again.
-func (c *cell) tick() (out []outgoing, overslept bool) {
+// tick calls the owner's tick. If ticks were missed for long, the owner grants nothing
+// until the holders have been asked again.
+func (c *lockedOwner) tick() (out []outgoing, missed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lost {
 		return nil, false
 	}
 	now := time.Now()
-	overslept = c.owner.overslept(now)
-	if overslept {
-		c.owner.unsettle()
+	missed = c.owner.missedTicks(now)
+	if missed {
+		c.owner.resetSettled()
 	}
 	c.owner.tick(now)
-	return c.owner.takeOut(), overslept
+	return c.owner.takeOut(), missed
 }
 
-// current returns the layout in force, computed anew if the configuration or the
-// members have changed.
-func (s *Service) current() *layout {
+// currentLayout returns the layout, recomputed if the configuration or the members have
+// changed.
+func (s *Service) currentLayout() *layout {
 	l := s.layout.Load()
 	if l != nil && l.config == s.options.Config.Current() && l.members == s.options.Membership.Current() {
 		return l
 	}
-	return s.refresh()
+	return s.refreshLayout()
 }
 
-// refresh computes the layout and brings the cells in line with it. What that
-// sends is sent after the lock is given up.
-func (s *Service) refresh() *layout {
-	l, out, begun := s.advance()
+// refreshLayout recomputes the layout and updates the owners. The resulting messages
+// are sent after the lock is released.
+func (s *Service) refreshLayout() *layout {
+	l, out, started := s.updateLayout()
 	s.deliver(out)
-	for _, c := range begun {
+	for _, c := range started {
 		s.collect(c)
 	}
 	return l
 }
 
-// advance puts a new layout in force. It returns it with the rulings to send and
-// the cells that have begun.
-func (s *Service) advance() (*layout, []outgoing, []*cell) {
+// updateLayout applies a new layout. It returns it with the decisions to send and the
+// owners that were started.
+func (s *Service) updateLayout() (*layout, []outgoing, []*lockedOwner) {
 	s.layoutMu.Lock()
 	defer s.layoutMu.Unlock()
 	old := s.layout.Load()
@@ -155,43 +155,43 @@
 	}
 	l := nextLayout(old, c, m)
 	s.layout.Store(l)
-	out, begun := s.own(l)
+	out, started := s.updateOwners(l)
 	select {
-	case s.changed <- struct{}{}:
+	case s.layoutChanged <- struct{}{}:
 	default:
 	}
-	return l, out, begun
+	return l, out, started
 }
 
-// own brings the cells in line with the layout.
-func (s *Service) own(l *layout) (out []outgoing, begun []*cell) {
-	before := *s.cells.Load()
-	after := make(map[groupName]*cell)
+// updateOwners starts, configures and stops owners according to the layout.
+func (s *Service) updateOwners(l *layout) (out []outgoing, started []*lockedOwner) {
+	before := *s.owners.Load()
+	after := make(map[poolGroup]*lockedOwner)
 	for _, name := range s.ownedGroups(l) {
 		c, ok := before[name]
 		if !ok {
-			c = &cell{owner: newOwner(&s.options, name, s.self.DataCentre)}
-			begun = append(begun, c)
+			c = &lockedOwner{owner: newOwner(&s.options, name, s.self.DataCentre)}
+			started = append(started, c)
 		}
 		after[name] = c
 		out = append(out, c.configure(l)...)
 	}
 	for name, c := range before {
 		if _, kept := after[name]; !kept {
-			c.lose()
+			c.markLost()
 		}
 	}
-	s.cells.Store(&after)
-	return out, begun
+	s.owners.Store(&after)
+	return out, started
 }
 
-// ownedGroups returns the pool groups that fall to this node, sorted.
-func (s *Service) ownedGroups(l *layout) []groupName {
-	centre, ok := l.centres[s.self.DataCentre]
+// ownedGroups returns the pool groups that this node owns, sorted.
+func (s *Service) ownedGroups(l *layout) []poolGroup {
+	centre, ok := l.dataCentres[s.self.DataCentre]
 	if !ok {
 		return nil
 	}
-	var names []groupName
+	var names []poolGroup
 	for name := range centre.groups {
 		if owner, ok := l.owner(s.self.DataCentre, name); ok && owner.SameLife(s.self) {
 			names = append(names, name)
@@ -201,37 +201,37 @@
 	return names
 }
 
-// configure hands a layout to the owner.
-func (c *cell) configure(l *layout) []outgoing {
+// configure applies a layout to the owner.
+func (c *lockedOwner) configure(l *layout) []outgoing {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.owner.config != l.config {
 		c.owner.configure(time.Now(), l)
 	}
-	c.owner.ended(l.over)
+	c.owner.dropEndedRequests(l.hasEnded)
 	return c.owner.takeOut()
 }
 
-// lose marks the cell as no longer owned, for those who have it in hand.
-func (c *cell) lose() {
+// markLost marks the group as no longer owned, for callers that still hold a reference.
+func (c *lockedOwner) markLost() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lost = true
 }
 
-// cell returns the owner of a pool, if it is this node.
-func (s *Service) cell(l *layout, name domain.PoolName) *cell {
-	centre, ok := l.centres[s.self.DataCentre]
+// ownerOf returns the owner of a pool if it is this node, and nil otherwise.
+func (s *Service) ownerOf(l *layout, name domain.PoolName) *lockedOwner {
+	centre, ok := l.dataCentres[s.self.DataCentre]
 	if !ok {
 		return nil
 	}
-	return (*s.cells.Load())[centre.groupOf[name]]
+	return (*s.owners.Load())[centre.groupOf[name]]
 }
 
-// withOwner calls f with the owner of a pool, under its lock, and sends what it
-// put out. If this node is not the owner it returns false.
+// withOwner calls f with the owner of a pool, under its lock, and sends the decisions
+// that result. It returns false if this node is not the owner.
 func (s *Service) withOwner(name domain.PoolName, f func(now time.Time, o *owner, p *pool)) bool {
-	c := s.cell(s.current(), name)
+	c := s.ownerOf(s.currentLayout(), name)
 	if c == nil {
 		return false
 	}
@@ -243,9 +243,9 @@
 	return ok
 }
 
-// do calls f under the lock. It returns what was put out, whether this node owns
-// the pool, and whether the holders are to be asked again.
-func (c *cell) do(name domain.PoolName, f func(now time.Time, o *owner, p *pool)) (out []outgoing, owned, again bool) {
+// do calls f under the lock. It returns the decisions to send, whether this node owns
+// the pool, and whether the holders must be asked again.
+func (c *lockedOwner) do(name domain.PoolName, f func(now time.Time, o *owner, p *pool)) (out []outgoing, owned, again bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p, ok := c.owner.pools[name]
@@ -258,18 +258,17 @@
 	return c.owner.takeOut(), true, again
 }
 
-// deliver sends rulings to their holders. A lost one is noticed by the next
-// renewal.
+// deliver sends decisions to their holders. The next renewal makes up for a lost one.
 func (s *Service) deliver(out []outgoing) {
 	for len(out) > 0 {
-		n := sameReceiver(out)
+		n := countSameRecipient(out)
 		s.sendNotice(out[0].to, noticeOf(out[:n]))
 		out = out[n:]
 	}
 }
 
-// sameReceiver counts the rulings at the head that go together.
-func sameReceiver(out []outgoing) int {
+// countSameRecipient counts the leading decisions for the same holder and pool.
+func countSameRecipient(out []outgoing) int {
 	n := 1
 	for n < len(out) && out[n].to.SameLife(out[0].to) && out[n].pool == out[0].pool {
 		n++
@@ -278,16 +277,16 @@
 }
 
 func noticeOf(out []outgoing) notice {
-	rulings := make([]ruling, len(out))
+	decisions := make([]decision, len(out))
 	for i := range out {
-		rulings[i] = out[i].ruling
+		decisions[i] = out[i].decision
 	}
-	return notice{Pool: out[0].pool, Rulings: rulings}
+	return notice{Pool: out[0].pool, Decisions: decisions}
 }
 
 func (s *Service) sendNotice(to domain.Member, n notice) {
 	if to.SameLife(s.self) {
-		s.noticed(s.self, n)
+		s.handleNotice(s.self, n)
 		return
 	}
 	if err := peer.Send(s.base, s.transport, to, methodNotice, n); err != nil {
@@ -295,14 +294,14 @@
 	}
 }
 
-// end lets no more background work begin, and stops what there is.
-func (s *Service) end() {
+// shutDown prevents new background tasks and cancels the running ones.
+func (s *Service) shutDown() {
 	s.tasksMu.Lock()
 	defer s.tasksMu.Unlock()
 	s.stop()
 }
 
-// background runs f until the service ends.
+// background runs f in a task whose context ends with the service.
 func (s *Service) background(f func(ctx context.Context)) {
 	s.tasksMu.Lock()
 	defer s.tasksMu.Unlock()
@@ -312,15 +311,14 @@
 	s.tasks.Go(func() { f(s.base) })
 }
 
-// Owned returns the endpoints of the pools that this node owns, sorted.
-// The node reads these endpoints' reports and hands them on by Report and
-// CacheEvents.
+// Owned returns the endpoints of the pools that this node owns, sorted. The node reads
+// these endpoints' reports and passes them on through Report and CacheEvents.
 func (s *Service) Owned() []domain.EndpointID {
-	s.current()
+	s.currentLayout()
 	var owned []domain.EndpointID
-	for _, c := range *s.cells.Load() {
+	for _, c := range *s.owners.Load() {
 		c.mu.Lock()
-		for id := range maps.Keys(c.owner.places) {
+		for id := range maps.Keys(c.owner.endpoints) {
 			owned = append(owned, id)
 		}
 		c.mu.Unlock()
