--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -84,7 +84,7 @@
 		AnswerBytes:    s.Retention.AnswerBytes,
 		NoticePeriod:   s.Shutdown.NoticePeriod.Duration,
 		Entry:          entry.Options{MaxBodyBytes: int64(s.Callers.MaxBodyBytes)},
-		Scheduler:      scheduler.Options{Grace: s.Callers.DisconnectGrace.Duration},
+		Scheduler:      scheduler.Options{DisconnectGrace: s.Callers.DisconnectGrace.Duration},
 		Coordinator:    coordinatorOptions(s.Orders),
 	})
 	return err
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -21,7 +21,7 @@
 // authorised returns a dispatcher before one engine, and a permit for it.
 func authorised(t *testing.T, engine endpoint.Engine, options dispatch.Options) (*dispatch.Dispatcher, *dispatch.Permit) {
 	t.Helper()
-	l := schedulertest.NewHome().For(schedulertest.Member("a"))
+	l := schedulertest.NewHome().LedgerFor(schedulertest.NewMember("a"))
 	claim, err := l.Claim(t.Context(), key, ledger.Fingerprint{})
 	assert.NilError(t, err)
 	permit, err := dispatch.Authorise(t.Context(), l, claim, "e")
@@ -54,10 +54,10 @@
 
 func TestNoPermitWithoutCommit(t *testing.T) {
 	home := schedulertest.NewHome()
-	l := home.For(schedulertest.Member("a"))
+	l := home.LedgerFor(schedulertest.NewMember("a"))
 	claim, err := l.Claim(t.Context(), key, ledger.Fingerprint{})
 	assert.NilError(t, err)
-	home.Break(schedulertest.StepCommit, schedulertest.Fault{Err: ledger.ErrUnknown, Late: true})
+	home.InjectFault(schedulertest.OpCommit, schedulertest.Fault{Err: ledger.ErrUnknown, ReplyLost: true})
 	permit, err := dispatch.Authorise(t.Context(), l, claim, "e")
 	assert.ErrorIs(t, err, ledger.ErrUnknown)
 	assert.Assert(t, permit == nil)
@@ -82,11 +82,11 @@
 		atMost   time.Duration
 		complete bool
 	}{
-		"engine away":        {schedulertest.Script{Tokens: 9, Cuts: []uint64{4}, Resume: endpoint.ErrBroken, ResumeFails: 1000}, 10 * time.Second, 13 * time.Second, false},
-		"back in time":       {schedulertest.Script{Tokens: 9, Cuts: []uint64{4}, Resume: endpoint.ErrBroken, ResumeFails: 3}, 0, 10 * time.Second, true},
-		"stream forgotten":   {schedulertest.Script{Tokens: 9, Cuts: []uint64{4}, Forget: true}, 0, time.Second, false},
-		"never arrived":      {schedulertest.Script{Start: endpoint.ErrBroken}, 2 * time.Second, 4 * time.Second, false},
-		"silent, then alive": {schedulertest.Script{Tokens: 9, Stall: 4}, 20 * time.Second, 22 * time.Second, true},
+		"engine away":        {schedulertest.Script{Tokens: 9, DisconnectAt: []uint64{4}, ResumeErr: endpoint.ErrBroken, ResumeFailures: 1000}, 10 * time.Second, 13 * time.Second, false},
+		"back in time":       {schedulertest.Script{Tokens: 9, DisconnectAt: []uint64{4}, ResumeErr: endpoint.ErrBroken, ResumeFailures: 3}, 0, 10 * time.Second, true},
+		"stream forgotten":   {schedulertest.Script{Tokens: 9, DisconnectAt: []uint64{4}, ForgetOnDisconnect: true}, 0, time.Second, false},
+		"never arrived":      {schedulertest.Script{StartErr: endpoint.ErrBroken}, 2 * time.Second, 4 * time.Second, false},
+		"silent, then alive": {schedulertest.Script{Tokens: 9, StallAt: 4}, 20 * time.Second, 22 * time.Second, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/entry/badinput_test.go
+++ b/entry/badinput_test.go
@@ -87,7 +87,7 @@
 		})
 	}
 	assert.Equal(t, len(d.engine.Started()), 0)
-	assert.Equal(t, len(d.capacity.Asks()), 0)
+	assert.Equal(t, len(d.capacity.Requests()), 0)
 }
 
 // unsized hides the length of a request's body.
@@ -137,7 +137,7 @@
 func TestProblemOfAnEnd(t *testing.T) {
 	refusal := func(err error) func(*deployment) {
 		return func(d *deployment) {
-			d.capacity.Refuse(&capacity.Refusal{Err: err, RetryAfter: 1500 * time.Millisecond})
+			d.capacity.SetError(&capacity.Refusal{Err: err, RetryAfter: 1500 * time.Millisecond})
 		}
 	}
 	tests := map[string]struct {
@@ -150,9 +150,9 @@
 	}{
 		"shed":        {fault: refusal(capacity.ErrShed), status: 503, retry: "2", outcome: domain.OutcomeNotRun, code: answer.CodeShed},
 		"quarantined": {fault: refusal(capacity.ErrQuarantined), status: 422, retry: "2", outcome: domain.OutcomeNotRun, code: answer.CodeQuarantined},
-		"broken":      {script: schedulertest.Script{Tokens: 9, Cuts: []uint64{0}, Forget: true}, status: 502, outcome: domain.OutcomeRan, code: answer.CodeBroken},
+		"broken":      {script: schedulertest.Script{Tokens: 9, DisconnectAt: []uint64{0}, ForgetOnDisconnect: true}, status: 502, outcome: domain.OutcomeRan, code: answer.CodeBroken},
 		"home away": {fault: func(d *deployment) {
-			d.home.Break(schedulertest.StepClaim, schedulertest.Fault{Err: ledger.ErrUnknown})
+			d.home.InjectFault(schedulertest.OpClaim, schedulertest.Fault{Err: ledger.ErrUnknown})
 		}, status: 503, retry: "1", outcome: domain.OutcomeUnknown, code: answer.CodeHistoryUnknown},
 	}
 	for name, test := range tests {
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -91,8 +91,8 @@
 	sessions, err := session.NewAuthority([][]byte{[]byte(strings.Repeat("s", 32))}, 0)
 	assert.NilError(b, err)
 	network := peertest.NewNetwork()
-	link := network.Node(schedulertest.Member("a"))
-	world := schedulertest.World{
+	link := network.Node(schedulertest.NewMember("a"))
+	world := schedulertest.Cluster{
 		Home:      schedulertest.NewHome(),
 		Capacity:  places,
 		Endpoints: schedulertest.Endpoints{Engines: map[domain.EndpointID]endpoint.Engine{"e": engine}},
--- a/entry/call.go
+++ b/entry/call.go
@@ -67,14 +67,14 @@
 	path := pathAtService(r, service.Name)
 	print := fingerprint([]byte(service.Name), []byte(r.Method), []byte(path), body.describe())
 	return scheduler.Request{
-		Key:          id.key,
-		Minted:       id.minted,
-		Organisation: who.organisation,
-		Pool:         domain.ServicePool(service.Name),
-		Fingerprint:  print,
-		Content:      binary.LittleEndian.Uint64(print[:]),
-		Deadline:     deadline,
-		NoReturn:     id.minted,
+		Key:                id.key,
+		GeneratedKey:       id.minted,
+		Organisation:       who.organisation,
+		Pool:               domain.ServicePool(service.Name),
+		Fingerprint:        print,
+		ContentHash:        binary.LittleEndian.Uint64(print[:]),
+		Deadline:           deadline,
+		CancelOnDisconnect: id.minted,
 		Call: &endpoint.ServiceRequest{
 			Method: r.Method,
 			Path:   path,
--- a/entry/callers_test.go
+++ b/entry/callers_test.go
@@ -100,7 +100,7 @@
 
 func TestErrorAfterTheFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDeployment(t, schedulertest.Script{Tokens: 9, Interval: time.Second, Cuts: []uint64{2}, Forget: true}, scheduler.Options{}, entry.Options{})
+		d := newDeployment(t, schedulertest.Script{Tokens: 9, Interval: time.Second, DisconnectAt: []uint64{2}, ForgetOnDisconnect: true}, scheduler.Options{}, entry.Options{})
 		defer d.close()
 		w := d.do("a", ask("POST", chatPath, chatBody, "Idempotency-Key", "k"))
 		body := w.Body.String()
@@ -172,7 +172,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const tokens = 2000
 		bound := 64 << 10
-		d := newDeployment(t, schedulertest.Script{Tokens: tokens, Interval: time.Millisecond}, scheduler.Options{AnswerBytes: bound}, entry.Options{})
+		d := newDeployment(t, schedulertest.Script{Tokens: tokens, Interval: time.Millisecond}, scheduler.Options{AnswerBufferBytes: bound}, entry.Options{})
 		defer d.close()
 		slow, _ := d.serve("a", ask("POST", chatPath, chatBody, "Idempotency-Key", "slow"), 0)
 		quick := d.do("a", ask("POST", chatPath, chatBody, "Idempotency-Key", "quick"))
@@ -206,7 +206,7 @@
 		"lost":    {respond: failCall(endpoint.ErrBroken), status: 502, want: `"outcome":"ran"`, calls: 1},
 		"hangs":   {respond: hangingCall, status: 502, want: `"outcome":"ran"`, calls: 1},
 		"no status": {respond: func(context.Context, endpoint.ServiceRequest) (endpoint.ServiceResponse, error) {
-			return schedulertest.Reply(0, http.NoBody), nil
+			return schedulertest.NewResponse(0, http.NoBody), nil
 		}, status: 502, want: `"outcome":"ran"`, calls: 1},
 	}
 	for name, test := range tests {
@@ -237,7 +237,7 @@
 	if r.Path != "/saved%2Fjobs?a=1" || r.Key == "" {
 		return endpoint.ServiceResponse{}, errors.New("wrong path: " + r.Path)
 	}
-	return schedulertest.Reply(http.StatusCreated, r.Body), nil
+	return schedulertest.NewResponse(http.StatusCreated, r.Body), nil
 }
 
 func hangingCall(ctx context.Context, _ endpoint.ServiceRequest) (endpoint.ServiceResponse, error) {
@@ -258,7 +258,7 @@
 		d := newDeployment(t, schedulertest.Script{}, scheduler.Options{}, entry.Options{})
 		defer d.close()
 		d.service.Respond = func(context.Context, endpoint.ServiceRequest) (endpoint.ServiceResponse, error) {
-			return schedulertest.Reply(http.StatusOK, strings.NewReader("clue 7")), nil
+			return schedulertest.NewResponse(http.StatusOK, strings.NewReader("clue 7")), nil
 		}
 		for _, node := range []string{"a", "b", "a"} {
 			w := d.do(domainNode(node), ask("POST", "/services/jobs/unlock", "", "Idempotency-Key", "k"))
@@ -272,7 +272,7 @@
 		assert.Equal(t, len(d.service.Calls()), 1)
 
 		d.service.Respond = func(context.Context, endpoint.ServiceRequest) (endpoint.ServiceResponse, error) {
-			return schedulertest.Reply(http.StatusOK, io.MultiReader(strings.NewReader("half"), brokenReader{})), nil
+			return schedulertest.NewResponse(http.StatusOK, io.MultiReader(strings.NewReader("half"), brokenReader{})), nil
 		}
 		defer func() { assert.Equal(t, recover(), http.ErrAbortHandler) }()
 		d.do("a", ask("POST", "/services/jobs/unlock", "", "Idempotency-Key", "broken"))
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -69,18 +69,18 @@
 	}
 	return scheduler.Request{
 		Key:          id.key,
-		Minted:       id.minted,
+		GeneratedKey: id.minted,
 		Organisation: who.organisation,
 		Pool:         domain.ModelPool(chat.Model),
 		Fingerprint:  chat.fingerprint,
-		Content:      chat.content,
+		ContentHash:  chat.content,
 		PromptTokens: chat.tokens,
 		AnswerTokens: answerTokens,
 		Blocks:       chat.blocks,
 		Deadline:     deadline,
 		// Without a stream the caller learns a minted key only with the answer.
-		NoReturn: id.minted && !chat.Stream,
-		Body:     chat.engineBody,
+		CancelOnDisconnect: id.minted && !chat.Stream,
+		Body:               chat.engineBody,
 	}, nil
 }
 
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -58,7 +58,7 @@
 		view:     config.NewStaticView(snapshot()),
 		sessions: sessions,
 	}
-	world := schedulertest.World{
+	world := schedulertest.Cluster{
 		Home:     d.home,
 		Capacity: d.capacity,
 		Endpoints: schedulertest.Endpoints{
@@ -72,8 +72,8 @@
 	return d
 }
 
-func (d *deployment) start(world schedulertest.World, name domain.NodeID, options scheduler.Options, entryOptions entry.Options) *node {
-	link := d.network.Node(schedulertest.Member(name))
+func (d *deployment) start(world schedulertest.Cluster, name domain.NodeID, options scheduler.Options, entryOptions entry.Options) *node {
+	link := d.network.Node(schedulertest.NewMember(name))
 	s := world.NewScheduler(link, options)
 	e := echo.New()
 	entry.New(entry.Parts{Self: link.Self(), Config: d.view, Sessions: d.sessions, Scheduler: s}, entryOptions).Register(e)
@@ -126,7 +126,7 @@
 func events(key domain.RequestKey, from, tokens uint64) string {
 	var out strings.Builder
 	for offset := from; offset < tokens; offset++ {
-		out.WriteString("id: " + itoa(offset) + "\ndata: " + schedulertest.Token(key.String(), offset) + "\n\n")
+		out.WriteString("id: " + itoa(offset) + "\ndata: " + schedulertest.EventData(key.String(), offset) + "\n\n")
 	}
 	return out.String() + "data: [DONE]\n\n"
 }
@@ -134,14 +134,14 @@
 func TestStreamedWhole(t *testing.T) {
 	scripts := map[string]schedulertest.Script{
 		"plain":             {},
-		"doubled":           {Double: true},
-		"stale ones":        {Stale: true, Double: true},
+		"doubled":           {DuplicateEvents: true},
+		"stale ones":        {StaleEvents: true, DuplicateEvents: true},
 		"late":              {Interval: 10 * time.Second},
-		"broken twice":      {Cuts: []uint64{0, 17}},
-		"gap":               {SkipOnce: 5},
-		"silent":            {Stall: 8},
-		"reply lost":        {Start: endpoint.ErrBroken, Lost: true},
-		"engine away a bit": {Cuts: []uint64{3}, Resume: endpoint.ErrBroken, ResumeFails: 3},
+		"broken twice":      {DisconnectAt: []uint64{0, 17}},
+		"gap":               {SkipAt: 5},
+		"silent":            {StallAt: 8},
+		"reply lost":        {StartErr: endpoint.ErrBroken, RunDespiteStartErr: true},
+		"engine away a bit": {DisconnectAt: []uint64{3}, ResumeErr: endpoint.ErrBroken, ResumeFailures: 3},
 	}
 	for name, script := range scripts {
 		t.Run(name, func(t *testing.T) {
--- a/load/virtual/withoutlimits.go
+++ b/load/virtual/withoutlimits.go
@@ -9,7 +9,7 @@
 // nodes did in an earlier round.
 type withoutLimits struct{ all *routing.LengthPredictor }
 
-// Predict implements scheduler.Lengths.
+// Predict implements scheduler.LengthPredictor.
 func (w withoutLimits) Predict(organisation domain.OrganisationID, pool domain.PoolName, promptTokens, limit int) int {
 	predicted := w.all.Predict(organisation, pool, promptTokens, 0)
 	if limit > 0 {
@@ -18,7 +18,7 @@
 	return predicted
 }
 
-// Observe implements scheduler.Lengths.
+// Observe implements scheduler.LengthPredictor.
 func (w withoutLimits) Observe(organisation domain.OrganisationID, pool domain.PoolName, promptTokens, _, answerTokens int) {
 	w.all.Observe(organisation, pool, promptTokens, 0, answerTokens)
 }
--- a/node/limits.go
+++ b/node/limits.go
@@ -11,9 +11,9 @@
 // admission adapts limits.Service to the scheduler.
 type admission struct{ limits *limits.Service }
 
-var _ scheduler.Limits = admission{}
+var _ scheduler.Limiter = admission{}
 
-// Admit implements scheduler.Limits.
+// Admit implements scheduler.Limiter.
 func (a admission) Admit(org *config.Organisation, promptTokens, answerTokens int) (scheduler.LimitPermit, error) {
 	permit, err := a.limits.Admit(org, promptTokens, answerTokens)
 	if err == nil {
--- a/node/node.go
+++ b/node/node.go
@@ -201,7 +201,7 @@
 }
 
 // lengths returns the predictor of answers' lengths.
-func (n *Node) lengths() scheduler.Lengths {
+func (n *Node) lengths() scheduler.LengthPredictor {
 	if n.options.Lengths != nil {
 		return n.options.Lengths
 	}
@@ -213,15 +213,15 @@
 		Bytes:     n.options.AnswerBytes,
 		Retention: n.options.Retention,
 	}))
-	n.scheduler = scheduler.New(scheduler.Parts{
-		Ledger:     n.ledger,
-		Limits:     admission{n.limits},
-		Capacity:   n.capacity,
-		Dispatcher: dispatch.New(n.endpoints, dispatch.Options{}),
-		Answers:    n.answers,
-		Relay:      answer.NewRelay(n.options.Transport, n.answers),
-		Transport:  n.options.Transport,
-		Lengths:    n.lengths(),
+	n.scheduler = scheduler.New(scheduler.Dependencies{
+		Ledger:          n.ledger,
+		Limiter:         admission{n.limits},
+		Capacity:        n.capacity,
+		Dispatcher:      dispatch.New(n.endpoints, dispatch.Options{}),
+		Answers:         n.answers,
+		Relay:           answer.NewRelay(n.options.Transport, n.answers),
+		Transport:       n.options.Transport,
+		LengthPredictor: n.lengths(),
 	}, n.options.Scheduler)
 	return nil
 }
--- a/node/options.go
+++ b/node/options.go
@@ -52,5 +52,5 @@
 	// It holds numbers and Weights; the other parts are filled in by the node.
 	Coordinator *coordinator.Options
 	// Lengths predicts the lengths of answers; nil for a routing.LengthPredictor.
-	Lengths scheduler.Lengths
+	Lengths scheduler.LengthPredictor
 }
--- a/scheduler/attach.go
+++ b/scheduler/attach.go
@@ -89,7 +89,7 @@
 	if t.lost.IsZero() {
 		t.lost = time.Now()
 	}
-	if time.Since(t.lost) >= t.scheduler.options.AttachWindow {
+	if time.Since(t.lost) >= t.scheduler.options.HolderTimeout {
 		return t.end(end)
 	}
 	timer := time.NewTimer(attachRetry)
@@ -111,7 +111,7 @@
 	if t.request.Call != nil {
 		return t.finish(claim, ran(answer.CodeBroken, "the request was dispatched by a node that is gone, and its response with it"))
 	}
-	ctx, cancel := context.WithTimeoutCause(t.ctx, t.scheduler.options.MaxRun, dispatch.ErrTooLong)
+	ctx, cancel := context.WithTimeoutCause(t.ctx, t.scheduler.options.RunTimeout, dispatch.ErrTooLong)
 	defer cancel()
 	result := t.scheduler.parts.Dispatcher.ResumeEngine(ctx, claim.Endpoint, t.request.Key, dispatch.EngineRun{Buffer: t.buffer})
 	return t.finish(claim, result.End)
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -46,7 +46,7 @@
 				defer b.close()
 				b.capacity.Block(test.waiting)
 				asked := request("k")
-				asked.NoReturn = test.noReturn
+				asked.CancelOnDisconnect = test.noReturn
 				handle := b.nodes["a"].Submit(asked)
 				time.Sleep(1500 * time.Millisecond)
 				test.act(t, b, handle)
@@ -77,7 +77,7 @@
 // takenOver lets another node take the request over while this one's caller is gone.
 
 func takenOver(t *testing.T, b *bench, handle *scheduler.Handle) {
-	b.home.Lose(schedulertest.Member("a"))
+	b.home.MarkGone(schedulertest.NewMember("a"))
 	other := b.nodes["b"].Submit(request("k"))
 	t.Cleanup(other.Close)
 	gone(31*time.Second)(t, b, handle)
--- a/scheduler/drain_test.go
+++ b/scheduler/drain_test.go
@@ -71,7 +71,7 @@
 		same.Organisation = organisation(2)
 		_, end := readAll(t, b.nodes["a"].Submit(same))
 		assert.Equal(t, end.Outcome, domain.OutcomeUnknown)
-		same.Minted = true
+		same.GeneratedKey = true
 		_, end = readAll(t, b.nodes["a"].Submit(same))
 		assert.Equal(t, end.Outcome, domain.OutcomeNotRun)
 		_, end = readAll(t, b.nodes["a"].Submit(request("high")))
--- a/scheduler/dump.go
+++ b/scheduler/dump.go
@@ -4,11 +4,11 @@
 
 // State is what the state dump shows of the scheduler.
 type State struct {
-	Draining bool                `json:"draining"`
-	Waiting  int                 `json:"waiting"`
-	Running  int                 `json:"running"`
-	Ended    int                 `json:"ended_undelivered"`
-	Answers  answer.RegistrySize `json:"answers"`
+	Draining    bool                `json:"draining"`
+	Waiting     int                 `json:"waiting"`
+	Running     int                 `json:"running"`
+	Undelivered int                 `json:"ended_undelivered"`
+	Answers     answer.RegistrySize `json:"answers"`
 }
 
 // State returns counts of what is in progress. Keys and contents stay out.
@@ -23,7 +23,7 @@
 		case PhaseRunning:
 			state.Running++
 		case PhaseEnded:
-			state.Ended++
+			state.Undelivered++
 		}
 	}
 	return state
--- a/scheduler/fixture_test.go
+++ b/scheduler/fixture_test.go
@@ -43,14 +43,14 @@
 		peers:    make(map[domain.NodeID]*peertest.Node),
 		nodes:    make(map[domain.NodeID]*scheduler.Scheduler),
 	}
-	world := schedulertest.World{
+	world := schedulertest.Cluster{
 		Home:      b.home,
 		Capacity:  b.capacity,
 		Endpoints: schedulertest.Endpoints{Engines: map[domain.EndpointID]endpoint.Engine{"e": b.engine}},
-		Limits:    b.limits,
+		Limiter:   b.limits,
 	}
 	for _, name := range []domain.NodeID{"a", "b", "c"} {
-		b.peers[name] = b.network.Node(schedulertest.Member(name))
+		b.peers[name] = b.network.Node(schedulertest.NewMember(name))
 		b.nodes[name] = world.NewScheduler(b.peers[name], options)
 	}
 	return b
@@ -125,7 +125,7 @@
 func whole(key domain.RequestKey, from, to uint64) string {
 	var text strings.Builder
 	for offset := from; offset < to; offset++ {
-		text.WriteString(schedulertest.Token(key.String(), offset))
+		text.WriteString(schedulertest.EventData(key.String(), offset))
 	}
 	return text.String()
 }
--- a/scheduler/limits.go
+++ b/scheduler/limits.go
@@ -6,8 +6,8 @@
 	"hawthornrill.example/hawthornrill/config"
 )
 
-// Limits holds organisations to their limits over all nodes.
-type Limits interface {
+// Limiter holds organisations to their limits over all nodes.
+type Limiter interface {
 	// Admit counts a request in, or returns a *LimitError.
 	Admit(organisation *config.Organisation, promptTokens, answerTokens int) (LimitPermit, error)
 }
--- a/scheduler/metrics_test.go
+++ b/scheduler/metrics_test.go
@@ -14,7 +14,7 @@
 
 func TestMetricsByTier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(schedulertest.Script{Cuts: []uint64{4}, Forget: true}, scheduler.Options{})
+		b := newBench(schedulertest.Script{DisconnectAt: []uint64{4}, ForgetOnDisconnect: true}, scheduler.Options{})
 		defer b.close()
 		a := b.nodes["a"]
 		submit := func(client string, deadline time.Duration) {
--- a/scheduler/outcome_test.go
+++ b/scheduler/outcome_test.go
@@ -22,11 +22,11 @@
 // bench is two nodes before one engine.
 
 func TestOutcomeOfEachStep(t *testing.T) {
-	fault := func(step schedulertest.Step, err error, late bool, times int) func(*bench) {
-		return func(b *bench) { b.home.Break(step, schedulertest.Fault{Err: err, Late: late, Times: times}) }
+	fault := func(step schedulertest.Operation, err error, late bool, times int) func(*bench) {
+		return func(b *bench) { b.home.InjectFault(step, schedulertest.Fault{Err: err, ReplyLost: late, Count: times}) }
 	}
 	refused := func(err error) func(*bench) {
-		return func(b *bench) { b.capacity.Refuse(&capacity.Refusal{Err: err, RetryAfter: time.Second}) }
+		return func(b *bench) { b.capacity.SetError(&capacity.Refusal{Err: err, RetryAfter: time.Second}) }
 	}
 	both := func(faults ...func(*bench)) func(*bench) {
 		return func(b *bench) {
@@ -40,7 +40,7 @@
 	// revokedMeanwhile has the place taken back during each of the first commits.
 	revokedMeanwhile := func(times int) func(*bench) {
 		return func(b *bench) {
-			b.home.Break("commit", schedulertest.Fault{Delay: 2 * time.Second})
+			b.home.InjectFault("commit", schedulertest.Fault{Delay: 2 * time.Second})
 			for i := range times {
 				time.AfterFunc(time.Second+time.Duration(i)*2*time.Second, func() { b.capacity.Grants()[i].Revoke() })
 			}
@@ -84,12 +84,12 @@
 		{name: "commit: place taken back meanwhile", fault: revokedMeanwhile(1), outcome: "", starts: 1, state: ledger.StateFinished},
 		{name: "commit: place taken back each time", fault: revokedMeanwhile(3), outcome: notRun, code: answer.CodePreempted},
 		{name: "commit: revoked always", fault: fault("commit", ledger.ErrRevoked, false, 0), outcome: unknown, code: answer.CodeHistoryUnknown, state: ledger.StateClaimed},
-		{name: "dispatch: connection refused", script: schedulertest.Script{Start: endpoint.ErrNotDispatched}, outcome: notRun, code: answer.CodeUnreachable},
-		{name: "dispatch: connection refused, release lost", script: schedulertest.Script{Start: endpoint.ErrNotDispatched}, fault: fault("release", errLost, false, 1), outcome: unknown, code: answer.CodeUnsettled},
-		{name: "dispatch: refused by engine", script: schedulertest.Script{Start: endpoint.ErrRefused, Lost: true}, outcome: ran, code: answer.CodeRefused, starts: 1, state: ledger.StateFailed},
-		{name: "dispatch: sent and lost", script: schedulertest.Script{Start: endpoint.ErrBroken}, outcome: ran, code: answer.CodeBroken, state: ledger.StateFailed},
-		{name: "stream: engine dies", script: schedulertest.Script{Cuts: []uint64{4}, Forget: true}, outcome: ran, code: answer.CodeBroken, starts: 1, state: ledger.StateFailed},
-		{name: "stream: engine stays away", script: schedulertest.Script{Cuts: []uint64{4}, Resume: endpoint.ErrBroken, ResumeFails: 1000}, outcome: ran, code: answer.CodeBroken, starts: 1, state: ledger.StateFailed},
+		{name: "dispatch: connection refused", script: schedulertest.Script{StartErr: endpoint.ErrNotDispatched}, outcome: notRun, code: answer.CodeUnreachable},
+		{name: "dispatch: connection refused, release lost", script: schedulertest.Script{StartErr: endpoint.ErrNotDispatched}, fault: fault("release", errLost, false, 1), outcome: unknown, code: answer.CodeUnsettled},
+		{name: "dispatch: refused by engine", script: schedulertest.Script{StartErr: endpoint.ErrRefused, RunDespiteStartErr: true}, outcome: ran, code: answer.CodeRefused, starts: 1, state: ledger.StateFailed},
+		{name: "dispatch: sent and lost", script: schedulertest.Script{StartErr: endpoint.ErrBroken}, outcome: ran, code: answer.CodeBroken, state: ledger.StateFailed},
+		{name: "stream: engine dies", script: schedulertest.Script{DisconnectAt: []uint64{4}, ForgetOnDisconnect: true}, outcome: ran, code: answer.CodeBroken, starts: 1, state: ledger.StateFailed},
+		{name: "stream: engine stays away", script: schedulertest.Script{DisconnectAt: []uint64{4}, ResumeErr: endpoint.ErrBroken, ResumeFailures: 1000}, outcome: ran, code: answer.CodeBroken, starts: 1, state: ledger.StateFailed},
 		{name: "finish: lost once", fault: fault("finish", errLost, false, 1), outcome: "", starts: 1, state: ledger.StateFinished},
 	}
 	for _, test := range tests {
@@ -101,7 +101,7 @@
 					test.fault(b)
 				}
 				asked := request("k")
-				asked.Minted = test.minted
+				asked.GeneratedKey = test.minted
 				text, end := readAll(t, b.nodes["a"].Submit(asked))
 				assert.Equal(t, end.Outcome, test.outcome)
 				assert.Equal(t, end.Code, test.code)
@@ -125,10 +125,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(schedulertest.Script{}, scheduler.Options{})
 		defer b.close()
-		b.capacity.Refuse(&capacity.Refusal{Err: capacity.ErrShed})
+		b.capacity.SetError(&capacity.Refusal{Err: capacity.ErrShed})
 		_, end := readAll(t, b.nodes["a"].Submit(request("k")))
 		assert.Equal(t, end.Outcome, domain.OutcomeNotRun)
-		b.capacity.Refuse(nil)
+		b.capacity.SetError(nil)
 		text, end := readAll(t, b.nodes["b"].Submit(request("k")))
 		assert.Assert(t, end.Complete())
 		assert.Equal(t, text, whole(request("k").Key, 0, 10))
@@ -141,14 +141,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(schedulertest.Script{}, scheduler.Options{})
 		defer b.close()
-		b.home.Break(schedulertest.StepClaim, schedulertest.Fault{Delay: 2 * time.Second, Times: 1})
+		b.home.InjectFault(schedulertest.OpClaim, schedulertest.Fault{Delay: 2 * time.Second, Count: 1})
 		first := b.nodes["a"].Submit(request("k"))
 		synctest.Wait()
 		first.Close()
-		b.capacity.Refuse(&capacity.Refusal{Err: capacity.ErrShed})
+		b.capacity.SetError(&capacity.Refusal{Err: capacity.ErrShed})
 		_, end := readAll(t, b.nodes["b"].Submit(request("k")))
 		assert.Equal(t, end.Outcome, domain.OutcomeNotRun)
-		b.capacity.Refuse(nil)
+		b.capacity.SetError(nil)
 		time.Sleep(time.Minute)
 		assert.Equal(t, len(b.engine.Started()), 0)
 		assert.Equal(t, b.home.State(request("k").Key), ledger.State(0))
--- a/scheduler/random_test.go
+++ b/scheduler/random_test.go
@@ -39,13 +39,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			script := schedulertest.Script{
-				Tokens: 10, Interval: 300 * time.Millisecond, Double: random.IntN(2) == 0, Stale: random.IntN(2) == 0,
-				Forget: random.IntN(8) == 0, Resume: endpoint.ErrBroken, ResumeFails: random.IntN(4),
+				Tokens: 10, Interval: 300 * time.Millisecond, DuplicateEvents: random.IntN(2) == 0, StaleEvents: random.IntN(2) == 0,
+				ForgetOnDisconnect: random.IntN(8) == 0, ResumeErr: endpoint.ErrBroken, ResumeFailures: random.IntN(4),
 			}
 			for range 15 {
-				script.Cuts = append(script.Cuts, random.Uint64N(10))
+				script.DisconnectAt = append(script.DisconnectAt, random.Uint64N(10))
 			}
-			b := newBench(script, scheduler.Options{Grace: 5 * time.Second})
+			b := newBench(script, scheduler.Options{DisconnectGrace: 5 * time.Second})
 			defer b.close()
 			var callers sync.WaitGroup
 			outcomes := make(chan string, randomCallers)
@@ -73,7 +73,7 @@
 
 // injectFaults breaks something every half second or so, and mends all in the end.
 func injectFaults(b *bench, random *rand.Rand) {
-	steps := []schedulertest.Step{schedulertest.StepClaim, schedulertest.StepCommit, schedulertest.StepRelease, schedulertest.StepFinish, schedulertest.StepLookup}
+	steps := []schedulertest.Operation{schedulertest.OpClaim, schedulertest.OpCommit, schedulertest.OpRelease, schedulertest.OpFinish, schedulertest.OpLookup}
 	for range randomFaults {
 		time.Sleep(time.Duration(random.IntN(1000)) * time.Millisecond)
 		switch random.IntN(6) {
@@ -82,18 +82,18 @@
 		case 1:
 			b.network.HealAll()
 		case 2:
-			fault := schedulertest.Fault{Err: ledger.ErrUnknown, Late: random.IntN(2) == 0, Times: 1 + random.IntN(2), Delay: time.Duration(random.IntN(3)) * time.Second}
-			b.home.Break(steps[random.IntN(len(steps))], fault)
+			fault := schedulertest.Fault{Err: ledger.ErrUnknown, ReplyLost: random.IntN(2) == 0, Count: 1 + random.IntN(2), Delay: time.Duration(random.IntN(3)) * time.Second}
+			b.home.InjectFault(steps[random.IntN(len(steps))], fault)
 		case 3:
-			b.capacity.Refuse(&capacity.Refusal{Err: capacity.ErrShed})
+			b.capacity.SetError(&capacity.Refusal{Err: capacity.ErrShed})
 		case 4:
-			b.capacity.Refuse(nil)
+			b.capacity.SetError(nil)
 		case 5:
 			b.capacity.Block(random.IntN(3) == 0)
 		}
 	}
 	b.network.HealAll()
-	b.capacity.Refuse(nil)
+	b.capacity.SetError(nil)
 	b.capacity.Block(false)
 }
 
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -14,14 +14,14 @@
 type Request struct {
 	Key domain.RequestKey
 	// Minted says that the key was made for this attempt: no earlier one exists.
-	Minted       bool
+	GeneratedKey bool
 	Organisation *config.Organisation
 	Pool         domain.PoolName
 	// Fingerprint covers what is asked, to notice a key used twice.
 	Fingerprint ledger.Fingerprint
 	// Content covers what is asked without key and caller, to recognise a request
 	// that crashes endpoints.
-	Content uint64
+	ContentHash uint64
 	// PromptTokens, AnswerTokens and Blocks describe a model's request.
 	PromptTokens int
 	AnswerTokens int
@@ -29,9 +29,9 @@
 	// Deadline is how long the request may wait for a place; once dispatched it
 	// goes on to its end.
 	Deadline time.Duration
-	// NoReturn says that the caller can't come back for the answer: the request is
+	// CancelOnDisconnect says that the caller can't come back for the answer: the request is
 	// cancelled as soon as the caller is gone.
-	NoReturn bool
+	CancelOnDisconnect bool
 	// Body is a model's JSON body with "stream" set to true; nil for a plain call.
 	Body []byte
 	// Call is a plain call; nil for a model.
--- a/scheduler/return_test.go
+++ b/scheduler/return_test.go
@@ -32,12 +32,12 @@
 		}},
 		"after the holder died": {node: "b", fault: func(b *bench) {
 			b.network.Crash("a")
-			b.home.Kill(schedulertest.Member("a"))
+			b.home.Kill(schedulertest.NewMember("a"))
 		}},
 		"and the holder dies later": {node: "b", fault: func(b *bench) {
 			time.AfterFunc(2*time.Second, func() {
 				b.network.Crash("a")
-				b.home.Kill(schedulertest.Member("a"))
+				b.home.Kill(schedulertest.NewMember("a"))
 			})
 		}},
 	}
@@ -147,10 +147,10 @@
 // A caller that comes back while its request is being given up gets its turn.
 func TestBackWhileGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(schedulertest.Script{}, scheduler.Options{Grace: time.Second})
+		b := newBench(schedulertest.Script{}, scheduler.Options{DisconnectGrace: time.Second})
 		defer b.close()
 		b.capacity.Block(true)
-		b.home.Break(schedulertest.StepRelease, schedulertest.Fault{Delay: 2 * time.Second})
+		b.home.InjectFault(schedulertest.OpRelease, schedulertest.Fault{Delay: 2 * time.Second})
 		first := b.nodes["a"].Submit(request("k"))
 		synctest.Wait()
 		first.Close()
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -13,22 +13,22 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Parts are what a scheduler puts together.
-type Parts struct {
+// Dependencies are what a scheduler puts together.
+type Dependencies struct {
 	Ledger     ledger.Ledger
-	Limits     Limits
+	Limiter    Limiter
 	Capacity   capacity.Client
 	Dispatcher *dispatch.Dispatcher
 	Answers    *answer.Registry
 	Relay      *answer.Relay
 	Transport  peer.Transport
-	// Lengths predicts answers' lengths; nil stands for LongestAnswers.
-	Lengths Lengths
+	// LengthPredictor predicts answers' lengths; nil stands for MaxLengthPredictor.
+	LengthPredictor LengthPredictor
 }
 
 // Scheduler runs requests. It is safe for concurrent use.
 type Scheduler struct {
-	parts   Parts
+	parts   Dependencies
 	options Options
 	metrics *metricSet
 
@@ -48,10 +48,10 @@
 
 // New returns a scheduler; zero options mean defaults. It registers its handler
 // with the transport.
-func New(parts Parts, options Options) *Scheduler {
+func New(parts Dependencies, options Options) *Scheduler {
 	ctx, stop := context.WithCancelCause(context.Background())
-	if parts.Lengths == nil {
-		parts.Lengths = LongestAnswers{}
+	if parts.LengthPredictor == nil {
+		parts.LengthPredictor = MaxLengthPredictor{}
 	}
 	s := &Scheduler{
 		parts:   parts,
@@ -103,7 +103,7 @@
 // untried is the end of a request whose key was not even claimed. An earlier
 // attempt may have run, unless the key was minted for this one.
 func untried(request Request, code answer.Code, reason string) answer.End {
-	if request.Minted {
+	if request.GeneratedKey {
 		return notRun(code, reason, retrySoon)
 	}
 	return unknown(code, reason, retrySoon)
--- a/scheduler/schedulertest/capacity.go
+++ b/scheduler/schedulertest/capacity.go
@@ -22,7 +22,7 @@
 func NewCapacity(endpoints ...domain.EndpointID) *Capacity { return &Capacity{endpoints: endpoints} }
 
 // Refuse makes every ask fail; nil grants again.
-func (c *Capacity) Refuse(err error) {
+func (c *Capacity) SetError(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.err = err
@@ -36,7 +36,7 @@
 }
 
 // Asks returns the asks so far.
-func (c *Capacity) Asks() []capacity.Ask {
+func (c *Capacity) Requests() []capacity.Ask {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]capacity.Ask(nil), c.asks...)
--- a/scheduler/schedulertest/engine.go
+++ b/scheduler/schedulertest/engine.go
@@ -20,22 +20,22 @@
 	Tokens   int
 	Interval time.Duration
 	// Start is returned by Start; if Lost is set the request is run all the same.
-	Start error
-	Lost  bool
+	StartErr           error
+	RunDespiteStartErr bool
 	// Cuts lists the offsets before which the connection breaks, once each.
-	Cuts []uint64
+	DisconnectAt []uint64
 	// Stall is the offset before which the first connection falls silent; zero for none.
-	Stall uint64
-	// Resume is returned by Resume while ResumeFails is above zero.
-	Resume      error
-	ResumeFails int
+	StallAt uint64
+	// Resume is returned by Resume while ResumeFailures is above zero.
+	ResumeErr      error
+	ResumeFailures int
 	// Double sends every event twice, Stale sends an old one after every event,
-	// SkipOnce leaves out this offset on the first connection.
-	Double   bool
-	Stale    bool
-	SkipOnce uint64
+	// SkipAt leaves out this offset on the first connection.
+	DuplicateEvents bool
+	StaleEvents     bool
+	SkipAt          uint64
 	// Forget makes the engine forget streams when the connection breaks.
-	Forget bool
+	ForgetOnDisconnect bool
 }
 
 // Engine is a scripted model engine that keeps a log.
@@ -66,8 +66,8 @@
 	return append([]string(nil), e.cancelled...)
 }
 
-// Token returns the data of an event of the answer to a key.
-func Token(key string, offset uint64) string {
+// EventData returns the data of an event of the answer to a key.
+func EventData(key string, offset uint64) string {
 	return fmt.Sprintf(`{"id":"chat","model":"m","choices":[{"index":0,"delta":{"content":"%s/%d;"}}]}`, key, offset)
 }
 
@@ -75,13 +75,13 @@
 func (e *Engine) Start(_ context.Context, request endpoint.EngineRequest) (endpoint.Stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.script.Start != nil && !e.script.Lost {
-		return nil, e.script.Start
+	if e.script.StartErr != nil && !e.script.RunDespiteStartErr {
+		return nil, e.script.StartErr
 	}
 	e.started = append(e.started, request.Key)
 	e.running[request.Key] = time.Now()
-	if e.script.Start != nil {
-		return nil, e.script.Start
+	if e.script.StartErr != nil {
+		return nil, e.script.StartErr
 	}
 	return &stream{engine: e, script: e.script, key: request.Key, first: true}, nil
 }
@@ -90,9 +90,9 @@
 func (e *Engine) Resume(_ context.Context, key string, from uint64) (endpoint.Stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.script.ResumeFails > 0 {
-		e.script.ResumeFails--
-		return nil, e.script.Resume
+	if e.script.ResumeFailures > 0 {
+		e.script.ResumeFailures--
+		return nil, e.script.ResumeErr
 	}
 	if _, ok := e.running[key]; !ok {
 		return nil, endpoint.ErrStreamNotFound
@@ -122,12 +122,12 @@
 func (e *Engine) cut(key string, offset uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for i, at := range e.script.Cuts {
+	for i, at := range e.script.DisconnectAt {
 		if at != offset {
 			continue
 		}
-		e.script.Cuts = append(append([]uint64(nil), e.script.Cuts[:i]...), e.script.Cuts[i+1:]...)
-		if e.script.Forget {
+		e.script.DisconnectAt = append(append([]uint64(nil), e.script.DisconnectAt[:i]...), e.script.DisconnectAt[i+1:]...)
+		if e.script.ForgetOnDisconnect {
 			delete(e.running, key)
 		}
 		return true
@@ -172,29 +172,29 @@
 	if s.next >= uint64(script.Tokens) {
 		return endpoint.Event{}, io.EOF
 	}
-	if s.first && script.Stall > 0 && s.next == script.Stall {
+	if s.first && script.StallAt > 0 && s.next == script.StallAt {
 		<-ctx.Done()
 		return endpoint.Event{}, ctx.Err()
 	}
-	if s.first && script.SkipOnce > 0 && s.next == script.SkipOnce {
+	if s.first && script.SkipAt > 0 && s.next == script.SkipAt {
 		s.next++
 	}
 	if err := s.engine.ready(ctx, s.key, s.next); err != nil {
 		return endpoint.Event{}, err
 	}
-	event := endpoint.Event{Offset: s.next, Data: []byte(Token(s.key, s.next))}
+	event := endpoint.Event{Offset: s.next, Data: []byte(EventData(s.key, s.next))}
 	s.next++
 	s.repeat(script, event)
 	return event, nil
 }
 
 func (s *stream) repeat(script Script, event endpoint.Event) {
-	if script.Double {
+	if script.DuplicateEvents {
 		s.again = append(s.again, event)
 	}
-	if script.Stale {
+	if script.StaleEvents {
 		old := event.Offset / 2
-		s.again = append(s.again, endpoint.Event{Offset: old, Data: []byte("stale " + Token(s.key, old))})
+		s.again = append(s.again, endpoint.Event{Offset: old, Data: []byte("stale " + EventData(s.key, old))})
 	}
 }
 
--- a/scheduler/schedulertest/ledger.go
+++ b/scheduler/schedulertest/ledger.go
@@ -13,26 +13,26 @@
 	"hawthornrill.example/hawthornrill/ledger"
 )
 
-// Step names a call that can be made to fail.
-type Step string
+// Operation names a call that can be made to fail.
+type Operation string
 
 const (
-	StepClaim   Step = "claim"
-	StepCommit  Step = "commit"
-	StepRelease Step = "release"
-	StepFinish  Step = "finish"
-	StepLookup  Step = "lookup"
+	OpClaim   Operation = "claim"
+	OpCommit  Operation = "commit"
+	OpRelease Operation = "release"
+	OpFinish  Operation = "finish"
+	OpLookup  Operation = "lookup"
 )
 
 // Fault makes a call fail. A late fault fails after the call took effect: its
 // reply was lost.
 type Fault struct {
-	Err  error
-	Late bool
+	Err       error
+	ReplyLost bool
 	// Delay holds the call up before it takes effect; with a nil Err it then succeeds.
 	Delay time.Duration
 	// Times is how often it strikes; zero for always.
-	Times int
+	Count int
 }
 
 type record struct {
@@ -45,7 +45,7 @@
 type Home struct {
 	mu      sync.Mutex
 	records map[domain.RequestKey]*record
-	faults  map[Step]*Fault
+	faults  map[Operation]*Fault
 	gone    map[domain.Member]bool
 	dead    map[domain.Member]bool
 	last    ledger.ClaimID
@@ -55,14 +55,14 @@
 func NewHome() *Home {
 	return &Home{
 		records: make(map[domain.RequestKey]*record),
-		faults:  make(map[Step]*Fault),
+		faults:  make(map[Operation]*Fault),
 		gone:    make(map[domain.Member]bool),
 		dead:    make(map[domain.Member]bool),
 	}
 }
 
 // Break makes calls of a step fail.
-func (h *Home) Break(step Step, fault Fault) {
+func (h *Home) InjectFault(step Operation, fault Fault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.faults[step] = &fault
@@ -70,7 +70,7 @@
 
 // Kill ends a member's life: it reaches the home no more, and the home knows.
 func (h *Home) Kill(member domain.Member) {
-	h.Lose(member)
+	h.MarkGone(member)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dead[member] = true
@@ -78,7 +78,7 @@
 
 // Lose makes the home believe that a member's life is over, though it may only
 // have been paused.
-func (h *Home) Lose(member domain.Member) {
+func (h *Home) MarkGone(member domain.Member) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.gone[member] = true
@@ -102,10 +102,10 @@
 }
 
 // For returns the ledger of one member.
-func (h *Home) For(self domain.Member) ledger.Ledger { return &client{home: h, self: self} }
+func (h *Home) LedgerFor(self domain.Member) ledger.Ledger { return &client{home: h, self: self} }
 
 // do runs a call of a member between the faults of its step. The dead don't call.
-func (h *Home) do(self domain.Member, step Step, effect func() error) error {
+func (h *Home) do(self domain.Member, step Operation, effect func() error) error {
 	fault := h.strike(step)
 	time.Sleep(fault.Delay)
 	h.mu.Lock()
@@ -113,7 +113,7 @@
 	if h.dead[self] {
 		return ledger.ErrUnknown
 	}
-	if fault.Err != nil && !fault.Late {
+	if fault.Err != nil && !fault.ReplyLost {
 		return fault.Err
 	}
 	if err := effect(); err != nil {
@@ -122,17 +122,17 @@
 	return fault.Err
 }
 
-func (h *Home) strike(step Step) Fault {
+func (h *Home) strike(step Operation) Fault {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	fault := h.faults[step]
 	if fault == nil {
 		return Fault{}
 	}
-	if fault.Times == 1 {
+	if fault.Count == 1 {
 		delete(h.faults, step)
 	}
-	fault.Times--
+	fault.Count--
 	return *fault
 }
 
@@ -142,7 +142,7 @@
 }
 
 func (c *client) Claim(_ context.Context, key domain.RequestKey, fingerprint ledger.Fingerprint) (claim ledger.Claim, err error) {
-	err = c.home.do(c.self, StepClaim, func() error {
+	err = c.home.do(c.self, OpClaim, func() error {
 		claim, err = c.claim(key, fingerprint)
 		return err
 	})
@@ -184,18 +184,18 @@
 }
 
 func (c *client) Commit(_ context.Context, claim ledger.Claim, endpoint domain.EndpointID) error {
-	return c.held(StepCommit, claim, func(r *record) {
+	return c.held(OpCommit, claim, func(r *record) {
 		r.state = ledger.StateCommitted
 		r.claim.Endpoint = endpoint
 	})
 }
 
 func (c *client) Release(_ context.Context, claim ledger.Claim) error {
-	return c.held(StepRelease, claim, func(*record) { delete(c.home.records, claim.Key) })
+	return c.held(OpRelease, claim, func(*record) { delete(c.home.records, claim.Key) })
 }
 
 func (c *client) Finish(_ context.Context, claim ledger.Claim, complete bool) error {
-	return c.held(StepFinish, claim, func(r *record) {
+	return c.held(OpFinish, claim, func(r *record) {
 		r.state = ledger.StateFailed
 		if complete {
 			r.state = ledger.StateFinished
@@ -204,7 +204,7 @@
 }
 
 // held runs an effect if the claim is the one that holds the key.
-func (c *client) held(step Step, claim ledger.Claim, effect func(*record)) error {
+func (c *client) held(step Operation, claim ledger.Claim, effect func(*record)) error {
 	return c.home.do(c.self, step, func() error {
 		r, ok := c.home.records[claim.Key]
 		if !ok || r.claim.ID != claim.ID {
@@ -216,7 +216,7 @@
 }
 
 func (c *client) Lookup(_ context.Context, key domain.RequestKey) (state ledger.State, claim ledger.Claim, err error) {
-	err = c.home.do(c.self, StepLookup, func() error {
+	err = c.home.do(c.self, OpLookup, func() error {
 		r, ok := c.home.records[key]
 		if !ok {
 			return ledger.ErrNotFound
--- a/scheduler/schedulertest/service.go
+++ b/scheduler/schedulertest/service.go
@@ -34,8 +34,8 @@
 	return append([]string(nil), s.calls...)
 }
 
-// Reply returns a response with a body.
-func Reply(status int, body io.Reader) endpoint.ServiceResponse {
+// NewResponse returns a response with a body.
+func NewResponse(status int, body io.Reader) endpoint.ServiceResponse {
 	return endpoint.ServiceResponse{Status: status, Header: http.Header{"X-Served": {"yes"}}, Body: io.NopCloser(body)}
 }
 
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -25,7 +25,7 @@
 	}
 	t.scheduler.parts.Answers.Open(t.request.Key, t.buffer)
 	request := &t.request
-	permit, err := t.scheduler.parts.Limits.Admit(request.Organisation, request.PromptTokens, t.expectedTokens())
+	permit, err := t.scheduler.parts.Limiter.Admit(request.Organisation, request.PromptTokens, t.expectedTokens())
 	if err != nil {
 		return t.refuse(claim, limitEnd(err))
 	}
@@ -54,7 +54,7 @@
 
 // deadline is how long the request may wait for a place, over all its tries.
 func (t *task) deadline() time.Duration {
-	return defaults.Positive(t.request.Deadline, t.scheduler.options.Deadline)
+	return defaults.Positive(t.request.Deadline, t.scheduler.options.DefaultDeadline)
 }
 
 // timeLeft is what is left of the deadline.
@@ -73,7 +73,7 @@
 		Session:      request.Key.Session,
 		FirstToken:   request.Organisation.FirstToken,
 		Deadline:     deadline,
-		Fingerprint:  request.Content,
+		Fingerprint:  request.ContentHash,
 	}
 }
 
@@ -84,14 +84,14 @@
 	if request.Call != nil {
 		return 0
 	}
-	return t.scheduler.parts.Lengths.Predict(request.Organisation.ID, request.Pool, request.PromptTokens, request.AnswerTokens)
+	return t.scheduler.parts.LengthPredictor.Predict(request.Organisation.ID, request.Pool, request.PromptTokens, request.AnswerTokens)
 }
 
 // observeLength learns from a complete answer of a model.
 func (t *task) observeLength(use capacity.Result) {
 	request := &t.request
 	if request.Call == nil && use.Complete {
-		t.scheduler.parts.Lengths.Observe(request.Organisation.ID, request.Pool, request.PromptTokens, request.AnswerTokens, use.AnswerTokens)
+		t.scheduler.parts.LengthPredictor.Observe(request.Organisation.ID, request.Pool, request.PromptTokens, request.AnswerTokens, use.AnswerTokens)
 	}
 }
 
@@ -143,7 +143,7 @@
 // request has run for as long as any may.
 func (t *task) runContext(grant capacity.Grant) (context.Context, func()) {
 	ctx, stop := context.WithCancelCause(t.ctx)
-	ctx, cancel := context.WithTimeoutCause(ctx, t.scheduler.options.MaxRun, dispatch.ErrTooLong)
+	ctx, cancel := context.WithTimeoutCause(ctx, t.scheduler.options.RunTimeout, dispatch.ErrTooLong)
 	go func() {
 		select {
 		case <-grant.Revoked():
--- a/scheduler/task.go
+++ b/scheduler/task.go
@@ -39,9 +39,9 @@
 
 func newTask(s *Scheduler, request Request) *task {
 	ctx, stop := context.WithCancelCause(s.ctx)
-	bound := s.options.AnswerBytes
+	bound := s.options.AnswerBufferBytes
 	if request.Call != nil {
-		bound = s.options.ResponseBytes
+		bound = s.options.ResponseBufferBytes
 	}
 	return &task{
 		scheduler: s,
@@ -104,12 +104,12 @@
 // if it can't come back.
 func (t *task) grace() time.Duration {
 	switch {
-	case t.request.NoReturn, t.buffer.EndRead():
+	case t.request.CancelOnDisconnect, t.buffer.EndRead():
 		return 0
 	case t.copying.Load():
-		return min(copyGrace, t.scheduler.options.Grace)
+		return min(copyGrace, t.scheduler.options.DisconnectGrace)
 	}
-	return t.scheduler.options.Grace
+	return t.scheduler.options.DisconnectGrace
 }
 
 // callerGone cancels the task. A dispatched request is cancelled at the engine only
@@ -216,7 +216,7 @@
 // again allows another claim, up to the bound; beyond it the task ends.
 func (t *task) again(end answer.End) step {
 	t.attempts++
-	if t.attempts >= t.scheduler.options.Attempts {
+	if t.attempts >= t.scheduler.options.MaxAttempts {
 		return t.end(end)
 	}
 	return stepAgain
