--- a/limits/bench_test.go
+++ b/limits/bench_test.go
@@ -161,8 +161,8 @@
 	for i := range nodes {
 		services = append(services, New(Options{
 			Transport: network.Node(member(i)), Membership: view, Config: table,
-			ReportEvery: DefaultReportEvery / compress, QuietEvery: DefaultQuietEvery / compress,
-			Settle: time.Nanosecond, IdleAfter: DefaultIdleAfter / compress,
+			ReportInterval: DefaultReportInterval / compress, SlowReportInterval: DefaultSlowReportInterval / compress,
+			SettleTime: time.Nanosecond, IdleTimeout: DefaultIdleTimeout / compress,
 		}))
 	}
 	go func() { _ = services[0].Run(ctx) }()
--- a/limits/books.go
+++ b/limits/books.go
@@ -70,10 +70,10 @@
 		pool:            pool(org.InFlight, len(f.live)),
 		tokensPerMinute: org.TokensPerMinute,
 		nodes:           len(f.live),
-		settling:        f.settling(now, id, b.service.self(), o.Settle),
+		settling:        f.settling(now, id, b.service.self(), o.SettleTime),
 		gone:            f.gone,
-		expiry:          o.Keep + 2*o.QuietEvery,
-		round:           uint64(now.Sub(b.start) / o.Rotate),
+		expiry:          o.ShareRetention + 2*o.SlowReportInterval,
+		round:           uint64(now.Sub(b.start) / o.RotationInterval),
 	}, true
 }
 
@@ -82,7 +82,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, owned := range b.all {
-		if now.Sub(owned.answeredAt) >= b.service.options.ForgetAfter {
+		if now.Sub(owned.answeredAt) >= b.service.options.EvictAfter {
 			delete(b.all, id)
 		}
 	}
--- a/limits/exchange.go
+++ b/limits/exchange.go
@@ -18,7 +18,7 @@
 	c.call, c.owner = under, owner
 	c.sequence++
 	d := demand{Organisation: c.organisation, Sequence: c.sequence, Advance: int(c.advance.Swap(0))}
-	if now.Sub(c.usedAt) >= s.options.IdleAfter && c.inFlight.Load() == 0 && !c.touched.Load() {
+	if now.Sub(c.usedAt) >= s.options.IdleTimeout && c.inFlight.Load() == 0 && !c.touched.Load() {
 		s.giveBack(c, &d)
 		return d, true
 	}
@@ -116,7 +116,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.call = nil
-	c.calmUntil = now.Add(s.options.ReportEvery)
+	c.calmUntil = now.Add(s.options.ReportInterval)
 	c.advance.Add(int64(d.Advance))
 	if c.held {
 		s.cut(now, c)
--- a/limits/reporter.go
+++ b/limits/reporter.go
@@ -19,7 +19,7 @@
 // Run reports demand and applies the answers until the context ends, and then
 // returns its error.
 func (s *Service) Run(ctx context.Context) error {
-	return pacing.Every(ctx, s.options.ReportEvery, func() { s.tick(time.Now()) })
+	return pacing.Every(ctx, s.options.ReportInterval, func() { s.tick(time.Now()) })
 }
 
 // tick looks after all accounts and sends the reports that are due, one message for
@@ -51,7 +51,7 @@
 	if c.touched.Swap(false) || c.inFlight.Load() > 0 {
 		c.usedAt = now
 	}
-	return now.Sub(c.usedAt) >= s.options.ForgetAfter && c.call == nil && c.closeIdle()
+	return now.Sub(c.usedAt) >= s.options.EvictAfter && c.call == nil && c.closeIdle()
 }
 
 // due keeps an account without an owner going, and reports whether its owner should
@@ -66,14 +66,14 @@
 	if c.call != nil {
 		return false
 	}
-	idle := now.Sub(c.usedAt) >= s.options.IdleAfter
+	idle := now.Sub(c.usedAt) >= s.options.IdleTimeout
 	switch {
 	case idle:
 		return c.held
 	case c.cutOff || s.presses(c) || c.held && !owner.SameLife(c.owner):
 		return true
 	default:
-		return now.Sub(c.reportedAt) >= s.options.QuietEvery && s.holds(c)
+		return now.Sub(c.reportedAt) >= s.options.SlowReportInterval && s.holds(c)
 	}
 }
 
@@ -120,7 +120,7 @@
 	if room := int64(part) - c.tokens.Load(); room > 0 {
 		c.tokens.Add(min(added, room))
 	}
-	if now.Sub(c.share.Load().at) >= s.options.Keep {
+	if now.Sub(c.share.Load().at) >= s.options.ShareRetention {
 		s.takeEqualPart(now, c)
 	}
 }
--- a/limits/service.go
+++ b/limits/service.go
@@ -96,7 +96,7 @@
 // insist asks the owner for more and tries again, as long as the owner gives more
 // and patience lasts.
 func (s *Service) insist(org *config.Organisation, a admission, c *account, err error) (*account, error) {
-	patience := time.NewTimer(s.options.Patience)
+	patience := time.NewTimer(s.options.OwnerWaitTimeout)
 	defer patience.Stop()
 	c.waiting.Add(1)
 	c.waitingTokens.Add(a.needed())
@@ -167,7 +167,7 @@
 	if view == f.view {
 		return f
 	}
-	next := f.next(time.Now(), view, s.options.Settle)
+	next := f.next(time.Now(), view, s.options.SettleTime)
 	s.fleet.CompareAndSwap(f, next)
 	return s.fleet.Load()
 }
--- a/sizing/limits_bench_test.go
+++ b/sizing/limits_bench_test.go
@@ -61,10 +61,10 @@
 	for i := range services {
 		services[i] = limits.New(limits.Options{
 			Transport: network.Node(limitsMember(i)), Membership: membership.NewStaticView(view), Config: table,
-			ReportEvery: limits.DefaultReportEvery / limitsCompress,
-			QuietEvery:  limits.DefaultQuietEvery / limitsCompress,
-			IdleAfter:   limits.DefaultIdleAfter / limitsCompress,
-			Settle:      time.Nanosecond,
+			ReportInterval:     limits.DefaultReportInterval / limitsCompress,
+			SlowReportInterval: limits.DefaultSlowReportInterval / limitsCompress,
+			IdleTimeout:        limits.DefaultIdleTimeout / limitsCompress,
+			SettleTime:         time.Nanosecond,
 		})
 		defer services[i].Close()
 	}
@@ -74,10 +74,10 @@
 			defer permit.Release(1, 1)
 		}
 	}
-	time.Sleep(2 * limits.DefaultQuietEvery / limitsCompress)
+	time.Sleep(2 * limits.DefaultSlowReportInterval / limitsCompress)
 	network.ResetCounts()
 	began := time.Now()
-	time.Sleep(limitsRounds * limits.DefaultQuietEvery / limitsCompress)
+	time.Sleep(limitsRounds * limits.DefaultSlowReportInterval / limitsCompress)
 	sent := network.Total("")
 	seconds := time.Since(began).Seconds() * limitsCompress
 	return float64(sent.Messages) / seconds, float64(sent.Bytes) / seconds
--- a/sizing/settings_test.go
+++ b/sizing/settings_test.go
@@ -46,14 +46,14 @@
 		"backoff_seconds":           sourceDuration(t, "../store/budget/options.go", "o.BackoffMax").Seconds(),
 		"anti_entropy_seconds":      sourceDuration(t, "../document/options.go", "AntiEntropy").Seconds(),
 		"watchers":                  sourceNumber(t, "../document/options.go", "o.Watchers", ", "),
-		"quiet_seconds":             limits.DefaultQuietEvery.Seconds(),
+		"quiet_seconds":             limits.DefaultSlowReportInterval.Seconds(),
 		"probe_seconds":             membership.DefaultProbeInterval.Seconds(),
 		"probe_timeout":             membership.DefaultProbeTimeout.Seconds(),
 		"suspicion_seconds":         membership.DefaultSuspicionTimeout.Seconds(),
 		"gone_seconds":              membership.DefaultGoneAfter.Seconds(),
 		"grant_ttl_seconds":         capacity.DefaultGrantTTL.Seconds(),
 		"notice_seconds":            settings.Default().Shutdown.NoticePeriod.Seconds(),
-		"limits_patience":           limits.DefaultPatience.Seconds(),
+		"limits_patience":           limits.DefaultOwnerWaitTimeout.Seconds(),
 	}
 }
 
