--- a/scheduler/attach.go
+++ b/scheduler/attach.go
@@ -11,45 +11,45 @@
 	"hawthornrill.example/hawthornrill/ledger"
 )
 
-// attachRetry is the pause before a holder that can't be read is asked about anew.
-const attachRetry = 500 * time.Millisecond
+// holderRetryDelay is the delay between attempts to read an unreachable holder.
+const holderRetryDelay = 500 * time.Millisecond
 
-// copyFrom copies the answer that another attempt produces, or has produced,
-// into the task's buffer. When the holder is gone the key is claimed anew, since
-// the home may have learnt meanwhile who can go on.
-func (t *task) copyFrom(claim ledger.Claim) step {
-	t.copying.Store(true)
-	defer t.copying.Store(false)
+// followHolder copies the answer that another attempt produces, or has produced, into
+// the task's buffer. If the holder is unreachable, the key is claimed again: the home
+// may since have learnt which node can continue the request.
+func (t *task) followHolder(claim ledger.Claim) step {
+	t.following.Store(true)
+	defer t.following.Store(false)
 	t.setPhase(PhaseRunning)
 	position := answer.Position{From: t.buffer.Next(), NeedHead: true}
 	for {
 		batch, err := t.readHolder(claim, position)
 		if err != nil {
-			return t.copyFailed(claim, err)
+			return t.followFailed(claim, err)
 		}
-		t.lost = time.Time{}
-		if err := t.append(batch); err != nil {
-			return t.copyFailed(claim, err)
+		t.unreachableSince = time.Time{}
+		if err := t.appendBatch(batch); err != nil {
+			return t.followFailed(claim, err)
 		}
 		position = position.Advance(batch)
 		if batch.End != nil {
-			return t.copyEnded(*batch.End)
+			return t.followEnded(*batch.End)
 		}
 	}
 }
 
 func (t *task) readHolder(claim ledger.Claim, position answer.Position) (answer.Batch, error) {
-	if !claim.Holder.SameLife(t.scheduler.parts.Transport.Self()) {
-		return t.scheduler.parts.Relay.Read(t.ctx, claim.Holder, t.request.Key, position)
+	if !claim.Holder.SameLife(t.scheduler.deps.Transport.Self()) {
+		return t.scheduler.deps.Relay.Read(t.ctx, claim.Holder, t.request.Key, position)
 	}
-	buffer, ok := t.scheduler.parts.Answers.Get(t.request.Key)
+	buffer, ok := t.scheduler.deps.Answers.Get(t.request.Key)
 	if !ok || buffer == t.buffer {
 		return answer.Batch{}, answer.ErrNotHeld
 	}
 	return buffer.Read(t.ctx, position)
 }
 
-func (t *task) append(batch answer.Batch) error {
+func (t *task) appendBatch(batch answer.Batch) error {
 	if batch.Head != nil {
 		t.buffer.SetHead(*batch.Head)
 	}
@@ -61,58 +61,59 @@
 	return nil
 }
 
-// copyEnded passes the end on. An attempt that was not run leaves the key free,
-// and this one takes its turn, unless the caller had cancelled.
-func (t *task) copyEnded(end answer.End) step {
+// followEnded passes on the end of the followed answer. A not_run outcome leaves the
+// key free, so this attempt claims it again, unless the caller cancelled the request.
+func (t *task) followEnded(end answer.End) step {
 	if end.Outcome == domain.OutcomeNotRun && end.Code != answer.CodeCancelled {
-		return t.retryLost(end)
+		return t.retryUnreachable(end)
 	}
 	return t.end(end)
 }
 
-func (t *task) copyFailed(claim ledger.Claim, err error) step {
+func (t *task) followFailed(claim ledger.Claim, err error) step {
 	switch {
 	case t.ctx.Err() != nil:
-		return t.end(unknown(answer.CodeHolderUnreachable, "this attempt stopped following the answer at another node", retrySoon))
+		return t.end(unknownEnd(answer.CodeHolderUnreachable, "this attempt stopped following the answer at another node", shortRetryDelay))
 	case errors.Is(err, answer.ErrTruncated):
-		return t.end(ran(answer.CodeNotHeld, "the request was run and the front of its answer is no longer held"))
+		return t.end(ranEnd(answer.CodeNotHeld, "the request was run and the front of its answer is no longer held"))
 	case errors.Is(err, answer.ErrNotHeld) && claim.Verdict == ledger.VerdictFinished:
-		return t.end(ran(answer.CodeNotHeld, "the request was run and its answer is no longer held"))
+		return t.end(ranEnd(answer.CodeNotHeld, "the request was run and its answer is no longer held"))
 	default:
-		return t.retryLost(unknown(answer.CodeHolderUnreachable, "the node that holds the answer can't be reached", retryLater))
+		return t.retryUnreachable(unknownEnd(answer.CodeHolderUnreachable, "the node that holds the answer can't be reached", longRetryDelay))
 	}
 }
 
-// retryLost waits before the key is claimed anew, until the holder has been out
-// of reach for the window.
-func (t *task) retryLost(end answer.End) step {
-	if t.lost.IsZero() {
-		t.lost = time.Now()
+// retryUnreachable waits and then requests another claim. It ends the task once the
+// holder has been unreachable for HolderTimeout.
+func (t *task) retryUnreachable(end answer.End) step {
+	if t.unreachableSince.IsZero() {
+		t.unreachableSince = time.Now()
 	}
-	if time.Since(t.lost) >= t.scheduler.options.HolderTimeout {
+	if time.Since(t.unreachableSince) >= t.scheduler.options.HolderTimeout {
 		return t.end(end)
 	}
-	timer := time.NewTimer(attachRetry)
+	timer := time.NewTimer(holderRetryDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return stepAgain
+		return stepRetry
 	case <-t.ctx.Done():
 		return t.end(end)
 	}
 }
 
-// takeOver reads the rest of an answer that a life now gone had dispatched.
-// Nothing is dispatched; a plain call can't be read again.
+// takeOver reads the rest of an answer whose request was dispatched by an incarnation
+// that no longer exists. It dispatches nothing. The response of a service call can't
+// be read again, so such a request ends as ran.
 func (t *task) takeOver(claim ledger.Claim) step {
-	t.claimed.Store(uint64(claim.ID))
-	t.scheduler.parts.Answers.Open(t.request.Key, t.buffer)
+	t.claimID.Store(uint64(claim.ID))
+	t.scheduler.deps.Answers.Open(t.request.Key, t.buffer)
 	t.setPhase(PhaseRunning)
 	if t.request.Call != nil {
-		return t.finish(claim, ran(answer.CodeBroken, "the request was dispatched by a node that is gone, and its response with it"))
+		return t.finish(claim, ranEnd(answer.CodeBroken, "the request was dispatched by a node that is gone, and its response with it"))
 	}
 	ctx, cancel := context.WithTimeoutCause(t.ctx, t.scheduler.options.RunTimeout, dispatch.ErrTooLong)
 	defer cancel()
-	result := t.scheduler.parts.Dispatcher.ResumeEngine(ctx, claim.Endpoint, t.request.Key, dispatch.EngineRun{Buffer: t.buffer})
+	result := t.scheduler.deps.Dispatcher.ResumeEngine(ctx, claim.Endpoint, t.request.Key, dispatch.EngineRun{Buffer: t.buffer})
 	return t.finish(claim, result.End)
 }
--- a/scheduler/cancel.go
+++ b/scheduler/cancel.go
@@ -15,9 +15,9 @@
 const MethodCancel peer.Method = "answer.cancel"
 
 var (
-	// ErrNotFound means that no node in reach runs the request.
+	// ErrNotFound means that no reachable node runs the request.
 	ErrNotFound = errors.New("scheduler: request not found")
-	// ErrUnknown means that the node that may run the request can't be reached.
+	// ErrUnknown means that the node that may run the request is unreachable.
 	ErrUnknown = errors.New("scheduler: state of the request is unknown")
 )
 
@@ -29,21 +29,21 @@
 	Found bool `cbor:"1,keyasint"`
 }
 
-// Cancel ends a request on its caller's order, wherever it runs. After a nil
-// error it is being cancelled; the attempts that read it are told how it ended.
-// It returns ErrNotFound or ErrUnknown.
+// Cancel cancels a request at the caller's demand, on whichever node it runs. A nil
+// error means that cancellation has started; attempts that read the answer receive
+// its final outcome. It returns ErrNotFound or ErrUnknown.
 func (s *Scheduler) Cancel(ctx context.Context, key domain.RequestKey) error {
-	if s.cancelHere(key) {
+	if s.cancelLocal(key) {
 		return nil
 	}
 	_, claim, err := s.lookup(ctx, key)
 	if err != nil {
 		return err
 	}
-	if claim.Holder.SameLife(s.parts.Transport.Self()) {
+	if claim.Holder.SameLife(s.deps.Transport.Self()) {
 		return ErrNotFound
 	}
-	reply, err := peer.Call[cancelRequest, cancelReply](ctx, s.parts.Transport, claim.Holder, MethodCancel, cancelRequest{Key: key})
+	reply, err := peer.Call[cancelRequest, cancelReply](ctx, s.deps.Transport, claim.Holder, MethodCancel, cancelRequest{Key: key})
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
@@ -53,11 +53,11 @@
 	return nil
 }
 
-// lookup asks the key's home and translates its errors.
+// lookup queries the key's home and translates its errors.
 func (s *Scheduler) lookup(ctx context.Context, key domain.RequestKey) (ledger.State, ledger.Claim, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.ClaimTimeout)
 	defer cancel()
-	state, claim, err := s.parts.Ledger.Lookup(ctx, key)
+	state, claim, err := s.deps.Ledger.Lookup(ctx, key)
 	switch {
 	case err == nil:
 		return state, claim, nil
@@ -68,13 +68,13 @@
 	}
 }
 
-// cancelHere cancels the request if this node runs it. An attempt that only
-// follows another's answer is left to learn the end from there.
-func (s *Scheduler) cancelHere(key domain.RequestKey) bool {
+// cancelLocal cancels the request if this node runs it. A task that follows another
+// attempt's answer is not cancelled: it receives the end from the holder.
+func (s *Scheduler) cancelLocal(key domain.RequestKey) bool {
 	s.mu.Lock()
 	t, ok := s.tasks[key]
 	s.mu.Unlock()
-	if !ok || t.copying.Load() || t.phaseNow() == PhaseEnded {
+	if !ok || t.following.Load() || t.currentPhase() == PhaseEnded {
 		return false
 	}
 	t.cancel(dispatch.ErrCancelled)
@@ -82,5 +82,5 @@
 }
 
 func (s *Scheduler) serveCancel(_ context.Context, _ domain.Member, request cancelRequest) (cancelReply, error) {
-	return cancelReply{Found: s.cancelHere(request.Key)}, nil
+	return cancelReply{Found: s.cancelLocal(request.Key)}, nil
 }
--- a/scheduler/cancellation_test.go
+++ b/scheduler/cancellation_test.go
@@ -14,43 +14,43 @@
 )
 
 func TestCancellation(t *testing.T) {
-	cancel := func(node domain.NodeID) func(*testing.T, *bench, *scheduler.Handle) {
-		return func(t *testing.T, b *bench, _ *scheduler.Handle) {
+	cancel := func(node domain.NodeID) func(*testing.T, *cluster, *scheduler.Handle) {
+		return func(t *testing.T, b *cluster, _ *scheduler.Handle) {
 			assert.NilError(t, b.nodes[node].Cancel(t.Context(), request("k").Key))
 		}
 	}
 	tests := map[string]struct {
-		noReturn bool
-		waiting  bool
-		act      func(*testing.T, *bench, *scheduler.Handle)
-		outcome  domain.Outcome
-		code     answer.Code
-		cancels  int
+		cancelOnDisconnect bool
+		waiting            bool
+		act                func(*testing.T, *cluster, *scheduler.Handle)
+		outcome            domain.Outcome
+		code               answer.Code
+		cancels            int
 	}{
-		"by the caller":                    {act: cancel("a"), outcome: domain.OutcomeRan, code: answer.CodeCancelled, cancels: 1},
-		"by the caller at another node":    {act: cancel("b"), outcome: domain.OutcomeRan, code: answer.CodeCancelled, cancels: 1},
-		"by the caller while waiting":      {waiting: true, act: cancel("b"), outcome: domain.OutcomeNotRun, code: answer.CodeCancelled},
-		"for a higher tier":                {act: func(_ *testing.T, b *bench, _ *scheduler.Handle) { b.capacity.Grants()[0].Revoke() }, outcome: domain.OutcomeRan, code: answer.CodePreempted, cancels: 1},
-		"caller gone for the grace time":   {act: gone(31 * time.Second), outcome: domain.OutcomeRan, code: answer.CodeCallerGone, cancels: 1},
-		"caller gone for less":             {act: back},
-		"caller gone, can't come back":     {noReturn: true, act: gone(time.Second), outcome: domain.OutcomeRan, code: answer.CodeCallerGone, cancels: 1},
-		"caller gone while waiting":        {waiting: true, act: gone(31 * time.Second), outcome: domain.OutcomeNotRun, code: answer.CodeCallerGone},
-		"caller gone and taken over":       {act: takenOver, outcome: domain.OutcomeUnknown, code: answer.CodeOvertaken},
-		"node stopped without a drain":     {act: func(_ *testing.T, b *bench, _ *scheduler.Handle) { b.nodes["a"].Close() }, outcome: domain.OutcomeRan, code: answer.CodeStopped, cancels: 1},
-		"node stopped while request waits": {waiting: true, act: func(_ *testing.T, b *bench, _ *scheduler.Handle) { b.nodes["a"].Close() }, outcome: domain.OutcomeNotRun, code: answer.CodeStopped},
+		"by the caller":                               {act: cancel("a"), outcome: domain.OutcomeRan, code: answer.CodeCancelled, cancels: 1},
+		"by the caller at another node":               {act: cancel("b"), outcome: domain.OutcomeRan, code: answer.CodeCancelled, cancels: 1},
+		"by the caller while waiting":                 {waiting: true, act: cancel("b"), outcome: domain.OutcomeNotRun, code: answer.CodeCancelled},
+		"preempted by a higher tier":                  {act: func(_ *testing.T, b *cluster, _ *scheduler.Handle) { b.capacity.Grants()[0].Revoke() }, outcome: domain.OutcomeRan, code: answer.CodePreempted, cancels: 1},
+		"caller disconnected beyond the grace period": {act: disconnectFor(31 * time.Second), outcome: domain.OutcomeRan, code: answer.CodeCallerGone, cancels: 1},
+		"caller reconnects within the grace period":   {act: reconnectWithinGrace},
+		"caller disconnected, CancelOnDisconnect":     {cancelOnDisconnect: true, act: disconnectFor(time.Second), outcome: domain.OutcomeRan, code: answer.CodeCallerGone, cancels: 1},
+		"caller disconnected while waiting":           {waiting: true, act: disconnectFor(31 * time.Second), outcome: domain.OutcomeNotRun, code: answer.CodeCallerGone},
+		"caller disconnected, request taken over":     {act: takenOverByOtherNode, outcome: domain.OutcomeUnknown, code: answer.CodeOvertaken},
+		"node closed without drain":                   {act: func(_ *testing.T, b *cluster, _ *scheduler.Handle) { b.nodes["a"].Close() }, outcome: domain.OutcomeRan, code: answer.CodeStopped, cancels: 1},
+		"node closed while request waits":             {waiting: true, act: func(_ *testing.T, b *cluster, _ *scheduler.Handle) { b.nodes["a"].Close() }, outcome: domain.OutcomeNotRun, code: answer.CodeStopped},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(schedulertest.Script{Tokens: 60}, scheduler.Options{})
+				b := newCluster(schedulertest.Script{Tokens: 60}, scheduler.Options{})
 				defer b.close()
 				b.capacity.Block(test.waiting)
-				asked := request("k")
-				asked.CancelOnDisconnect = test.noReturn
-				handle := b.nodes["a"].Submit(asked)
+				submitted := request("k")
+				submitted.CancelOnDisconnect = test.cancelOnDisconnect
+				handle := b.nodes["a"].Submit(submitted)
 				time.Sleep(1500 * time.Millisecond)
 				test.act(t, b, handle)
-				// Reading on after Close doesn't count as a caller.
+				// Read does not count as a reader once the handle is closed.
 				_, end := readFrom(t, handle, answer.Position{}, 1<<62)
 				assert.Equal(t, end.Outcome, test.outcome)
 				assert.Equal(t, end.Code, test.code)
@@ -62,23 +62,23 @@
 	}
 }
 
-func gone(away time.Duration) func(*testing.T, *bench, *scheduler.Handle) {
-	return func(_ *testing.T, _ *bench, handle *scheduler.Handle) {
+func disconnectFor(duration time.Duration) func(*testing.T, *cluster, *scheduler.Handle) {
+	return func(_ *testing.T, _ *cluster, handle *scheduler.Handle) {
 		handle.Close()
-		time.Sleep(away)
+		time.Sleep(duration)
 	}
 }
 
-func back(t *testing.T, b *bench, handle *scheduler.Handle) {
-	gone(29*time.Second)(t, b, handle)
+func reconnectWithinGrace(t *testing.T, b *cluster, handle *scheduler.Handle) {
+	disconnectFor(29*time.Second)(t, b, handle)
 	t.Cleanup(b.nodes["a"].Submit(request("k")).Close)
 }
 
-// takenOver lets another node take the request over while this one's caller is gone.
-
-func takenOver(t *testing.T, b *bench, handle *scheduler.Handle) {
+// takenOverByOtherNode lets another node take the request over while the caller is
+// disconnected from this one.
+func takenOverByOtherNode(t *testing.T, b *cluster, handle *scheduler.Handle) {
 	b.home.MarkGone(schedulertest.NewMember("a"))
 	other := b.nodes["b"].Submit(request("k"))
 	t.Cleanup(other.Close)
-	gone(31*time.Second)(t, b, handle)
+	disconnectFor(31*time.Second)(t, b, handle)
 }
--- a/scheduler/drain.go
+++ b/scheduler/drain.go
@@ -7,15 +7,15 @@
 	"hawthornrill.example/hawthornrill/dispatch"
 )
 
-// drainPoll is how often a drain looks whether all is done.
-const drainPoll = 50 * time.Millisecond
+// drainPollInterval is how often Drain checks for work in progress.
+const drainPollInterval = 50 * time.Millisecond
 
-// Drain lets everything in progress finish and be delivered, and gives up what
-// is new: its claim is released and the caller told not_run. It returns when
-// nothing is left, or ctx's error.
+// Drain lets requests in progress finish and be delivered. New requests are refused:
+// their claims are released and the caller receives not_run. It returns when no work
+// is left, or with the cause of ctx's end.
 func (s *Scheduler) Drain(ctx context.Context) error {
 	s.draining.Store(true)
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for s.inProgress() > 0 {
 		select {
@@ -30,8 +30,8 @@
 // Draining reports whether Drain was called.
 func (s *Scheduler) Draining() bool { return s.draining.Load() }
 
-// Close cuts whatever is still in progress, each with a truthful end, and waits
-// for it.
+// Close stops the tasks in progress, ends each with the outcome that applies to its
+// step, and waits for them.
 func (s *Scheduler) Close() {
 	s.mu.Lock()
 	s.stop(dispatch.ErrStopped)
--- a/scheduler/find.go
+++ b/scheduler/find.go
@@ -8,38 +8,39 @@
 	"hawthornrill.example/hawthornrill/ledger"
 )
 
-// Progress tells a caller where its request stands.
+// Progress is the progress of a request as reported to its caller.
 type Progress string
 
 const (
-	// ProgressWaiting: not dispatched yet.
+	// ProgressWaiting means not dispatched yet.
 	ProgressWaiting Progress = "waiting"
-	// ProgressRunning: dispatched, or about to be.
+	// ProgressRunning means dispatched or about to be dispatched.
 	ProgressRunning Progress = "running"
-	// ProgressFinished: the answer is complete.
+	// ProgressFinished means that the answer is complete.
 	ProgressFinished Progress = "finished"
-	// ProgressFailed: dispatched, and the answer will never be complete.
+	// ProgressFailed means that the request was dispatched and its answer will never
+	// be complete.
 	ProgressFailed Progress = "failed"
 )
 
-// Find tells where a request stands and gives a hold on its answer, wherever it
-// is. It claims nothing. It returns ErrNotFound or ErrUnknown.
+// Find returns the progress of a request and a handle to its answer, on whichever
+// node it is. It does not claim the key. It returns ErrNotFound or ErrUnknown.
 func (s *Scheduler) Find(ctx context.Context, key domain.RequestKey) (Progress, *Handle, error) {
-	if progress, handle, ok := s.findHere(key); ok {
+	if progress, handle, ok := s.findLocal(key); ok {
 		return progress, handle, nil
 	}
 	state, claim, err := s.lookup(ctx, key)
 	if err != nil {
 		return "", nil, err
 	}
-	return progressOf(state), s.follow(key, claim.Holder), nil
+	return progressOf(state), s.holderHandle(key, claim.Holder), nil
 }
 
-func (s *Scheduler) findHere(key domain.RequestKey) (Progress, *Handle, bool) {
+func (s *Scheduler) findLocal(key domain.RequestKey) (Progress, *Handle, bool) {
 	s.mu.Lock()
 	t, ok := s.tasks[key]
 	s.mu.Unlock()
-	if ok && !t.copying.Load() {
+	if ok && !t.following.Load() {
 		return t.progress(), t.handle(), true
 	}
 	return "", nil, false
@@ -52,7 +53,7 @@
 		}
 		return ProgressFailed
 	}
-	if t.phaseNow() == PhaseRunning {
+	if t.currentPhase() == PhaseRunning {
 		return ProgressRunning
 	}
 	return ProgressWaiting
@@ -71,25 +72,25 @@
 	}
 }
 
-// follow returns a handle that reads the holder's answer.
-func (s *Scheduler) follow(key domain.RequestKey, holder domain.Member) *Handle {
-	if !holder.SameLife(s.parts.Transport.Self()) {
-		source := remoteSource{relay: s.parts.Relay, holder: holder, key: key}
-		return &Handle{source: source, leave: func() {}}
+// holderHandle returns a handle that reads the holder's answer.
+func (s *Scheduler) holderHandle(key domain.RequestKey, holder domain.Member) *Handle {
+	if !holder.SameLife(s.deps.Transport.Self()) {
+		source := relaySource{relay: s.deps.Relay, holder: holder, key: key}
+		return &Handle{source: source, detach: func() {}}
 	}
-	if buffer, ok := s.parts.Answers.Get(key); ok {
+	if buffer, ok := s.deps.Answers.Get(key); ok {
 		return newHandle(buffer)
 	}
-	return endedHandle(ran(answer.CodeNotHeld, "the answer is no longer held"))
+	return endedHandle(ranEnd(answer.CodeNotHeld, "the answer is no longer held"))
 }
 
-// remoteSource reads another node's answer without keeping it here.
-type remoteSource struct {
+// relaySource reads an answer from another node without buffering it on this one.
+type relaySource struct {
 	relay  *answer.Relay
 	holder domain.Member
 	key    domain.RequestKey
 }
 
-func (r remoteSource) Read(ctx context.Context, position answer.Position) (answer.Batch, error) {
+func (r relaySource) Read(ctx context.Context, position answer.Position) (answer.Batch, error) {
 	return r.relay.Read(ctx, r.holder, r.key, position)
 }
--- a/scheduler/fixture_test.go
+++ b/scheduler/fixture_test.go
@@ -17,29 +17,29 @@
 	"hawthornrill.example/hawthornrill/scheduler/schedulertest"
 )
 
-type bench struct {
+type cluster struct {
 	network  *peertest.Network
 	home     *schedulertest.Home
 	capacity *schedulertest.Capacity
 	engine   *schedulertest.Engine
-	limits   *limits
+	limiter  *countingLimiter
 	peers    map[domain.NodeID]*peertest.Node
 	nodes    map[domain.NodeID]*scheduler.Scheduler
 }
 
-func newBench(script schedulertest.Script, options scheduler.Options) *bench {
+func newCluster(script schedulertest.Script, options scheduler.Options) *cluster {
 	if script.Tokens == 0 {
 		script.Tokens = 10
 	}
 	if script.Interval == 0 {
 		script.Interval = time.Second
 	}
-	b := &bench{
+	b := &cluster{
 		network:  peertest.NewNetwork(),
 		home:     schedulertest.NewHome(),
 		capacity: schedulertest.NewCapacity("e"),
 		engine:   schedulertest.NewEngine(script),
-		limits:   &limits{},
+		limiter:  &countingLimiter{},
 		peers:    make(map[domain.NodeID]*peertest.Node),
 		nodes:    make(map[domain.NodeID]*scheduler.Scheduler),
 	}
@@ -47,7 +47,7 @@
 		Home:      b.home,
 		Capacity:  b.capacity,
 		Endpoints: schedulertest.Endpoints{Engines: map[domain.EndpointID]endpoint.Engine{"e": b.engine}},
-		Limiter:   b.limits,
+		Limiter:   b.limiter,
 	}
 	for _, name := range []domain.NodeID{"a", "b", "c"} {
 		b.peers[name] = b.network.Node(schedulertest.NewMember(name))
@@ -56,21 +56,20 @@
 	return b
 }
 
-func (b *bench) close() {
+func (b *cluster) close() {
 	for _, s := range b.nodes {
 		s.Close()
 	}
 	b.network.Close()
 }
 
-// limits counts permits and fails with err.
-
-type limits struct {
+// countingLimiter counts open permits and fails with err if it is set.
+type countingLimiter struct {
 	err  error
 	held atomic.Int64
 }
 
-func (l *limits) Admit(*config.Organisation, int, int) (scheduler.LimitPermit, error) {
+func (l *countingLimiter) Admit(*config.Organisation, int, int) (scheduler.LimitPermit, error) {
 	if l.err != nil {
 		return nil, l.err
 	}
@@ -78,7 +77,7 @@
 	return l, nil
 }
 
-func (l *limits) Release(int, int) { l.held.Add(-1) }
+func (l *countingLimiter) Release(int, int) { l.held.Add(-1) }
 
 func organisation(rank domain.Tier) *config.Organisation {
 	return &config.Organisation{OrganisationRow: config.OrganisationRow{ID: "o"}, Rank: rank}
@@ -94,15 +93,13 @@
 }
 
 // readAll reads a handle to the end, closes it and returns the text.
-
 func readAll(t *testing.T, h *scheduler.Handle) (string, answer.End) {
 	t.Helper()
 	defer h.Close()
 	return readFrom(t, h, answer.Position{}, 1<<62)
 }
 
-// readFrom reads until the end or the chunk before stop.
-
+// readFrom reads until the end of the answer or the chunk before stop.
 func readFrom(t *testing.T, h *scheduler.Handle, position answer.Position, stop uint64) (string, answer.End) {
 	t.Helper()
 	var text strings.Builder
@@ -120,9 +117,8 @@
 	return text.String(), answer.End{}
 }
 
-// whole is the answer to a key, between two offsets.
-
-func whole(key domain.RequestKey, from, to uint64) string {
+// expectedText returns the answer to a key between two offsets.
+func expectedText(key domain.RequestKey, from, to uint64) string {
 	var text strings.Builder
 	for offset := from; offset < to; offset++ {
 		text.WriteString(schedulertest.EventData(key.String(), offset))
--- a/scheduler/handle.go
+++ b/scheduler/handle.go
@@ -7,32 +7,33 @@
 	"hawthornrill.example/hawthornrill/answer"
 )
 
-// Source is where an answer is read from.
+// Source supplies an answer to a reader.
 type Source interface {
-	// Read returns what there is from the position on and waits when there is
-	// nothing; it may return an empty batch after a while.
+	// Read returns the data available from the position on and blocks while there is
+	// none; it may return an empty batch after a while.
 	Read(ctx context.Context, position answer.Position) (answer.Batch, error)
 }
 
-// Handle is one caller's hold on a request. The request goes on without it for
-// the grace time.
+// Handle is one caller's reference to a request. Without any handle the request
+// continues for DisconnectGrace.
 type Handle struct {
 	source Source
-	leave  func()
+	detach func()
 	close  sync.Once
 }
 
 func newHandle(buffer *answer.Buffer) *Handle {
 	buffer.Audience.Enter()
-	return &Handle{source: buffer, leave: buffer.Audience.Leave}
+	return &Handle{source: buffer, detach: buffer.Audience.Leave}
 }
 
-// Read returns what there is of the answer from the position on, and waits when
-// there is nothing; it may return an empty batch after a while. It returns
+// Read returns the part of the answer available from the position on and blocks while
+// there is none; it may return an empty batch after a while. It returns
 // answer.ErrTruncated if the position is no longer held.
 func (h *Handle) Read(ctx context.Context, position answer.Position) (answer.Batch, error) {
 	return h.source.Read(ctx, position)
 }
 
-// Close says that the caller no longer reads. It must be called, once or more.
-func (h *Handle) Close() { h.close.Do(h.leave) }
+// Close ends the caller's reading. It must be called at least once; further calls
+// have no effect.
+func (h *Handle) Close() { h.close.Do(h.detach) }
--- a/scheduler/lengths.go
+++ b/scheduler/length_predictor.go
@@ -2,22 +2,23 @@
 
 import "hawthornrill.example/hawthornrill/domain"
 
-// LengthPredictor predicts how long answers will be.
+// LengthPredictor predicts the lengths of answers.
 type LengthPredictor interface {
-	// Predict returns the tokens to expect, from 1 to limit; a limit of 0 is none.
+	// Predict returns the expected number of answer tokens, from 1 to limit; a limit
+	// of 0 means no limit.
 	Predict(organisation domain.OrganisationID, pool domain.PoolName, promptTokens, limit int) int
-	// Observe tells the length of a complete answer that was predicted with the
+	// Observe records the length of a complete answer that was predicted with the
 	// limit.
 	Observe(organisation domain.OrganisationID, pool domain.PoolName, promptTokens, limit, answerTokens int)
 }
 
-// MaxLengthPredictor expects every answer to be as long as it may be.
+// MaxLengthPredictor predicts the maximum length that the request allows.
 type MaxLengthPredictor struct{}
 
-// Predict implements Lengths.
+// Predict implements LengthPredictor.
 func (MaxLengthPredictor) Predict(_ domain.OrganisationID, _ domain.PoolName, _, limit int) int {
 	return limit
 }
 
-// Observe implements Lengths.
+// Observe implements LengthPredictor.
 func (MaxLengthPredictor) Observe(domain.OrganisationID, domain.PoolName, int, int, int) {}
--- a/scheduler/limits.go
+++ b/scheduler/limiter.go
@@ -6,34 +6,36 @@
 	"hawthornrill.example/hawthornrill/config"
 )
 
-// Limiter holds organisations to their limits over all nodes.
+// Limiter enforces organisations' limits across all nodes.
 type Limiter interface {
-	// Admit counts a request in, or returns a *LimitError.
+	// Admit admits a request, or returns a *LimitError.
 	Admit(organisation *config.Organisation, promptTokens, answerTokens int) (LimitPermit, error)
 }
 
-// LimitPermit is a request counted in.
+// LimitPermit represents an admitted request.
 type LimitPermit interface {
-	// Release counts it out with the tokens it really took. Only the first call counts.
+	// Release ends the request with the tokens that it actually used. Only the first
+	// call has an effect.
 	Release(promptTokens, answerTokens int)
 }
 
-// LimitError says which limit was met and when to come back.
+// LimitError states which limit was reached and when to retry.
 type LimitError struct {
 	// Reason is a text for the caller, such as "requests in flight".
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// Error returns the reason.
 func (e *LimitError) Error() string { return "limit reached: " + e.Reason }
 
-// NoLimits admits everything.
+// NoLimits admits every request.
 type NoLimits struct{}
 
-// Admit always succeeds.
-func (NoLimits) Admit(*config.Organisation, int, int) (LimitPermit, error) { return noPermit{}, nil }
+// Admit implements Limiter.
+func (NoLimits) Admit(*config.Organisation, int, int) (LimitPermit, error) {
+	return unlimitedPermit{}, nil
+}
 
-type noPermit struct{}
+type unlimitedPermit struct{}
 
-func (noPermit) Release(int, int) {}
+func (unlimitedPermit) Release(int, int) {}
--- a/scheduler/metrics.go
+++ b/scheduler/metrics.go
@@ -12,16 +12,15 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// metricSet counts requests by tier and by how they ended. Tiers, outcomes and
-// codes are few; organisations are not, and stay out.
+// metricSet counts requests by tier and outcome. Tiers, outcomes and codes have few
+// values; organisations have many and are therefore not a label.
 type metricSet struct {
 	set *metrics.Set
 }
 
 func newMetricSet() *metricSet { return &metricSet{set: metrics.NewSet()} }
 
-// ended counts one request.
-func (m *metricSet) ended(tier domain.Tier, end answer.End) {
+func (m *metricSet) recordEnd(tier domain.Tier, end answer.End) {
 	outcome := string(end.Outcome)
 	if end.Complete() {
 		outcome = "complete"
@@ -30,12 +29,13 @@
 	m.set.GetOrCreateCounter(name).Inc()
 }
 
-// dispatched records how a request dispatched here went: what it waited, whether
-// its answer began in time, and what prompt processing was thrown away.
-func (m *metricSet) dispatched(request *Request, first, limit time.Duration, use capacity.Result) {
+// recordDispatch records the result of a request dispatched by this node: the time to
+// its first token, whether that met the deadline, and the prompt tokens processed in
+// vain.
+func (m *metricSet) recordDispatch(request *Request, first, limit time.Duration, result capacity.Result) {
 	tier := request.Organisation.Rank
-	if !use.Complete {
-		prompt := max(use.PromptTokens, request.PromptTokens) - use.CachedTokens
+	if !result.Complete {
+		prompt := max(result.PromptTokens, request.PromptTokens) - result.CachedTokens
 		m.set.GetOrCreateCounter(fmt.Sprintf(`hawthornrill_prompt_tokens_wasted_total{tier="%d"}`, tier)).Add(prompt)
 		return
 	}
--- a/scheduler/metrics_test.go
+++ b/scheduler/metrics_test.go
@@ -14,15 +14,15 @@
 
 func TestMetricsByTier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(schedulertest.Script{DisconnectAt: []uint64{4}, ForgetOnDisconnect: true}, scheduler.Options{})
+		b := newCluster(schedulertest.Script{DisconnectAt: []uint64{4}, ForgetOnDisconnect: true}, scheduler.Options{})
 		defer b.close()
 		a := b.nodes["a"]
 		submit := func(client string, deadline time.Duration) {
-			asked := request(client)
-			asked.Organisation = organisation(2)
-			asked.PromptTokens = 70
-			asked.Deadline = deadline
-			readAll(t, a.Submit(asked))
+			submitted := request(client)
+			submitted.Organisation = organisation(2)
+			submitted.PromptTokens = 70
+			submitted.Deadline = deadline
+			readAll(t, a.Submit(submitted))
 		}
 		submit("broken", time.Minute)
 		submit("on time", time.Minute)
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -7,33 +7,36 @@
 	"hawthornrill.example/hawthornrill/defaults"
 )
 
-// Options bounds requests and the waits of their steps.
+// Options sets the limits and time-outs of requests.
 type Options struct {
-	// Grace is how long a request goes on without its caller.
+	// DisconnectGrace is how long a request continues without its caller.
 	DisconnectGrace time.Duration
-	// Deadline is used for requests that have none.
+	// DefaultDeadline applies to requests without a deadline.
 	DefaultDeadline time.Duration
-	// RunTimeout is how long a dispatched request may run.
+	// RunTimeout bounds the run time of a dispatched request.
 	RunTimeout time.Duration
 	// ClaimTimeout and SettleTimeout bound one exchange with the key's home.
 	ClaimTimeout  time.Duration
 	SettleTimeout time.Duration
-	// SettleWindow is for how long an unconfirmed release or finish is repeated.
+	// SettleWindow bounds the time for which an unconfirmed release or finish is
+	// retried.
 	SettleWindow time.Duration
-	// HolderTimeout is for how long the holder of an answer may be out of reach.
+	// HolderTimeout is how long the holder of an answer may be unreachable.
 	HolderTimeout time.Duration
-	// Attempts bounds claims of one request that are tried again because an
+	// MaxAttempts bounds the claims of one request that is retried because an
 	// endpoint refused the connection or a claim was revoked.
 	MaxAttempts int
 	// MaxTasks bounds the requests in progress on this node.
 	MaxTasks int
-	// AnswerBufferBytes bounds a model's answer in memory, ResponseBufferBytes that of a plain
-	// call; a reader slower than the endpoint slows it down beyond that.
+	// AnswerBufferBytes bounds a model's answer in memory, ResponseBufferBytes the
+	// response of a service call. When the buffer is full, the endpoint is read only
+	// as fast as the slowest reader.
 	AnswerBufferBytes   int
 	ResponseBufferBytes int
 }
 
-// DefaultOptions returns what a node uses unless its settings say otherwise.
+// DefaultOptions returns the options that a node uses unless its settings override
+// them.
 func DefaultOptions() Options {
 	return Options{
 		DisconnectGrace:     30 * time.Second,
--- a/scheduler/outcome.go
+++ b/scheduler/outcome.go
@@ -12,10 +12,10 @@
 	"hawthornrill.example/hawthornrill/ledger"
 )
 
-// Advice given to callers when no part knows better.
+// Retry delays reported to callers when no component supplies one.
 const (
-	retrySoon  = 1 * time.Second
-	retryLater = 5 * time.Second
+	shortRetryDelay = 1 * time.Second
+	longRetryDelay  = 5 * time.Second
 )
 
 var (
@@ -27,24 +27,25 @@
 func claimEnd(request Request, err error) answer.End {
 	switch {
 	case errors.Is(err, ledger.ErrFingerprint):
-		return notRun(answer.CodeKeyReused, "the key was used before with another request", 0)
+		return notRunEnd(answer.CodeKeyReused, "the key was used before with another request", 0)
 	case errors.Is(err, ledger.ErrFull):
-		return notRun(answer.CodeLedgerFull, "too many request keys are held", retryLater)
+		return notRunEnd(answer.CodeLedgerFull, "too many request keys are held", longRetryDelay)
 	default:
-		return untried(request, answer.CodeHistoryUnknown, "nobody reachable knows whether this key was run before")
+		return unclaimedEnd(request, answer.CodeHistoryUnknown, "nobody reachable knows whether this key was run before")
 	}
 }
 
-// limitEnd translates an error of Limits.Admit. It holds once the claim is released.
+// limitEnd translates an error of Limiter.Admit. It applies once the claim is
+// released.
 func limitEnd(err error) answer.End {
 	var limit *LimitError
 	if errors.As(err, &limit) {
-		return notRun(answer.CodeLimited, "the organisation is at its limit: "+limit.Reason, limit.RetryAfter)
+		return notRunEnd(answer.CodeLimited, "the organisation is at its limit: "+limit.Reason, limit.RetryAfter)
 	}
-	return notRun(answer.CodeLimited, "the organisation's limits can't be checked", retrySoon)
+	return notRunEnd(answer.CodeLimited, "the organisation's limits can't be checked", shortRetryDelay)
 }
 
-// acquireEnd translates an error of capacity.Acquire. It holds once the claim is
+// acquireEnd translates an error of capacity.Acquire. It applies once the claim is
 // released.
 func acquireEnd(err error) answer.End {
 	end := causeEnd(err)
@@ -55,40 +56,40 @@
 	return end
 }
 
-// causeEnd translates what ended a request before it was dispatched.
+// causeEnd translates the error that ended a request before it was dispatched.
 func causeEnd(err error) answer.End {
 	switch {
 	case errors.Is(err, errCommit):
-		return notRun(answer.CodeHomeUnreachable, "the key's home did not record the request", retrySoon)
+		return notRunEnd(answer.CodeHomeUnreachable, "the key's home did not record the request", shortRetryDelay)
 	case errors.Is(err, capacity.ErrShed):
-		return notRun(answer.CodeShed, "all places are taken by requests of this tier or above", retrySoon)
+		return notRunEnd(answer.CodeShed, "all places are taken by requests of this tier or above", shortRetryDelay)
 	case errors.Is(err, capacity.ErrDeadline), errors.Is(err, errDeadline):
-		return notRun(answer.CodeDeadline, "the request can't be served in time", retrySoon)
+		return notRunEnd(answer.CodeDeadline, "the request can't be served in time", shortRetryDelay)
 	case errors.Is(err, capacity.ErrNoEndpoint):
-		return notRun(answer.CodeNoEndpoint, "no endpoint is in service", retryLater)
+		return notRunEnd(answer.CodeNoEndpoint, "no endpoint is in service", longRetryDelay)
 	case errors.Is(err, capacity.ErrQuarantined):
-		return notRun(answer.CodeQuarantined, "requests with this content have crashed endpoints", 0)
+		return notRunEnd(answer.CodeQuarantined, "requests with this content have crashed endpoints", 0)
 	case errors.Is(err, dispatch.ErrPreempted):
-		return notRun(answer.CodePreempted, "the place was taken back for a higher tier", retrySoon)
+		return notRunEnd(answer.CodePreempted, "the place was taken back for a higher tier", shortRetryDelay)
 	case errors.Is(err, dispatch.ErrCancelled):
-		return notRun(answer.CodeCancelled, "cancelled by its caller", 0)
+		return notRunEnd(answer.CodeCancelled, "cancelled by its caller", 0)
 	case errors.Is(err, dispatch.ErrCallerGone):
-		return notRun(answer.CodeCallerGone, "the caller was gone", 0)
+		return notRunEnd(answer.CodeCallerGone, "the caller was gone", 0)
 	case errors.Is(err, dispatch.ErrStopped), errors.Is(err, context.Canceled):
-		return notRun(answer.CodeStopped, "the node stopped", retrySoon)
+		return notRunEnd(answer.CodeStopped, "the node stopped", shortRetryDelay)
 	default:
-		return notRun(answer.CodeUnreachable, "no endpoint could be reached", retrySoon)
+		return notRunEnd(answer.CodeUnreachable, "no endpoint could be reached", shortRetryDelay)
 	}
 }
 
-func notRun(code answer.Code, reason string, retry time.Duration) answer.End {
+func notRunEnd(code answer.Code, reason string, retry time.Duration) answer.End {
 	return answer.End{Outcome: domain.OutcomeNotRun, Code: code, Reason: reason, RetryAfter: retry}
 }
 
-func unknown(code answer.Code, reason string, retry time.Duration) answer.End {
+func unknownEnd(code answer.Code, reason string, retry time.Duration) answer.End {
 	return answer.End{Outcome: domain.OutcomeUnknown, Code: code, Reason: reason, RetryAfter: retry}
 }
 
-func ran(code answer.Code, reason string) answer.End {
+func ranEnd(code answer.Code, reason string) answer.End {
 	return answer.End{Outcome: domain.OutcomeRan, Code: code, Reason: reason}
 }
--- a/scheduler/random_test.go
+++ b/scheduler/random_test.go
@@ -31,10 +31,11 @@
 
 var randomNodes = []domain.NodeID{"a", "b", "c"}
 
-// Callers retry, hang up and come back at any node while links, the keys' home, the
-// capacity owner and the engine fail at random. Whatever they are told is true.
-func TestPromisesUnderRandomFaults(t *testing.T) {
-	told := make(map[string]int)
+// Callers retry, disconnect and reconnect at any node while links, the keys' home,
+// the capacity owner and the engine fail at random. Every reported outcome must match
+// what the engine ran, and no request may be dispatched twice.
+func TestOutcomesUnderRandomFaults(t *testing.T) {
+	outcomesSeen := make(map[string]int)
 	for seed := range uint64(randomSeeds) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
@@ -45,35 +46,36 @@
 			for range 15 {
 				script.DisconnectAt = append(script.DisconnectAt, random.Uint64N(10))
 			}
-			b := newBench(script, scheduler.Options{DisconnectGrace: 5 * time.Second})
+			b := newCluster(script, scheduler.Options{DisconnectGrace: 5 * time.Second})
 			defer b.close()
 			var callers sync.WaitGroup
 			outcomes := make(chan string, randomCallers)
 			for i := range randomCallers {
-				c := &randomCaller{bench: b, random: rand.New(rand.NewPCG(seed, uint64(i)+2)), request: request(fmt.Sprintf("k%d", i))}
+				c := &randomCaller{cluster: b, random: rand.New(rand.NewPCG(seed, uint64(i)+2)), request: request(fmt.Sprintf("k%d", i))}
 				callers.Go(func() { outcomes <- c.run(t) })
 			}
 			injectFaults(b, random)
 			callers.Wait()
 			for range randomCallers {
-				told[<-outcomes]++
+				outcomesSeen[<-outcomes]++
 			}
 			time.Sleep(3 * time.Minute)
 			synctest.Wait()
 			assert.Equal(t, b.capacity.Held(), 0)
-			assert.Equal(t, b.limits.held.Load(), int64(0))
+			assert.Equal(t, b.limiter.held.Load(), int64(0))
 			started := b.engine.Started()
 			slices.Sort(started)
 			assert.Equal(t, len(slices.Compact(slices.Clone(started))), len(started), "dispatched twice: %v", started)
 		})
 	}
-	t.Logf("callers were told last: %v", told)
-	assert.Assert(t, told["complete"] > randomSeeds*randomCallers/4, told)
+	t.Logf("final outcomes: %v", outcomesSeen)
+	assert.Assert(t, outcomesSeen["complete"] > randomSeeds*randomCallers/4, outcomesSeen)
 }
 
-// injectFaults breaks something every half second or so, and mends all in the end.
-func injectFaults(b *bench, random *rand.Rand) {
-	steps := []schedulertest.Operation{schedulertest.OpClaim, schedulertest.OpCommit, schedulertest.OpRelease, schedulertest.OpFinish, schedulertest.OpLookup}
+// injectFaults injects a random fault about every half second and clears all faults
+// at the end.
+func injectFaults(b *cluster, random *rand.Rand) {
+	operations := []schedulertest.Operation{schedulertest.OpClaim, schedulertest.OpCommit, schedulertest.OpRelease, schedulertest.OpFinish, schedulertest.OpLookup}
 	for range randomFaults {
 		time.Sleep(time.Duration(random.IntN(1000)) * time.Millisecond)
 		switch random.IntN(6) {
@@ -83,7 +85,7 @@
 			b.network.HealAll()
 		case 2:
 			fault := schedulertest.Fault{Err: ledger.ErrUnknown, ReplyLost: random.IntN(2) == 0, Count: 1 + random.IntN(2), Delay: time.Duration(random.IntN(3)) * time.Second}
-			b.home.InjectFault(steps[random.IntN(len(steps))], fault)
+			b.home.InjectFault(operations[random.IntN(len(operations))], fault)
 		case 3:
 			b.capacity.SetError(&capacity.Refusal{Err: capacity.ErrShed})
 		case 4:
@@ -97,9 +99,9 @@
 	b.capacity.Block(false)
 }
 
-// randomCaller asks for one request until it is told something final.
+// randomCaller retries one request until it receives a final outcome.
 type randomCaller struct {
-	bench   *bench
+	cluster *cluster
 	random  *rand.Rand
 	request scheduler.Request
 }
@@ -112,28 +114,28 @@
 		if !ended {
 			continue
 		}
-		ran := slices.Contains(c.bench.engine.Started(), c.request.Key.String())
+		ran := slices.Contains(c.cluster.engine.Started(), c.request.Key.String())
 		switch end.Outcome {
 		case "":
 			return "complete"
 		case domain.OutcomeNotRun:
-			assert.Check(t, !ran, "told not_run (%s): %s", end.Code, c.request.Key)
+			assert.Check(t, !ran, "reported not_run (%s) for a request that ran: %s", end.Code, c.request.Key)
 		case domain.OutcomeRan:
 			return "ran"
 		}
 	}
-	return "gave up"
+	return "attempts exhausted"
 }
 
-// attempt reads at a random node, and may hang up before the end.
+// attempt reads at a random node and may disconnect before the end.
 func (c *randomCaller) attempt(t *testing.T) (answer.End, bool) {
-	handle := c.bench.nodes[randomNodes[c.random.IntN(3)]].Submit(c.request)
+	handle := c.cluster.nodes[randomNodes[c.random.IntN(3)]].Submit(c.request)
 	defer handle.Close()
-	patience := time.Minute
+	timeout := time.Minute
 	if c.random.IntN(2) == 0 {
-		patience = time.Duration(c.random.IntN(3000)) * time.Millisecond
+		timeout = time.Duration(c.random.IntN(3000)) * time.Millisecond
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	var text strings.Builder
 	var position answer.Position
@@ -147,7 +149,7 @@
 		}
 		if batch.End != nil {
 			if batch.End.Complete() {
-				assert.Check(t, text.String() == whole(c.request.Key, 0, 10), "not its own whole answer: %s", text.String())
+				assert.Check(t, text.String() == expectedText(c.request.Key, 0, 10), "answer incomplete or of another request: %s", text.String())
 			}
 			return *batch.End, true
 		}
--- a/scheduler/return_test.go
+++ b/scheduler/reconnect_test.go
@@ -13,28 +13,28 @@
 	"hawthornrill.example/hawthornrill/scheduler/schedulertest"
 )
 
-func TestCallerComesBack(t *testing.T) {
+func TestReconnect(t *testing.T) {
 	tests := map[string]struct {
 		node  domain.NodeID
 		after time.Duration
-		fault func(*bench)
+		fault func(*cluster)
 		from  uint64
 		want  domain.Outcome
 	}{
 		"at the same node":                  {node: "a", from: 4},
 		"at another node":                   {node: "b", from: 4},
 		"at another node, from the start":   {node: "b"},
-		"when the answer is finished":       {node: "b", after: 15 * time.Second},
-		"much later":                        {node: "b", after: 5 * time.Minute},
-		"when the answer is no longer held": {node: "b", after: 11 * time.Minute, want: domain.OutcomeRan},
-		"while the holder is cut off": {node: "b", want: domain.OutcomeUnknown, fault: func(b *bench) {
+		"after the answer is finished":      {node: "b", after: 15 * time.Second},
+		"while the answer is cached":        {node: "b", after: 5 * time.Minute},
+		"after the answer has been evicted": {node: "b", after: 11 * time.Minute, want: domain.OutcomeRan},
+		"while the holder is partitioned": {node: "b", want: domain.OutcomeUnknown, fault: func(b *cluster) {
 			b.network.Cut("a", "b")
 		}},
-		"after the holder died": {node: "b", fault: func(b *bench) {
+		"after the holder crashed": {node: "b", fault: func(b *cluster) {
 			b.network.Crash("a")
 			b.home.Kill(schedulertest.NewMember("a"))
 		}},
-		"and the holder dies later": {node: "b", fault: func(b *bench) {
+		"before the holder crashes": {node: "b", fault: func(b *cluster) {
 			time.AfterFunc(2*time.Second, func() {
 				b.network.Crash("a")
 				b.home.Kill(schedulertest.NewMember("a"))
@@ -44,12 +44,12 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(schedulertest.Script{}, scheduler.Options{})
+				b := newCluster(schedulertest.Script{}, scheduler.Options{})
 				defer b.close()
 				key := request("k").Key
 				first := b.nodes["a"].Submit(request("k"))
-				head, _ := readFrom(t, first, answer.Position{}, 4)
-				assert.Equal(t, head, whole(key, 0, 4))
+				prefix, _ := readFrom(t, first, answer.Position{}, 4)
+				assert.Equal(t, prefix, expectedText(key, 0, 4))
 				first.Close()
 				if test.fault != nil {
 					test.fault(b)
@@ -57,10 +57,10 @@
 				time.Sleep(test.after)
 				second := b.nodes[test.node].Submit(request("k"))
 				defer second.Close()
-				rest, end := readFrom(t, second, answer.Position{From: test.from}, 1<<62)
+				suffix, end := readFrom(t, second, answer.Position{From: test.from}, 1<<62)
 				assert.Equal(t, end.Outcome, test.want)
 				if end.Complete() {
-					assert.Equal(t, rest, whole(key, test.from, 10))
+					assert.Equal(t, suffix, expectedText(key, test.from, 10))
 				}
 				assert.DeepEqual(t, b.engine.Started(), []string{key.String()})
 			})
@@ -68,11 +68,11 @@
 	}
 }
 
-// Two attempts at once at two nodes get the same answer, run once; a second body
-// under the key gets neither.
-func TestAttemptsAtOnce(t *testing.T) {
+// Concurrent attempts at two nodes receive the same answer, which is generated once.
+// An attempt with another body under the same key is refused.
+func TestConcurrentAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(schedulertest.Script{}, scheduler.Options{})
+		b := newCluster(schedulertest.Script{}, scheduler.Options{})
 		defer b.close()
 		handles := []*scheduler.Handle{
 			b.nodes["a"].Submit(request("k")), b.nodes["b"].Submit(request("k")),
@@ -87,16 +87,17 @@
 		for _, handle := range handles {
 			text, end := readAll(t, handle)
 			assert.Assert(t, end.Complete())
-			assert.Equal(t, text, whole(request("k").Key, 0, 10))
+			assert.Equal(t, text, expectedText(request("k").Key, 0, 10))
 		}
 		assert.Equal(t, len(b.engine.Started()), 1)
 	})
 }
 
-// A node that stops while it follows another's answer knows nothing of the rest.
+// A node that is closed while it follows another node's answer reports the outcome as
+// unknown.
 func TestFollowerStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(schedulertest.Script{}, scheduler.Options{})
+		b := newCluster(schedulertest.Script{}, scheduler.Options{})
 		defer b.close()
 		first := b.nodes["a"].Submit(request("k"))
 		synctest.Wait()
@@ -111,17 +112,17 @@
 	})
 }
 
-// An attempt that follows another takes its turn when that one was not run,
-// unless the caller had cancelled.
-func TestFollowerTakesItsTurn(t *testing.T) {
+// A following attempt runs the request itself when the followed one ends as not_run,
+// unless the caller cancelled the request.
+func TestFollowerRunsAfterNotRun(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench(schedulertest.Script{}, scheduler.Options{})
+			b := newCluster(schedulertest.Script{}, scheduler.Options{})
 			defer b.close()
 			b.capacity.Block(true)
-			hurried := request("k")
-			hurried.Deadline = time.Second
-			first := b.nodes["a"].Submit(hurried)
+			shortDeadline := request("k")
+			shortDeadline.Deadline = time.Second
+			first := b.nodes["a"].Submit(shortDeadline)
 			synctest.Wait()
 			second := b.nodes["b"].Submit(request("k"))
 			synctest.Wait()
@@ -138,16 +139,17 @@
 				return
 			}
 			assert.Assert(t, end.Complete(), end)
-			assert.Equal(t, text, whole(request("k").Key, 0, 10))
+			assert.Equal(t, text, expectedText(request("k").Key, 0, 10))
 			assert.Equal(t, len(b.engine.Started()), 1)
 		})
 	}
 }
 
-// A caller that comes back while its request is being given up gets its turn.
-func TestBackWhileGivenUp(t *testing.T) {
+// A caller that reconnects while its earlier attempt is still being released gets the
+// request run.
+func TestReconnectDuringRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(schedulertest.Script{}, scheduler.Options{DisconnectGrace: time.Second})
+		b := newCluster(schedulertest.Script{}, scheduler.Options{DisconnectGrace: time.Second})
 		defer b.close()
 		b.capacity.Block(true)
 		b.home.InjectFault(schedulertest.OpRelease, schedulertest.Fault{Delay: 2 * time.Second})
@@ -158,6 +160,6 @@
 		b.capacity.Block(false)
 		text, end := readAll(t, b.nodes["a"].Submit(request("k")))
 		assert.Assert(t, end.Complete(), end)
-		assert.Equal(t, text, whole(request("k").Key, 0, 10))
+		assert.Equal(t, text, expectedText(request("k").Key, 0, 10))
 	})
 }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -9,31 +9,33 @@
 	"hawthornrill.example/hawthornrill/ledger"
 )
 
-// Request is one admitted request of a caller. It must not be changed after
-// Submit.
+// Request is one admitted request of a caller. It must not be modified after Submit.
 type Request struct {
 	Key domain.RequestKey
-	// Minted says that the key was made for this attempt: no earlier one exists.
+	// GeneratedKey is true if the key was generated for this attempt, so that no
+	// earlier attempt exists.
 	GeneratedKey bool
 	Organisation *config.Organisation
 	Pool         domain.PoolName
-	// Fingerprint covers what is asked, to notice a key used twice.
+	// Fingerprint covers the request's contents, to detect a key reused for another
+	// request.
 	Fingerprint ledger.Fingerprint
-	// Content covers what is asked without key and caller, to recognise a request
-	// that crashes endpoints.
+	// ContentHash covers the request's contents without key and caller, to recognise
+	// a request that crashes endpoints.
 	ContentHash uint64
-	// PromptTokens, AnswerTokens and Blocks describe a model's request.
+	// PromptTokens, AnswerTokens and Blocks (hashes of the prompt's prefix blocks)
+	// describe a model request.
 	PromptTokens int
 	AnswerTokens int
 	Blocks       []uint64
-	// Deadline is how long the request may wait for a place; once dispatched it
-	// goes on to its end.
+	// Deadline bounds the wait for a slot. A request that has been dispatched runs to
+	// its end.
 	Deadline time.Duration
-	// CancelOnDisconnect says that the caller can't come back for the answer: the request is
-	// cancelled as soon as the caller is gone.
+	// CancelOnDisconnect is true if the caller can't reconnect to read the answer:
+	// the request is cancelled as soon as the caller disconnects.
 	CancelOnDisconnect bool
-	// Body is a model's JSON body with "stream" set to true; nil for a plain call.
+	// Body is a model's JSON body with "stream" set to true; nil for a service call.
 	Body []byte
-	// Call is a plain call; nil for a model.
+	// Call is a service call; nil for a model request.
 	Call *endpoint.ServiceRequest
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -13,7 +13,7 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Dependencies are what a scheduler puts together.
+// Dependencies are the components that a scheduler uses.
 type Dependencies struct {
 	Ledger     ledger.Ledger
 	Limiter    Limiter
@@ -22,59 +22,60 @@
 	Answers    *answer.Registry
 	Relay      *answer.Relay
 	Transport  peer.Transport
-	// LengthPredictor predicts answers' lengths; nil stands for MaxLengthPredictor.
+	// LengthPredictor predicts answer lengths; nil means MaxLengthPredictor.
 	LengthPredictor LengthPredictor
 }
 
 // Scheduler runs requests. It is safe for concurrent use.
 type Scheduler struct {
-	parts   Dependencies
+	deps    Dependencies
 	options Options
 	metrics *metricSet
 
 	ctx  context.Context
 	stop context.CancelCauseFunc
-	// work counts tasks and unconfirmed releases and finishes.
+	// work counts tasks and background retries of releases and finishes.
 	work     sync.WaitGroup
 	draining atomic.Bool
-	// active counts tasks, those being cancelled and replaced in the index included.
+	// active counts tasks, including those that are being cancelled and have been
+	// replaced in the index.
 	active atomic.Int64
-	// unsettled counts messages to keys' homes that are not confirmed yet.
+	// unsettled counts unconfirmed messages to keys' homes.
 	unsettled atomic.Int64
 
 	mu    sync.Mutex
 	tasks map[domain.RequestKey]*task
 }
 
-// New returns a scheduler; zero options mean defaults. It registers its handler
-// with the transport.
-func New(parts Dependencies, options Options) *Scheduler {
+// New returns a scheduler; zero options take the defaults. It registers the handler
+// of MethodCancel with the transport.
+func New(deps Dependencies, options Options) *Scheduler {
 	ctx, stop := context.WithCancelCause(context.Background())
-	if parts.LengthPredictor == nil {
-		parts.LengthPredictor = MaxLengthPredictor{}
+	if deps.LengthPredictor == nil {
+		deps.LengthPredictor = MaxLengthPredictor{}
 	}
 	s := &Scheduler{
-		parts:   parts,
+		deps:    deps,
 		options: options.withDefaults(),
 		metrics: newMetricSet(),
 		ctx:     ctx,
 		stop:    stop,
 		tasks:   make(map[domain.RequestKey]*task),
 	}
-	peer.Handle(parts.Transport, MethodCancel, s.serveCancel)
+	peer.Handle(deps.Transport, MethodCancel, s.serveCancel)
 	return s
 }
 
-// Submit takes the request up, or joins the attempt of the same key that is in
-// progress here and not being cancelled, and returns at once. Whatever becomes of it, a refusal
-// included, is read from the handle.
+// Submit starts the request, or joins the attempt of the same key that is in progress
+// on this node and not being cancelled, and returns at once. Every result, including
+// a refusal, is read from the handle.
 func (s *Scheduler) Submit(request Request) *Handle {
 	s.mu.Lock()
-	if running, ok := s.tasks[request.Key]; ok && !running.leaving.Load() {
+	if existing, ok := s.tasks[request.Key]; ok && !existing.cancelling.Load() {
 		defer s.mu.Unlock()
-		return running.join(request)
+		return existing.join(request)
 	}
-	if end, refused := s.refusal(request); refused {
+	if end, refused := s.rejection(request); refused {
 		s.mu.Unlock()
 		return endedHandle(end)
 	}
@@ -88,44 +89,44 @@
 	return handle
 }
 
-// refusal tells whether the node can't take the request up. While it drains it
-// still claims keys, since only the home knows whether an earlier attempt ran.
-func (s *Scheduler) refusal(request Request) (answer.End, bool) {
+// rejection reports whether the node can't accept the request. A draining node still
+// claims keys, since only the home knows whether an earlier attempt ran.
+func (s *Scheduler) rejection(request Request) (answer.End, bool) {
 	if s.ctx.Err() != nil {
-		return untried(request, answer.CodeStopped, "the node has stopped"), true
+		return unclaimedEnd(request, answer.CodeStopped, "the node has stopped"), true
 	}
-	if len(s.tasks) >= s.options.MaxTasks && !s.displace(request.Organisation.Rank) {
-		return untried(request, answer.CodeShed, "the node is full of requests of this tier or above"), true
+	if len(s.tasks) >= s.options.MaxTasks && !s.preemptLowerTier(request.Organisation.Rank) {
+		return unclaimedEnd(request, answer.CodeShed, "the node is full of requests of this tier or above"), true
 	}
 	return answer.End{}, false
 }
 
-// untried is the end of a request whose key was not even claimed. An earlier
-// attempt may have run, unless the key was minted for this one.
-func untried(request Request, code answer.Code, reason string) answer.End {
+// unclaimedEnd is the end of a request whose key was not claimed. An earlier attempt
+// may have run, unless the key was generated for this one.
+func unclaimedEnd(request Request, code answer.Code, reason string) answer.End {
 	if request.GeneratedKey {
-		return notRun(code, reason, retrySoon)
+		return notRunEnd(code, reason, shortRetryDelay)
 	}
-	return unknown(code, reason, retrySoon)
+	return unknownEnd(code, reason, shortRetryDelay)
 }
 
-// displace cancels a task of the lowest tier below rank, one that waits before
-// one that runs, and reports whether there was any.
-func (s *Scheduler) displace(rank domain.Tier) bool {
-	var victim *task
+// preemptLowerTier cancels a task of the lowest tier below rank, preferring one that
+// waits to one that runs, and reports whether there was any.
+func (s *Scheduler) preemptLowerTier(rank domain.Tier) bool {
+	var candidate *task
 	for _, t := range s.tasks {
-		if rank.Above(t.tier()) && !t.leaving.Load() && t.phaseNow() != PhaseEnded && (victim == nil || t.lessThan(victim)) {
-			victim = t
+		if rank.Above(t.tier()) && !t.cancelling.Load() && t.currentPhase() != PhaseEnded && (candidate == nil || t.evictBefore(candidate)) {
+			candidate = t
 		}
 	}
-	if victim == nil {
+	if candidate == nil {
 		return false
 	}
-	victim.cancel(dispatch.ErrPreempted)
+	candidate.cancel(dispatch.ErrPreempted)
 	return true
 }
 
-// remove takes the task out of the index; a later attempt starts anew.
+// remove deletes the task from the index, so that a later attempt starts a new task.
 func (s *Scheduler) remove(t *task) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/scheduler/schedulertest/capacity.go
+++ b/scheduler/schedulertest/capacity.go
@@ -8,48 +8,48 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Capacity grants places at the endpoints listed, in turn, without bound.
+// Capacity grants an unlimited number of slots at the listed endpoints, in turn.
 type Capacity struct {
 	mu        sync.Mutex
 	endpoints []domain.EndpointID
 	err       error
 	blocked   bool
-	asks      []capacity.Ask
+	requests  []capacity.Ask
 	grants    []*Grant
 }
 
-// NewCapacity returns a client that grants places at the endpoints.
+// NewCapacity returns a client that grants slots at the endpoints.
 func NewCapacity(endpoints ...domain.EndpointID) *Capacity { return &Capacity{endpoints: endpoints} }
 
-// Refuse makes every ask fail; nil grants again.
+// SetError makes every Acquire fail with err; nil restores grants.
 func (c *Capacity) SetError(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.err = err
 }
 
-// Block makes asks wait until their context ends.
+// Block makes Acquire wait until its context ends.
 func (c *Capacity) Block(blocked bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.blocked = blocked
 }
 
-// Asks returns the asks so far.
+// Requests returns the requests received so far.
 func (c *Capacity) Requests() []capacity.Ask {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]capacity.Ask(nil), c.asks...)
+	return append([]capacity.Ask(nil), c.requests...)
 }
 
-// Grants returns the grants so far.
+// Grants returns the grants made so far.
 func (c *Capacity) Grants() []*Grant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*Grant(nil), c.grants...)
 }
 
-// Held returns how many grants have not been released.
+// Held returns the number of grants that have not been released.
 func (c *Capacity) Held() int {
 	held := 0
 	for _, grant := range c.Grants() {
@@ -60,10 +60,10 @@
 	return held
 }
 
-// Acquire grants, refuses or waits as told.
+// Acquire implements capacity.Client.
 func (c *Capacity) Acquire(ctx context.Context, ask capacity.Ask) (capacity.Grant, error) {
 	c.mu.Lock()
-	c.asks = append(c.asks, ask)
+	c.requests = append(c.requests, ask)
 	if c.blocked {
 		c.mu.Unlock()
 		<-ctx.Done()
@@ -79,7 +79,7 @@
 	return grant, nil
 }
 
-// Grant is a place that was granted.
+// Grant is a granted slot.
 type Grant struct {
 	endpoint domain.EndpointID
 	revoked  chan struct{}
@@ -89,23 +89,23 @@
 	progress int
 }
 
-// Endpoint returns the endpoint.
+// Endpoint returns the endpoint of the slot.
 func (g *Grant) Endpoint() domain.EndpointID { return g.endpoint }
 
-// Revoked is closed by Revoke.
+// Revoked returns a channel that Revoke closes.
 func (g *Grant) Revoked() <-chan struct{} { return g.revoked }
 
-// Revoke takes the place back.
+// Revoke revokes the slot.
 func (g *Grant) Revoke() { close(g.revoked) }
 
-// Progress notes the tokens.
+// Progress records the number of tokens.
 func (g *Grant) Progress(tokens int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.progress = tokens
 }
 
-// Release notes the first result.
+// Release records the first result.
 func (g *Grant) Release(result capacity.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// Result returns what the place was released with, nil while it is held.
+// Result returns the result with which the slot was released, nil while it is held.
 func (g *Grant) Result() *capacity.Result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/scheduler/schedulertest/engine.go
+++ b/scheduler/schedulertest/engine.go
@@ -11,34 +11,36 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// errCut is how a scripted connection breaks.
-var errCut = errors.New("schedulertest: connection cut")
+// errDisconnected is the error of a scripted disconnection.
+var errDisconnected = errors.New("schedulertest: connection broken")
 
-// Script is how an engine behaves.
+// Script defines the behaviour of an engine.
 type Script struct {
-	// Tokens is the length of each answer, Interval the time between two.
+	// Tokens is the length of each answer, Interval the time between two tokens.
 	Tokens   int
 	Interval time.Duration
-	// Start is returned by Start; if Lost is set the request is run all the same.
+	// StartErr is returned by Engine.Start; with RunDespiteStartErr the request runs
+	// nevertheless.
 	StartErr           error
 	RunDespiteStartErr bool
-	// Cuts lists the offsets before which the connection breaks, once each.
+	// DisconnectAt lists the offsets before which the connection breaks, once each.
 	DisconnectAt []uint64
-	// Stall is the offset before which the first connection falls silent; zero for none.
+	// StallAt is the offset before which the first connection stops sending; zero for
+	// none.
 	StallAt uint64
-	// Resume is returned by Resume while ResumeFailures is above zero.
+	// ResumeErr is returned by Engine.Resume while ResumeFailures is above zero.
 	ResumeErr      error
 	ResumeFailures int
-	// Double sends every event twice, Stale sends an old one after every event,
-	// SkipAt leaves out this offset on the first connection.
+	// DuplicateEvents sends every event twice, StaleEvents sends an old event after
+	// every event, SkipAt omits this offset on the first connection.
 	DuplicateEvents bool
 	StaleEvents     bool
 	SkipAt          uint64
-	// Forget makes the engine forget streams when the connection breaks.
+	// ForgetOnDisconnect makes the engine discard streams when the connection breaks.
 	ForgetOnDisconnect bool
 }
 
-// Engine is a scripted model engine that keeps a log.
+// Engine is a scripted model engine that logs its calls.
 type Engine struct {
 	mu        sync.Mutex
 	script    Script
@@ -52,26 +54,26 @@
 	return &Engine{script: script, running: make(map[string]time.Time)}
 }
 
-// Started returns the keys it was sent, in order.
+// Started returns the keys of the requests started, in order.
 func (e *Engine) Started() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.started...)
 }
 
-// Cancelled returns the keys it was told to cancel.
+// Cancelled returns the keys passed to Cancel.
 func (e *Engine) Cancelled() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.cancelled...)
 }
 
-// EventData returns the data of an event of the answer to a key.
+// EventData returns the data of one event of the answer to a key.
 func EventData(key string, offset uint64) string {
 	return fmt.Sprintf(`{"id":"chat","model":"m","choices":[{"index":0,"delta":{"content":"%s/%d;"}}]}`, key, offset)
 }
 
-// Start logs the key and begins its stream.
+// Start logs the key and opens its stream.
 func (e *Engine) Start(_ context.Context, request endpoint.EngineRequest) (endpoint.Stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -86,7 +88,7 @@
 	return &stream{engine: e, script: e.script, key: request.Key, first: true}, nil
 }
 
-// Resume continues a stream that was started.
+// Resume continues a started stream.
 func (e *Engine) Resume(_ context.Context, key string, from uint64) (endpoint.Stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,18 +110,18 @@
 	return nil
 }
 
-// Load returns nothing.
+// Load returns an empty report.
 func (e *Engine) Load(context.Context) (endpoint.LoadReport, error) {
 	return endpoint.LoadReport{}, nil
 }
 
-// CacheEvents returns nothing.
+// CacheEvents returns no events.
 func (e *Engine) CacheEvents(context.Context, uint64) ([]endpoint.CacheEvent, error) {
 	return nil, nil
 }
 
-// cut reports whether the connection breaks before the offset.
-func (e *Engine) cut(key string, offset uint64) bool {
+// disconnectAt reports whether the connection breaks before the offset.
+func (e *Engine) disconnectAt(key string, offset uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i, at := range e.script.DisconnectAt {
@@ -135,8 +137,8 @@
 	return false
 }
 
-// ready waits until the engine has produced the offset.
-func (e *Engine) ready(ctx context.Context, key string, offset uint64) error {
+// waitProduced waits until the engine has produced the offset.
+func (e *Engine) waitProduced(ctx context.Context, key string, offset uint64) error {
 	e.mu.Lock()
 	at := e.running[key].Add(time.Duration(offset+1) * e.script.Interval)
 	e.mu.Unlock()
@@ -151,23 +153,23 @@
 }
 
 type stream struct {
-	engine *Engine
-	script Script
-	key    string
-	next   uint64
-	first  bool
-	again  []endpoint.Event
+	engine   *Engine
+	script   Script
+	key      string
+	next     uint64
+	first    bool
+	replayed []endpoint.Event
 }
 
 func (s *stream) Next(ctx context.Context) (endpoint.Event, error) {
-	if len(s.again) > 0 {
-		event := s.again[0]
-		s.again = s.again[1:]
+	if len(s.replayed) > 0 {
+		event := s.replayed[0]
+		s.replayed = s.replayed[1:]
 		return event, nil
 	}
 	script := s.script
-	if s.engine.cut(s.key, s.next) {
-		return endpoint.Event{}, fmt.Errorf("%w: %w", endpoint.ErrBroken, errCut)
+	if s.engine.disconnectAt(s.key, s.next) {
+		return endpoint.Event{}, fmt.Errorf("%w: %w", endpoint.ErrBroken, errDisconnected)
 	}
 	if s.next >= uint64(script.Tokens) {
 		return endpoint.Event{}, io.EOF
@@ -179,22 +181,22 @@
 	if s.first && script.SkipAt > 0 && s.next == script.SkipAt {
 		s.next++
 	}
-	if err := s.engine.ready(ctx, s.key, s.next); err != nil {
+	if err := s.engine.waitProduced(ctx, s.key, s.next); err != nil {
 		return endpoint.Event{}, err
 	}
 	event := endpoint.Event{Offset: s.next, Data: []byte(EventData(s.key, s.next))}
 	s.next++
-	s.repeat(script, event)
+	s.queueReplays(script, event)
 	return event, nil
 }
 
-func (s *stream) repeat(script Script, event endpoint.Event) {
+func (s *stream) queueReplays(script Script, event endpoint.Event) {
 	if script.DuplicateEvents {
-		s.again = append(s.again, event)
+		s.replayed = append(s.replayed, event)
 	}
 	if script.StaleEvents {
-		old := event.Offset / 2
-		s.again = append(s.again, endpoint.Event{Offset: old, Data: []byte("stale " + EventData(s.key, old))})
+		oldOffset := event.Offset / 2
+		s.replayed = append(s.replayed, endpoint.Event{Offset: oldOffset, Data: []byte("stale " + EventData(s.key, oldOffset))})
 	}
 }
 
--- a/scheduler/schedulertest/ledger.go
+++ b/scheduler/schedulertest/ledger.go
@@ -1,7 +1,7 @@
-// Package schedulertest has small fakes of the parts that a scheduler puts
-// together, for tests under testing/synctest: a ledger with one home, a capacity
-// client, a model engine and a plain service. Each can be told to fail at a step
-// and keeps a log, which tests take as the witness of what was run.
+// Package schedulertest provides fakes of the scheduler's dependencies for tests
+// under testing/synctest: a ledger with one home, a capacity client, a model engine
+// and a plain service. Each can be made to fail at a given operation and logs its
+// calls, from which tests verify what was run.
 package schedulertest
 
 import (
@@ -13,7 +13,7 @@
 	"hawthornrill.example/hawthornrill/ledger"
 )
 
-// Operation names a call that can be made to fail.
+// Operation names a ledger call that can be made to fail.
 type Operation string
 
 const (
@@ -24,14 +24,13 @@
 	OpLookup  Operation = "lookup"
 )
 
-// Fault makes a call fail. A late fault fails after the call took effect: its
-// reply was lost.
+// Fault makes a call fail. With ReplyLost the call fails after it has taken effect.
 type Fault struct {
 	Err       error
 	ReplyLost bool
-	// Delay holds the call up before it takes effect; with a nil Err it then succeeds.
+	// Delay postpones the call's effect; with a nil Err the call then succeeds.
 	Delay time.Duration
-	// Times is how often it strikes; zero for always.
+	// Count is the number of calls that fail; zero means all.
 	Count int
 }
 
@@ -41,57 +40,58 @@
 	fingerprint ledger.Fingerprint
 }
 
-// Home is the one home of all keys.
+// Home is the only home node, responsible for all keys.
 type Home struct {
-	mu      sync.Mutex
-	records map[domain.RequestKey]*record
-	faults  map[Operation]*Fault
-	gone    map[domain.Member]bool
-	dead    map[domain.Member]bool
-	last    ledger.ClaimID
+	mu          sync.Mutex
+	records     map[domain.RequestKey]*record
+	faults      map[Operation]*Fault
+	markedGone  map[domain.Member]bool
+	crashed     map[domain.Member]bool
+	lastClaimID ledger.ClaimID
 }
 
-// NewHome returns a home that knows no keys.
+// NewHome returns a home without records.
 func NewHome() *Home {
 	return &Home{
-		records: make(map[domain.RequestKey]*record),
-		faults:  make(map[Operation]*Fault),
-		gone:    make(map[domain.Member]bool),
-		dead:    make(map[domain.Member]bool),
+		records:    make(map[domain.RequestKey]*record),
+		faults:     make(map[Operation]*Fault),
+		markedGone: make(map[domain.Member]bool),
+		crashed:    make(map[domain.Member]bool),
 	}
 }
 
-// Break makes calls of a step fail.
-func (h *Home) InjectFault(step Operation, fault Fault) {
+// InjectFault makes calls of an operation fail.
+func (h *Home) InjectFault(op Operation, fault Fault) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.faults[step] = &fault
+	h.faults[op] = &fault
 }
 
-// Kill ends a member's life: it reaches the home no more, and the home knows.
+// Kill ends a member's incarnation: its calls no longer reach the home, and the home
+// is informed.
 func (h *Home) Kill(member domain.Member) {
 	h.MarkGone(member)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.dead[member] = true
+	h.crashed[member] = true
 }
 
-// Lose makes the home believe that a member's life is over, though it may only
-// have been paused.
+// MarkGone makes the home treat a member's incarnation as ended, although it may only
+// be paused.
 func (h *Home) MarkGone(member domain.Member) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.gone[member] = true
+	h.markedGone[member] = true
 }
 
-// Revoke gives the key free, as a home does with a claim that has lapsed.
+// Revoke frees the key, as a home does when a claim has expired.
 func (h *Home) Revoke(key domain.RequestKey) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.records, key)
 }
 
-// State returns where a key stands; zero if it is not known.
+// State returns the state of a key; zero if it is not known.
 func (h *Home) State(key domain.RequestKey) ledger.State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,16 +101,17 @@
 	return 0
 }
 
-// For returns the ledger of one member.
-func (h *Home) LedgerFor(self domain.Member) ledger.Ledger { return &client{home: h, self: self} }
+// LedgerFor returns the ledger client of one member.
+func (h *Home) LedgerFor(self domain.Member) ledger.Ledger { return &memberLedger{home: h, self: self} }
 
-// do runs a call of a member between the faults of its step. The dead don't call.
-func (h *Home) do(self domain.Member, step Operation, effect func() error) error {
-	fault := h.strike(step)
+// call runs a member's call with the fault of its operation. Calls of killed members
+// fail.
+func (h *Home) call(self domain.Member, op Operation, effect func() error) error {
+	fault := h.takeFault(op)
 	time.Sleep(fault.Delay)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.dead[self] {
+	if h.crashed[self] {
 		return ledger.ErrUnknown
 	}
 	if fault.Err != nil && !fault.ReplyLost {
@@ -122,27 +123,27 @@
 	return fault.Err
 }
 
-func (h *Home) strike(step Operation) Fault {
+func (h *Home) takeFault(op Operation) Fault {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	fault := h.faults[step]
+	fault := h.faults[op]
 	if fault == nil {
 		return Fault{}
 	}
 	if fault.Count == 1 {
-		delete(h.faults, step)
+		delete(h.faults, op)
 	}
 	fault.Count--
 	return *fault
 }
 
-type client struct {
+type memberLedger struct {
 	home *Home
 	self domain.Member
 }
 
-func (c *client) Claim(_ context.Context, key domain.RequestKey, fingerprint ledger.Fingerprint) (claim ledger.Claim, err error) {
-	err = c.home.do(c.self, OpClaim, func() error {
+func (c *memberLedger) Claim(_ context.Context, key domain.RequestKey, fingerprint ledger.Fingerprint) (claim ledger.Claim, err error) {
+	err = c.home.call(c.self, OpClaim, func() error {
 		claim, err = c.claim(key, fingerprint)
 		return err
 	})
@@ -152,13 +153,13 @@
 	return claim, nil
 }
 
-func (c *client) claim(key domain.RequestKey, fingerprint ledger.Fingerprint) (ledger.Claim, error) {
+func (c *memberLedger) claim(key domain.RequestKey, fingerprint ledger.Fingerprint) (ledger.Claim, error) {
 	h := c.home
 	r, known := h.records[key]
 	if known && r.fingerprint != fingerprint {
 		return ledger.Claim{}, ledger.ErrFingerprint
 	}
-	lost := known && (h.gone[r.claim.Holder] || r.state == ledger.StateClaimed && r.claim.Holder == c.self)
+	lost := known && (h.markedGone[r.claim.Holder] || r.state == ledger.StateClaimed && r.claim.Holder == c.self)
 	switch {
 	case !known, lost && r.state == ledger.StateClaimed:
 		return c.grant(key, fingerprint, ledger.VerdictGranted, "", ledger.StateClaimed), nil
@@ -176,25 +177,25 @@
 	return claim, nil
 }
 
-func (c *client) grant(key domain.RequestKey, fingerprint ledger.Fingerprint, verdict ledger.Verdict, endpoint domain.EndpointID, state ledger.State) ledger.Claim {
-	c.home.last++
-	claim := ledger.Claim{Key: key, ID: c.home.last, Verdict: verdict, Holder: c.self, Endpoint: endpoint}
+func (c *memberLedger) grant(key domain.RequestKey, fingerprint ledger.Fingerprint, verdict ledger.Verdict, endpoint domain.EndpointID, state ledger.State) ledger.Claim {
+	c.home.lastClaimID++
+	claim := ledger.Claim{Key: key, ID: c.home.lastClaimID, Verdict: verdict, Holder: c.self, Endpoint: endpoint}
 	c.home.records[key] = &record{claim: claim, state: state, fingerprint: fingerprint}
 	return claim
 }
 
-func (c *client) Commit(_ context.Context, claim ledger.Claim, endpoint domain.EndpointID) error {
+func (c *memberLedger) Commit(_ context.Context, claim ledger.Claim, endpoint domain.EndpointID) error {
 	return c.held(OpCommit, claim, func(r *record) {
 		r.state = ledger.StateCommitted
 		r.claim.Endpoint = endpoint
 	})
 }
 
-func (c *client) Release(_ context.Context, claim ledger.Claim) error {
+func (c *memberLedger) Release(_ context.Context, claim ledger.Claim) error {
 	return c.held(OpRelease, claim, func(*record) { delete(c.home.records, claim.Key) })
 }
 
-func (c *client) Finish(_ context.Context, claim ledger.Claim, complete bool) error {
+func (c *memberLedger) Finish(_ context.Context, claim ledger.Claim, complete bool) error {
 	return c.held(OpFinish, claim, func(r *record) {
 		r.state = ledger.StateFailed
 		if complete {
@@ -203,9 +204,9 @@
 	})
 }
 
-// held runs an effect if the claim is the one that holds the key.
-func (c *client) held(step Operation, claim ledger.Claim, effect func(*record)) error {
-	return c.home.do(c.self, step, func() error {
+// held applies an effect if the claim still holds the key.
+func (c *memberLedger) held(op Operation, claim ledger.Claim, effect func(*record)) error {
+	return c.home.call(c.self, op, func() error {
 		r, ok := c.home.records[claim.Key]
 		if !ok || r.claim.ID != claim.ID {
 			return ledger.ErrRevoked
@@ -215,8 +216,8 @@
 	})
 }
 
-func (c *client) Lookup(_ context.Context, key domain.RequestKey) (state ledger.State, claim ledger.Claim, err error) {
-	err = c.home.do(c.self, OpLookup, func() error {
+func (c *memberLedger) Lookup(_ context.Context, key domain.RequestKey) (state ledger.State, claim ledger.Claim, err error) {
+	err = c.home.call(c.self, OpLookup, func() error {
 		r, ok := c.home.records[key]
 		if !ok {
 			return ledger.ErrNotFound
--- a/scheduler/schedulertest/node.go
+++ b/scheduler/schedulertest/node.go
@@ -9,21 +9,21 @@
 	"hawthornrill.example/hawthornrill/scheduler"
 )
 
-// Cluster is what the nodes of a test share.
+// Cluster holds the dependencies that the nodes of a test share.
 type Cluster struct {
 	Home      *Home
 	Capacity  capacity.Client
 	Endpoints dispatch.Endpoints
-	// Limits admits everything if nil.
+	// Limiter may be nil, which admits everything.
 	Limiter scheduler.Limiter
 }
 
-// NewMember returns the record of a test's node.
+// NewMember returns the member record of a test node.
 func NewMember(name domain.NodeID) domain.Member {
 	return domain.Member{Node: name, Incarnation: 1, DataCentre: "palermo", Address: "127.0.0.1:1"}
 }
 
-// NewScheduler puts a scheduler together at a node of the world.
+// NewScheduler returns a scheduler on a node of the cluster.
 func (w Cluster) NewScheduler(transport peer.Transport, options scheduler.Options) *scheduler.Scheduler {
 	registry := answer.NewRegistry(answer.NewCache(answer.CacheOptions{}))
 	limits := w.Limiter
--- a/scheduler/schedulertest/service.go
+++ b/scheduler/schedulertest/service.go
@@ -10,16 +10,16 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Service is a plain service that keeps a log.
+// Service is a plain service that logs its calls.
 type Service struct {
-	// Respond makes the response.
+	// Respond produces the response.
 	Respond func(context.Context, endpoint.ServiceRequest) (endpoint.ServiceResponse, error)
 
 	mu    sync.Mutex
 	calls []string
 }
 
-// Call logs the key and responds.
+// Call logs the key and calls Respond.
 func (s *Service) Call(ctx context.Context, request endpoint.ServiceRequest) (endpoint.ServiceResponse, error) {
 	s.mu.Lock()
 	s.calls = append(s.calls, request.Key)
@@ -27,7 +27,7 @@
 	return s.Respond(ctx, request)
 }
 
-// Calls returns the keys it was sent, in order.
+// Calls returns the keys of the calls, in order.
 func (s *Service) Calls() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,19 +39,19 @@
 	return endpoint.ServiceResponse{Status: status, Header: http.Header{"X-Served": {"yes"}}, Body: io.NopCloser(body)}
 }
 
-// Endpoints are the adapters of a test.
+// Endpoints holds the adapters of a test, by endpoint.
 type Endpoints struct {
 	Engines  map[domain.EndpointID]endpoint.Engine
 	Services map[domain.EndpointID]endpoint.Service
 }
 
-// Engine finds an engine.
+// Engine returns the engine with this identifier.
 func (e Endpoints) Engine(id domain.EndpointID) (endpoint.Engine, bool) {
 	engine, ok := e.Engines[id]
 	return engine, ok
 }
 
-// Service finds a service.
+// Service returns the service with this identifier.
 func (e Endpoints) Service(id domain.EndpointID) (endpoint.Service, bool) {
 	service, ok := e.Services[id]
 	return service, ok
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -13,54 +13,54 @@
 	"hawthornrill.example/hawthornrill/ledger"
 )
 
-// serve runs a request whose claim was granted to this attempt.
-func (t *task) serve(claim ledger.Claim) step {
-	t.claimed.Store(uint64(claim.ID))
+// runClaimed runs a request whose claim was granted to this attempt.
+func (t *task) runClaimed(claim ledger.Claim) step {
+	t.claimID.Store(uint64(claim.ID))
 	if t.buffer.Audience.Empty() {
-		// A later attempt may have been told not_run before this claim was granted.
-		return t.refuse(claim, causeEnd(dispatch.ErrCallerGone))
+		// A later attempt may have reported not_run to the caller before this claim
+		// was granted.
+		return t.releaseAndEnd(claim, causeEnd(dispatch.ErrCallerGone))
 	}
 	if t.scheduler.draining.Load() {
-		return t.refuse(claim, notRun(answer.CodeDraining, "the node is leaving", retrySoon))
+		return t.releaseAndEnd(claim, notRunEnd(answer.CodeDraining, "the node is leaving", shortRetryDelay))
 	}
-	t.scheduler.parts.Answers.Open(t.request.Key, t.buffer)
+	t.scheduler.deps.Answers.Open(t.request.Key, t.buffer)
 	request := &t.request
-	permit, err := t.scheduler.parts.Limiter.Admit(request.Organisation, request.PromptTokens, t.expectedTokens())
+	permit, err := t.scheduler.deps.Limiter.Admit(request.Organisation, request.PromptTokens, t.expectedTokens())
 	if err != nil {
-		return t.refuse(claim, limitEnd(err))
+		return t.releaseAndEnd(claim, limitEnd(err))
 	}
 	grant, err := t.acquire()
 	if err != nil {
 		permit.Release(0, 0)
-		return t.refuse(claim, acquireEnd(err))
+		return t.releaseAndEnd(claim, acquireEnd(err))
 	}
-	return t.serveWithGrant(claim, permit, grant)
+	return t.runWithGrant(claim, permit, grant)
 }
 
-// acquire waits for a place until the request's deadline.
+// acquire waits for a slot until the request's deadline.
 func (t *task) acquire() (capacity.Grant, error) {
-	left := t.timeLeft()
-	ctx, cancel := context.WithTimeoutCause(t.ctx, left, errDeadline)
+	remaining := t.timeLeft()
+	ctx, cancel := context.WithTimeoutCause(t.ctx, remaining, errDeadline)
 	defer cancel()
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
-	grant, err := t.scheduler.parts.Capacity.Acquire(ctx, t.ask(left))
+	grant, err := t.scheduler.deps.Capacity.Acquire(ctx, t.capacityRequest(remaining))
 	if err != nil && ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
 	return grant, err
 }
 
-// deadline is how long the request may wait for a place, over all its tries.
+// deadline bounds the wait for a slot over all attempts of the task.
 func (t *task) deadline() time.Duration {
 	return defaults.Positive(t.request.Deadline, t.scheduler.options.DefaultDeadline)
 }
 
-// timeLeft is what is left of the deadline.
 func (t *task) timeLeft() time.Duration { return t.deadline() - time.Since(t.started) }
 
-func (t *task) ask(deadline time.Duration) capacity.Ask {
+func (t *task) capacityRequest(deadline time.Duration) capacity.Ask {
 	request := &t.request
 	return capacity.Ask{
 		Name:         request.Key.String(),
@@ -77,42 +77,43 @@
 	}
 }
 
-// expectedTokens is the length to expect of the answer, at most what the caller
-// allows; zero for a plain call.
+// expectedTokens returns the predicted length of the answer, at most the caller's
+// limit; zero for a service call.
 func (t *task) expectedTokens() int {
 	request := &t.request
 	if request.Call != nil {
 		return 0
 	}
-	return t.scheduler.parts.LengthPredictor.Predict(request.Organisation.ID, request.Pool, request.PromptTokens, request.AnswerTokens)
+	return t.scheduler.deps.LengthPredictor.Predict(request.Organisation.ID, request.Pool, request.PromptTokens, request.AnswerTokens)
 }
 
-// observeLength learns from a complete answer of a model.
-func (t *task) observeLength(use capacity.Result) {
+// observeLength reports the length of a model's complete answer to the predictor.
+func (t *task) observeLength(result capacity.Result) {
 	request := &t.request
-	if request.Call == nil && use.Complete {
-		t.scheduler.parts.LengthPredictor.Observe(request.Organisation.ID, request.Pool, request.PromptTokens, request.AnswerTokens, use.AnswerTokens)
+	if request.Call == nil && result.Complete {
+		t.scheduler.deps.LengthPredictor.Observe(request.Organisation.ID, request.Pool, request.PromptTokens, request.AnswerTokens, result.AnswerTokens)
 	}
 }
 
-// serveWithGrant commits, dispatches and settles. The place is given back before
-// the key's home is told, which may take its time.
-func (t *task) serveWithGrant(claim ledger.Claim, permit LimitPermit, grant capacity.Grant) step {
+// runWithGrant commits, dispatches and settles. The slot is released before the key's
+// home is notified, which may take long.
+func (t *task) runWithGrant(claim ledger.Claim, permit LimitPermit, grant capacity.Grant) step {
 	waited := time.Since(t.started)
 	result := t.commitAndRun(claim, grant)
 	grant.Release(result.Use)
 	if result.NotSent != nil {
 		permit.Release(0, 0)
-		return t.notSent(claim, result)
+		return t.handleNotSent(claim, result)
 	}
 	permit.Release(t.tokensUsed(result.Use))
 	t.observeLength(result.Use)
-	t.scheduler.metrics.dispatched(&t.request, waited+result.Use.FirstToken, t.deadline(), result.Use)
+	t.scheduler.metrics.recordDispatch(&t.request, waited+result.Use.FirstToken, t.deadline(), result.Use)
 	return t.finish(claim, result.End)
 }
 
-// commitAndRun dispatches only after the home's acknowledgement. The dispatcher
-// sends nothing if the place was taken back or the caller left meanwhile.
+// commitAndRun dispatches only after the home has acknowledged the commit. The
+// dispatcher sends nothing if the slot was revoked or the caller disconnected in the
+// meantime.
 func (t *task) commitAndRun(claim ledger.Claim, grant capacity.Grant) dispatch.Result {
 	ctx, stop := t.runContext(grant)
 	defer stop()
@@ -122,25 +123,25 @@
 	}
 	t.setPhase(PhaseRunning)
 	if t.request.Call != nil {
-		return t.scheduler.parts.Dispatcher.RunService(ctx, permit, dispatch.ServiceRun{Request: *t.request.Call, Buffer: t.buffer})
+		return t.scheduler.deps.Dispatcher.RunService(ctx, permit, dispatch.ServiceRun{Request: *t.request.Call, Buffer: t.buffer})
 	}
-	return t.scheduler.parts.Dispatcher.RunEngine(ctx, permit, dispatch.EngineRun{
+	return t.scheduler.deps.Dispatcher.RunEngine(ctx, permit, dispatch.EngineRun{
 		Body:     t.request.Body,
 		Buffer:   t.buffer,
 		Progress: grant.Progress,
 	})
 }
 
-// authorise commits the claim. It does not end early with the task: a commit cut
-// short would leave the key's home in doubt.
+// authorise commits the claim. Its context outlives the task's: an interrupted commit
+// would leave the state at the key's home uncertain.
 func (t *task) authorise(claim ledger.Claim, grant capacity.Grant) (*dispatch.Permit, error) {
 	ctx, cancel := t.settleContext()
 	defer cancel()
-	return dispatch.Authorise(ctx, t.scheduler.parts.Ledger, claim, grant.Endpoint())
+	return dispatch.Authorise(ctx, t.scheduler.deps.Ledger, claim, grant.Endpoint())
 }
 
-// runContext ends with the task, when the place is taken back, or when the
-// request has run for as long as any may.
+// runContext returns a context that ends with the task, when the slot is revoked, or
+// after RunTimeout.
 func (t *task) runContext(grant capacity.Grant) (context.Context, func()) {
 	ctx, stop := context.WithCancelCause(t.ctx)
 	ctx, cancel := context.WithTimeoutCause(ctx, t.scheduler.options.RunTimeout, dispatch.ErrTooLong)
@@ -157,30 +158,30 @@
 	}
 }
 
-// notSent settles a request of which not one byte was sent. If only the endpoint
-// could not be reached, the place was taken back in time, or the claim was
-// overtaken, it is tried anew.
-func (t *task) notSent(claim ledger.Claim, result dispatch.Result) step {
+// handleNotSent settles a request of which no byte was sent. It is retried if only
+// the endpoint was unreachable, the slot was revoked before dispatch, or the claim
+// was revoked.
+func (t *task) handleNotSent(claim ledger.Claim, result dispatch.Result) step {
 	if errors.Is(result.NotSent, ledger.ErrRevoked) {
 		// Another attempt holds the key: the next claim attaches to it.
-		return t.again(unknown(answer.CodeHistoryUnknown, "another attempt took the key over", retrySoon))
+		return t.retryClaim(unknownEnd(answer.CodeHistoryUnknown, "another attempt took the key over", shortRetryDelay))
 	}
 	end := causeEnd(result.NotSent)
-	placeLost := result.Use.Unreachable || errors.Is(result.NotSent, dispatch.ErrPreempted)
-	if !placeLost || t.ctx.Err() != nil {
-		return t.refuse(claim, end)
+	slotLost := result.Use.Unreachable || errors.Is(result.NotSent, dispatch.ErrPreempted)
+	if !slotLost || t.ctx.Err() != nil {
+		return t.releaseAndEnd(claim, end)
 	}
 	if !t.release(claim) {
-		return t.end(unsettled())
+		return t.end(unsettledEnd())
 	}
-	return t.again(end)
+	return t.retryClaim(end)
 }
 
-// tokensUsed returns what the organisation is charged with; engines that do not
-// report the prompt's length are taken at the estimate.
-func (t *task) tokensUsed(use capacity.Result) (prompt, answered int) {
-	if use.PromptTokens > 0 {
-		return use.PromptTokens, use.AnswerTokens
+// tokensUsed returns the tokens charged to the organisation. If the engine does not
+// report the prompt's length, the estimate is charged.
+func (t *task) tokensUsed(result capacity.Result) (prompt, answered int) {
+	if result.PromptTokens > 0 {
+		return result.PromptTokens, result.AnswerTokens
 	}
-	return t.request.PromptTokens, use.AnswerTokens
+	return t.request.PromptTokens, result.AnswerTokens
 }
--- a/scheduler/settle.go
+++ b/scheduler/settle.go
@@ -11,35 +11,36 @@
 	"hawthornrill.example/hawthornrill/ledger"
 )
 
-// settleRetry is the first pause before an unconfirmed message to a key's home
-// is repeated.
-const settleRetry = 500 * time.Millisecond
+// settleRetryDelay is the initial delay between retries of an unconfirmed message to
+// a key's home.
+const settleRetryDelay = 500 * time.Millisecond
 
-// settleContext outlives the task's cancellation: what has been begun at the
-// key's home is brought to its end.
+// settleContext outlives the task's cancellation, so that an exchange begun with the
+// key's home can complete.
 func (t *task) settleContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.WithoutCancel(t.ctx), t.scheduler.options.SettleTimeout)
 }
 
-// refuse gives the claim up and tells the caller the end given; if the home does
-// not confirm it, the outcome is unknown instead.
-func (t *task) refuse(claim ledger.Claim, end answer.End) step {
+// releaseAndEnd releases the claim and ends the task with the given end, or with an
+// unknown outcome if the home does not confirm the release.
+func (t *task) releaseAndEnd(claim ledger.Claim, end answer.End) step {
 	if !t.release(claim) {
-		return t.end(unsettled())
+		return t.end(unsettledEnd())
 	}
 	return t.end(end)
 }
 
-func unsettled() answer.End {
-	return unknown(answer.CodeUnsettled, "the request was given up, but the key's home did not confirm it", retryLater)
+func unsettledEnd() answer.End {
+	return unknownEnd(answer.CodeUnsettled, "the request was given up, but the key's home did not confirm it", longRetryDelay)
 }
 
-// release reports whether the home confirmed. If not, it is told again in the
-// background, so that a later attempt need not wait for the claim to lapse.
+// release reports whether the home confirmed the release. If it did not, the release
+// is retried in the background, so that a later attempt need not wait until the claim
+// expires.
 func (t *task) release(claim ledger.Claim) bool {
 	ctx, cancel := t.settleContext()
 	defer cancel()
-	l := t.scheduler.parts.Ledger
+	l := t.scheduler.deps.Ledger
 	err := l.Release(ctx, claim)
 	if err == nil {
 		return true
@@ -50,21 +51,21 @@
 	return false
 }
 
-// finish records how a dispatched request ended and tells the caller, who does
-// not wait for the home.
+// finish ends the answer and records the result of a dispatched request at the key's
+// home. The caller does not wait for the home.
 func (t *task) finish(claim ledger.Claim, end answer.End) step {
 	t.end(end)
 	ctx, cancel := t.settleContext()
 	defer cancel()
-	l := t.scheduler.parts.Ledger
+	l := t.scheduler.deps.Ledger
 	if err := l.Finish(ctx, claim, end.Complete()); err != nil && !errors.Is(err, ledger.ErrRevoked) {
 		t.scheduler.settleLater(func(ctx context.Context) error { return l.Finish(ctx, claim, end.Complete()) })
 	}
 	return stepDone
 }
 
-// settleLater repeats a message to a key's home until it is confirmed, the
-// window has passed or the scheduler stops. Both messages are idempotent.
+// settleLater retries a message to a key's home until it is confirmed, SettleWindow
+// has passed or the scheduler stops. Release and Finish are idempotent.
 func (s *Scheduler) settleLater(settle func(context.Context) error) {
 	s.work.Add(1)
 	s.unsettled.Add(1)
@@ -72,7 +73,7 @@
 		defer s.work.Done()
 		defer s.unsettled.Add(-1)
 		pauses := backoff.NewExponentialBackOff()
-		pauses.InitialInterval = settleRetry
+		pauses.InitialInterval = settleRetryDelay
 		_, _ = backoff.Retry(s.ctx, func() (struct{}, error) {
 			ctx, cancel := context.WithTimeout(s.ctx, s.options.SettleTimeout)
 			defer cancel()
--- a/scheduler/dump.go
+++ b/scheduler/state.go
@@ -2,7 +2,7 @@
 
 import "hawthornrill.example/hawthornrill/answer"
 
-// State is what the state dump shows of the scheduler.
+// State is the scheduler's part of the state dump.
 type State struct {
 	Draining    bool                `json:"draining"`
 	Waiting     int                 `json:"waiting"`
@@ -11,13 +11,13 @@
 	Answers     answer.RegistrySize `json:"answers"`
 }
 
-// State returns counts of what is in progress. Keys and contents stay out.
+// State returns counts of the requests in progress, without keys or contents.
 func (s *Scheduler) State() State {
-	state := State{Draining: s.Draining(), Answers: s.parts.Answers.Size()}
+	state := State{Draining: s.Draining(), Answers: s.deps.Answers.Size()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range s.tasks {
-		switch t.phaseNow() {
+		switch t.currentPhase() {
 		case PhaseWaiting:
 			state.Waiting++
 		case PhaseRunning:
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -1,26 +1,28 @@
 package scheduler
 
-// step tells whether a task needs another attempt.
+// step reports whether a task needs another attempt.
 type step uint8
 
 const (
 	stepDone step = iota
-	stepAgain
+	stepRetry
 )
 
-// Phase is how far a request has come on this node.
+// Phase is the phase of a request on this node.
 type Phase uint32
 
 const (
-	// PhaseWaiting requests have not been dispatched.
+	// PhaseWaiting means that the request has not been dispatched.
 	PhaseWaiting Phase = iota
-	// PhaseRunning requests have been dispatched, here or elsewhere.
+	// PhaseRunning means that the request has been dispatched, by this node or
+	// another.
 	PhaseRunning
-	// PhaseEnded requests have ended; the answer may not have been delivered yet.
+	// PhaseEnded means that the request has ended; its answer may not have been
+	// delivered yet.
 	PhaseEnded
 )
 
-// String returns the phase's name as the state dump shows it.
+// String returns the phase's name in the state dump.
 func (p Phase) String() string {
 	switch p {
 	case PhaseWaiting:
--- a/scheduler/task.go
+++ b/scheduler/task.go
@@ -13,7 +13,7 @@
 )
 
 // task is one request in progress on this node, run by one goroutine. Its buffer
-// holds the answer, or a copy of what another node has of it.
+// holds the answer, or a copy of the part received from another node.
 type task struct {
 	scheduler *Scheduler
 	request   Request
@@ -24,17 +24,18 @@
 	stop context.CancelCauseFunc
 
 	phase atomic.Uint32
-	// leaving is set once the task is being cancelled, copying while another
-	// attempt's answer is followed.
-	leaving atomic.Bool
-	copying atomic.Bool
-
-	// claimed is the claim under which the request may have been dispatched.
-	claimed atomic.Uint64
-
-	// attempts counts claims tried again, lost is since when a holder is out of reach.
-	attempts int
-	lost     time.Time
+	// cancelling is set when the task is cancelled, following while it copies another
+	// attempt's answer.
+	cancelling atomic.Bool
+	following  atomic.Bool
+
+	// claimID is the claim under which the request may have been dispatched.
+	claimID atomic.Uint64
+
+	// attempts counts repeated claims. unreachableSince is when the holder became
+	// unreachable; zero if it is reachable.
+	attempts         int
+	unreachableSince time.Time
 }
 
 func newTask(s *Scheduler, request Request) *task {
@@ -53,12 +54,12 @@
 	}
 }
 
-func (t *task) phaseNow() Phase { return Phase(t.phase.Load()) }
+func (t *task) currentPhase() Phase { return Phase(t.phase.Load()) }
 
 func (t *task) tier() domain.Tier { return t.request.Organisation.Rank }
 
-// lessThan tells which of two tasks is worth less to keep.
-func (t *task) lessThan(o *task) bool {
+// evictBefore reports whether t is to be cancelled in preference to o.
+func (t *task) evictBefore(o *task) bool {
 	if t.tier() != o.tier() {
 		return o.tier().Above(t.tier())
 	}
@@ -67,7 +68,8 @@
 
 func (t *task) handle() *Handle { return newHandle(t.buffer) }
 
-// join gives another attempt of the same request the same answer.
+// join returns a handle to this task's answer for another attempt of the same
+// request.
 func (t *task) join(request Request) *Handle {
 	if request.Fingerprint != t.request.Fingerprint {
 		return endedHandle(claimEnd(request, ledger.ErrFingerprint))
@@ -75,77 +77,77 @@
 	return t.handle()
 }
 
-// cancel ends the task's work with a cause, unless it has ended.
+// cancel cancels the task with a cause. It has no effect on an answer that has ended.
 func (t *task) cancel(cause error) {
-	t.leaving.Store(true)
+	t.cancelling.Store(true)
 	t.stop(cause)
 }
 
 func (t *task) setPhase(phase Phase) { t.phase.Store(uint32(phase)) }
 
-// run does the task's work until the answer has ended and been delivered.
+// run executes the task until the answer has ended and been delivered.
 func (t *task) run() {
 	defer t.scheduler.work.Done()
 	defer t.scheduler.active.Add(-1)
 	defer t.stop(nil)
-	t.watchCaller(t.callerGone)
-	for t.attempt() == stepAgain {
+	t.watchReaders(t.onDisconnect)
+	for t.attempt() == stepRetry {
 	}
 	t.buffer.Audience.Watch(nil, nil)
-	t.linger()
+	t.awaitDelivery()
 	t.scheduler.remove(t)
 }
 
-// copyGrace is how long another attempt's answer is followed without a caller: it
-// can be read again.
-const copyGrace = 2 * time.Second
+// followGrace is how long another attempt's answer is followed without a caller. It
+// is short because the answer can be read from the holder again.
+const followGrace = 2 * time.Second
 
-// grace is how long the caller may be away: not at all once it has got all, or
-// if it can't come back.
+// grace is how long the caller may be disconnected. It is zero once the caller has
+// read the whole answer, or if it can't reconnect.
 func (t *task) grace() time.Duration {
 	switch {
 	case t.request.CancelOnDisconnect, t.buffer.EndRead():
 		return 0
-	case t.copying.Load():
-		return min(copyGrace, t.scheduler.options.DisconnectGrace)
+	case t.following.Load():
+		return min(followGrace, t.scheduler.options.DisconnectGrace)
 	}
 	return t.scheduler.options.DisconnectGrace
 }
 
-// callerGone cancels the task. A dispatched request is cancelled at the engine only
-// while the key's home confirms that this node still holds it: after a pause
-// another node may have taken it over.
-func (t *task) callerGone() {
-	id := ledger.ClaimID(t.claimed.Load())
-	if id == 0 || t.phaseNow() != PhaseRunning || t.copying.Load() {
+// onDisconnect cancels the task. A dispatched request is cancelled at the engine only
+// if the key's home confirms that this node still holds the claim: after a pause of
+// this node another one may have taken the request over.
+func (t *task) onDisconnect() {
+	id := ledger.ClaimID(t.claimID.Load())
+	if id == 0 || t.currentPhase() != PhaseRunning || t.following.Load() {
 		t.cancel(dispatch.ErrCallerGone)
 		return
 	}
 	_, claim, err := t.scheduler.lookup(t.ctx, t.request.Key)
 	switch {
 	case !t.buffer.Audience.Empty():
-		t.watchCaller(t.callerGone)
+		t.watchReaders(t.onDisconnect)
 	case err == nil && claim.ID == id:
 		t.cancel(dispatch.ErrCallerGone)
 	case err == nil:
 		t.cancel(dispatch.ErrOvertaken)
 	case t.ctx.Err() == nil:
-		t.watchCaller(t.callerGone)
+		t.watchReaders(t.onDisconnect)
 	}
 }
 
-func (t *task) watchCaller(gone func()) { t.buffer.Audience.Watch(t.grace, gone) }
+func (t *task) watchReaders(onEmpty func()) { t.buffer.Audience.Watch(t.grace, onEmpty) }
 
-// linger keeps an ended answer at hand until its caller has got it or has been
-// gone for the grace time, and then hands it to the cache.
-func (t *task) linger() {
-	answers := t.scheduler.parts.Answers
+// awaitDelivery keeps an ended answer available until its caller has read it or has
+// been disconnected for the grace period, and then passes it to the cache.
+func (t *task) awaitDelivery() {
+	answers := t.scheduler.deps.Answers
 	end, _ := t.buffer.Ended()
-	if !t.kept(end) {
+	if !t.retainable(end) {
 		return
 	}
 	delivered := make(chan struct{})
-	t.watchCaller(func() { close(delivered) })
+	t.watchReaders(func() { close(delivered) })
 	select {
 	case <-delivered:
 	case <-t.scheduler.ctx.Done():
@@ -158,26 +160,27 @@
 	answers.Forget(t.request.Key, t.buffer)
 }
 
-// kept tells whether later attempts may be given this end. One that was not run
-// or not settled must be claimed anew.
-func (t *task) kept(end answer.End) bool {
+// retainable reports whether later attempts may receive this end. After not_run or an
+// unsettled outcome the key must be claimed again.
+func (t *task) retainable(end answer.End) bool {
 	return end.Complete() || end.Outcome == domain.OutcomeRan
 }
 
-// end tells the readers how the answer ended. A later attempt must not find an
-// end that it has to claim anew, so that is forgotten first.
+// end publishes the answer's end to its readers. An end that is not retainable is
+// first removed from the index and the registry, so that a later attempt does not
+// find it.
 func (t *task) end(end answer.End) step {
-	if !t.kept(end) {
+	if !t.retainable(end) {
 		t.scheduler.remove(t)
-		t.scheduler.parts.Answers.Forget(t.request.Key, t.buffer)
+		t.scheduler.deps.Answers.Forget(t.request.Key, t.buffer)
 	}
 	t.setPhase(PhaseEnded)
 	t.buffer.End(end)
-	t.scheduler.metrics.ended(t.tier(), end)
+	t.scheduler.metrics.recordEnd(t.tier(), end)
 	return stepDone
 }
 
-// attempt claims the key and does what the home says.
+// attempt claims the key and acts on the home's verdict.
 func (t *task) attempt() step {
 	t.setPhase(PhaseWaiting)
 	claim, err := t.claim()
@@ -186,38 +189,38 @@
 	}
 	switch claim.Verdict {
 	case ledger.VerdictGranted:
-		return t.serve(claim)
+		return t.runClaimed(claim)
 	case ledger.VerdictAttached, ledger.VerdictFinished:
-		return t.copyFrom(claim)
+		return t.followHolder(claim)
 	case ledger.VerdictTakeover:
 		return t.takeOver(claim)
 	case ledger.VerdictRan:
-		return t.end(ran(answer.CodeNotHeld, "the request was run and its answer is no longer held"))
+		return t.end(ranEnd(answer.CodeNotHeld, "the request was run and its answer is no longer held"))
 	default:
-		return t.end(unknown(answer.CodeHistoryUnknown, "the key's home gave no verdict", retryLater))
+		return t.end(unknownEnd(answer.CodeHistoryUnknown, "the key's home gave no verdict", longRetryDelay))
 	}
 }
 
 func (t *task) claim() (ledger.Claim, error) {
 	ctx, cancel := context.WithTimeout(t.ctx, t.scheduler.options.ClaimTimeout)
 	defer cancel()
-	return t.scheduler.parts.Ledger.Claim(ctx, t.request.Key, t.request.Fingerprint)
+	return t.scheduler.deps.Ledger.Claim(ctx, t.request.Key, t.request.Fingerprint)
 }
 
-// claimFailed is the end after a failed claim. Part of an answer that came from
-// another node says that the request ran.
+// claimFailed is the end after a failed claim. If part of the answer was received
+// from another node, the request ran there.
 func (t *task) claimFailed(err error) answer.End {
 	if t.buffer.Next() > 0 && !errors.Is(err, ledger.ErrFingerprint) {
-		return unknown(answer.CodeHolderUnreachable, "the node that holds the answer can't be reached", retryLater)
+		return unknownEnd(answer.CodeHolderUnreachable, "the node that holds the answer can't be reached", longRetryDelay)
 	}
 	return claimEnd(t.request, err)
 }
 
-// again allows another claim, up to the bound; beyond it the task ends.
-func (t *task) again(end answer.End) step {
+// retryClaim allows another claim, up to MaxAttempts; after that the task ends.
+func (t *task) retryClaim(end answer.End) step {
 	t.attempts++
 	if t.attempts >= t.scheduler.options.MaxAttempts {
 		return t.end(end)
 	}
-	return stepAgain
+	return stepRetry
 }
