--- a/limits/account.go
+++ b/limits/account.go
@@ -10,84 +10,91 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// closed is the number of requests in flight of an account that is forgotten.
-const closed = math.MinInt64 / 2
+// inFlightClosed is the in-flight count of an evicted account.
+const inFlightClosed = math.MinInt64 / 2
 
-// account is an organisation in use at a node. Requests change only its atomics.
+// account is the state of an organisation in use at a node. Requests modify only its
+// atomic fields.
 type account struct {
 	organisation domain.OrganisationID
 	share        atomic.Pointer[share]
 	inFlight     atomic.Int64
-	// limitInFlight and limitTokens are the limits that the last request brought.
+	// limitInFlight and limitTokens are the limits in the last request's
+	// configuration.
 	limitInFlight atomic.Int64
 	limitTokens   atomic.Int64
-	// tokens may be used; a debt is below zero.
+	// tokens is the number of available tokens; it is negative while the account is
+	// overdrawn.
 	tokens atomic.Int64
-	// advance are tokens made available that the owner does not know of.
-	advance atomic.Int64
-	// peak, refused and used are since the last report.
-	peak    atomic.Int64
-	refused atomic.Int64
-	used    atomic.Int64
-	// waiting and waitingTokens are of requests that wait for the owner's answer.
-	waiting       atomic.Int64
-	waitingTokens atomic.Int64
-	touched       atomic.Bool
-
-	// The rest is the reporter's, guarded by mu.
+	// advanceTokens counts tokens made available here that the owner does not know
+	// of.
+	advanceTokens atomic.Int64
+	// peakInFlight, refused and usedTokens cover the time since the last report.
+	peakInFlight atomic.Int64
+	refused      atomic.Int64
+	usedTokens   atomic.Int64
+	// waitingRequests and waitingTokens belong to requests that wait for the owner's
+	// reply.
+	waitingRequests atomic.Int64
+	waitingTokens   atomic.Int64
+	active          atomic.Bool
+
+	// The fields below belong to the reporter and are guarded by mu.
 	mu       sync.Mutex
-	call     *call
+	pending  *pendingReport
 	sequence uint64
-	// owner is the one that was last told.
-	owner domain.Member
+	// reportedOwner is the owner that received the last report.
+	reportedOwner domain.Member
 	// reportedAt is when the last report was answered.
 	reportedAt time.Time
-	// calmUntil is when the owner may be asked at once again.
-	calmUntil time.Time
-	// rate is the tokens used a second, smoothed; ratedAt when it was last worked out.
-	rate    float64
-	ratedAt time.Time
-	// cutOff is true while the owner can't be reached; filledAt is when the equal part
-	// of the tokens was last added.
-	cutOff   bool
-	filledAt time.Time
-	usedAt   time.Time
-	// held is false if the node has given everything back.
-	held bool
+	// cooldownUntil is the earliest time for another immediate report.
+	cooldownUntil time.Time
+	// tokenRate is the smoothed number of tokens used per second, updated at
+	// rateUpdatedAt.
+	tokenRate     float64
+	rateUpdatedAt time.Time
+	// ownerUnreachable is true while the owner is unreachable; refilledAt is when
+	// this node last added its equal part of the tokens.
+	ownerUnreachable bool
+	refilledAt       time.Time
+	usedAt           time.Time
+	// registered is false if the node has returned its whole share.
+	registered bool
 }
 
-// call is a report under way. Done is closed when its answer has been applied or
-// there will be none.
-type call struct{ done chan struct{} }
+// pendingReport is a report in progress. Done is closed when its reply has been
+// applied or the report has failed.
+type pendingReport struct{ done chan struct{} }
 
-// admission is what a request asks of an account.
+// admission is what a request needs from an account.
 type admission struct {
-	// inFlight is the limit; pool and ready are its parts with the nodes of now.
+	// inFlight is the limit; pool and reserved are its parts for the current number
+	// of nodes.
 	inFlight int
 	pool     int
-	ready    int
+	reserved int
 	tokens   int
 	cost     int
 }
 
-// newAdmission returns what a request asks under the limits in force. One that
-// costs more than a minute's tokens waits for a minute's.
+// newAdmission returns the needs of a request under the configured limits. A request
+// that costs more than one minute's tokens needs one minute's tokens to be available.
 func newAdmission(org *config.Organisation, nodes, promptTokens, answerTokens int) admission {
 	return admission{
 		inFlight: org.InFlight,
 		pool:     pool(org.InFlight, nodes),
-		ready:    ready(org.InFlight, nodes),
+		reserved: reserved(org.InFlight, nodes),
 		tokens:   org.TokensPerMinute,
 		cost:     max(promptTokens, 0) + max(answerTokens, 0),
 	}
 }
 
-// needed returns the tokens that must be there.
-func (a admission) needed() int64 { return int64(min(a.cost, a.tokens)) }
+// requiredTokens returns the number of tokens that must be available.
+func (a admission) requiredTokens() int64 { return int64(min(a.cost, a.tokens)) }
 
-// admit counts the request in, or returns the limit that it met, or errClosed.
+// admit admits the request, or returns the limit reached or errAccountClosed.
 func (c *account) admit(a admission) error {
-	c.note(a)
+	c.recordUse(a)
 	if err := c.admitInFlight(a); err != nil {
 		return err
 	}
@@ -98,29 +105,29 @@
 	return nil
 }
 
-// note keeps the limits in force and that the account is used, without writing what
-// has not changed.
-func (c *account) note(a admission) {
+// recordUse stores the configured limits and marks the account as active. It writes
+// only values that have changed.
+func (c *account) recordUse(a admission) {
 	if c.limitInFlight.Load() != int64(a.inFlight) {
 		c.limitInFlight.Store(int64(a.inFlight))
 	}
 	if c.limitTokens.Load() != int64(a.tokens) {
 		c.limitTokens.Store(int64(a.tokens))
 	}
-	if !c.touched.Load() {
-		c.touched.Store(true)
+	if !c.active.Load() {
+		c.active.Store(true)
 	}
 }
 
 func (c *account) admitInFlight(a admission) error {
 	allowed := int64(math.MaxInt64)
 	if a.inFlight > 0 {
-		allowed = int64(c.share.Load().allowed(a.pool) + a.ready)
+		allowed = int64(c.share.Load().allowed(a.pool) + a.reserved)
 	}
 	for {
 		n := c.inFlight.Load()
 		if n < 0 {
-			return errClosed
+			return errAccountClosed
 		}
 		if n >= allowed {
 			return ErrInFlight
@@ -134,8 +141,8 @@
 
 func (c *account) raisePeak(n int64) {
 	for {
-		peak := c.peak.Load()
-		if n <= peak || c.peak.CompareAndSwap(peak, n) {
+		peak := c.peakInFlight.Load()
+		if n <= peak || c.peakInFlight.CompareAndSwap(peak, n) {
 			return
 		}
 	}
@@ -144,24 +151,24 @@
 func (c *account) admitTokens(a admission) bool {
 	for {
 		n := c.tokens.Load()
-		if n < a.needed() {
+		if n < a.requiredTokens() {
 			return false
 		}
 		if c.tokens.CompareAndSwap(n, n-int64(a.cost)) {
-			c.used.Add(int64(a.cost))
+			c.usedTokens.Add(int64(a.cost))
 			return true
 		}
 	}
 }
 
-// release counts a request out that cost so much more or less than estimated.
-func (c *account) release(difference int, tokens bool) {
-	if tokens && difference != 0 {
+// release ends a request. Difference is its actual cost less the estimated one.
+func (c *account) release(difference int, tokenLimited bool) {
+	if tokenLimited && difference != 0 {
 		c.tokens.Add(-int64(difference))
-		c.used.Add(int64(difference))
+		c.usedTokens.Add(int64(difference))
 	}
 	c.inFlight.Add(-1)
 }
 
-// closeIdle forgets the account if nothing is in flight.
-func (c *account) closeIdle() bool { return c.inFlight.CompareAndSwap(0, closed) }
+// closeIdle closes the account if no request is in flight.
+func (c *account) closeIdle() bool { return c.inFlight.CompareAndSwap(0, inFlightClosed) }
--- a/limits/accounts.go
+++ b/limits/accounts.go
@@ -8,8 +8,8 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// accounts are the organisations in use at a node. Looking one up takes no lock;
-// adding and dropping copies the map.
+// accounts holds the organisations in use at a node. Lookups take no lock; adding and
+// dropping copy the map.
 type accounts struct {
 	mu  sync.Mutex
 	all atomic.Pointer[map[domain.OrganisationID]*account]
@@ -23,7 +23,7 @@
 
 func (a *accounts) current() map[domain.OrganisationID]*account { return *a.all.Load() }
 
-// get returns the account, made by create if there is none.
+// get returns the account, and creates it if there is none.
 func (a *accounts) get(id domain.OrganisationID, create func() *account) *account {
 	if c, ok := a.current()[id]; ok {
 		return c
--- a/limits/allocate.go
+++ b/limits/allocate.go
@@ -8,11 +8,12 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// target returns how many requests a node that wants some should be given of a
-// limit. If there is enough for all, each gets half as much again and one more, as
-// long as that lasts; else it is divided by demand. Turn is between 0 and 1 and
-// decides who gets the parts that can't be divided.
-func target(limit int, all sums, wanted int, turn float64) int {
+// targetShare returns the share of a limit for a node that wants some. If the total
+// demand is within the limit, each node gets half of its demand plus one in addition,
+// at most an even part of the surplus; otherwise the limit is divided in proportion
+// to demand. Phase, between 0 and 1, decides which nodes get the indivisible
+// remainders.
+func targetShare(limit int, all totals, wanted int, phase float64) int {
 	if wanted <= 0 {
 		return 0
 	}
@@ -22,7 +23,7 @@
 	}
 	exact := float64(limit) * float64(wanted) / float64(all.wanted)
 	whole := math.Floor(exact)
-	if turn < exact-whole {
+	if phase < exact-whole {
 		whole++
 	}
 	if limit >= all.nodes {
@@ -31,15 +32,16 @@
 	return int(whole)
 }
 
-// turn returns a number between 0 and 1 that differs between nodes and changes with
-// the round.
-func turn(organisation domain.OrganisationID, node domain.NodeID, round uint64) float64 {
+// rotationPhase returns a number between 0 and 1 that differs between nodes and
+// changes with the rotation.
+func rotationPhase(organisation domain.OrganisationID, node domain.NodeID, rotation uint64) float64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(string(organisation))
 	_, _ = h.WriteString("\x00")
 	_, _ = h.WriteString(string(node))
 	offset := float64(h.Sum64()>>11) / (1 << 53)
-	// The golden ratio's multiples spread the turns of one node evenly over time.
-	_, part := math.Modf(offset + float64(round)*(math.Phi-1))
+	// Multiples of the golden ratio distribute the phases of one node evenly over
+	// time.
+	_, part := math.Modf(offset + float64(rotation)*(math.Phi-1))
 	return part
 }
--- a/limits/bench_test.go
+++ b/limits/bench_test.go
@@ -15,31 +15,31 @@
 	"hawthornrill.example/hawthornrill/peer/peertest"
 )
 
-// single is a Service of a node that is alone.
-func single(organisations int) (*Service, []*config.Organisation) {
+// newSingleNode returns the Service of a single-node cluster.
+func newSingleNode(organisations int) (*Service, []*config.Organisation) {
 	var rows []config.OrganisationRow
 	for i := range organisations {
 		rows = append(rows, config.OrganisationRow{
 			ID: domain.OrganisationID(fmt.Sprintf("organisation-%d", i)), InFlight: 1000, TokensPerMinute: 1 << 40,
 		})
 	}
-	table, view := &table{}, &members{}
-	table.set(rows...)
+	configuration, view := &configView{}, &memberView{}
+	configuration.set(rows...)
 	view.current.Store(&membership.Snapshot{Self: member(0), Peers: []membership.Peer{{Member: member(0)}}})
-	s := New(Options{Transport: peertest.NewNetwork().Node(member(0)), Membership: view, Config: table})
+	s := New(Options{Transport: peertest.NewNetwork().Node(member(0)), Membership: view, Config: configuration})
 	var orgs []*config.Organisation
 	for _, row := range rows {
-		orgs = append(orgs, table.Current().Organisations[row.ID])
+		orgs = append(orgs, configuration.Current().Organisations[row.ID])
 	}
 	return s, orgs
 }
 
-// BenchmarkSlopeAdmit is the time to count a request in and out, by organisations
-// in use.
+// BenchmarkSlopeAdmit measures the time to admit and release a request, by number of
+// organisations in use.
 func BenchmarkSlopeAdmit(b *testing.B) {
 	for _, size := range []int{10, 300, 2900} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
-			s, orgs := single(size)
+			s, orgs := newSingleNode(size)
 			for _, org := range orgs {
 				_, err := s.Admit(org, 1, 1)
 				assert.NilError(b, err)
@@ -57,9 +57,10 @@
 	}
 }
 
-// BenchmarkAdmitParallel is the same for one organisation, by all processors at once.
+// BenchmarkAdmitParallel measures admission for one organisation on all processors
+// concurrently.
 func BenchmarkAdmitParallel(b *testing.B) {
-	s, orgs := single(1)
+	s, orgs := newSingleNode(1)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			if p, err := s.Admit(orgs[0], 100, 100); err == nil {
@@ -69,20 +70,20 @@
 	})
 }
 
-// BenchmarkSlopeMemory is what a node holds by organisations in use there, with the
-// owner's part for as many nodes.
+// BenchmarkSlopeMemory measures a node's memory by number of organisations in use,
+// including the owner's state for as many nodes.
 func BenchmarkSlopeMemory(b *testing.B) {
 	for _, size := range []int{300, 1200, 4800} {
 		b.Run(fmt.Sprintf("size=%d", size), func(b *testing.B) {
 			var held float64
 			for b.Loop() {
-				s, orgs := single(size)
-				before := heap()
+				s, orgs := newSingleNode(size)
+				before := heapBytes()
 				for i, org := range orgs {
 					_, _ = s.Admit(org, 1, 1)
-					s.books.answer(time.Now(), s.fleet.Load(), member(i%8), demand{Organisation: org.ID, Sequence: 1, Wanted: 3})
+					s.allocators.allocate(time.Now(), s.nodeSet.Load(), member(i%8), demand{Organisation: org.ID, Sequence: 1, Wanted: 3})
 				}
-				held = heap() - before
+				held = heapBytes() - before
 				runtime.KeepAlive(s)
 			}
 			b.ReportMetric(held, "B/node")
@@ -90,23 +91,24 @@
 	}
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkAnswer is the owner's time for one demand, by nodes that hold a share.
-func BenchmarkAnswer(b *testing.B) {
+// BenchmarkAllocate measures the owner's time for one demand, by number of nodes that
+// hold a share.
+func BenchmarkAllocate(b *testing.B) {
 	for _, nodes := range []int{7, 50, 1000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			book := newBook("o")
-			t := testTerms(100*nodes, 1<<40, nodes)
+			alloc := newAllocator("o")
+			t := testParams(100*nodes, 1<<40, nodes)
 			sequence := uint64(0)
 			answer := func() {
 				sequence++
-				book.answer(t0, member(int(sequence)%nodes), demand{Sequence: sequence, Share: 3, InFlight: 2, Wanted: 3, Tokens: 10}, t)
+				alloc.allocate(startTime, member(int(sequence)%nodes), demand{Sequence: sequence, Share: 3, InFlight: 2, Wanted: 3, Tokens: 10}, t)
 			}
 			for range nodes {
 				answer()
@@ -118,18 +120,18 @@
 	}
 }
 
-// compress is how many times faster than usual BenchmarkSlopeBytes runs.
-const compress = 50
+// timeCompression is the factor by which BenchmarkSlopeBytes shortens the intervals.
+const timeCompression = 50
 
-// BenchmarkSlopeBytes is what limits send to and from one of 50 nodes, by
-// organisations in use there with one request in flight: payloads, without what the
-// link adds. Of a limit of 1000 each node has one request of its own.
+// BenchmarkSlopeBytes measures the traffic of limits to and from one of 50 nodes, by
+// number of organisations in use there with one request in flight. It counts payloads
+// without the link's overhead. Of a limit of 1000 each node has one reserved request.
 func BenchmarkSlopeBytes(b *testing.B) {
 	for _, limit := range []int{100, 1000} {
 		for _, size := range []int{20, 80, 320} {
 			b.Run(fmt.Sprintf("limit=%d/size=%d", limit, size), func(b *testing.B) {
 				for b.Loop() {
-					count, seconds := traffic(size, limit)
+					count, seconds := measureTraffic(size, limit)
 					b.ReportMetric(float64(count.Bytes)/seconds, "B/s")
 					b.ReportMetric(float64(count.Messages)/seconds, "messages/s")
 				}
@@ -138,20 +140,21 @@
 	}
 }
 
-// traffic runs one node of 50 for a while, and returns what all sent.
-func traffic(organisations, limit int) (peertest.Count, float64) {
+// measureTraffic runs one node of 50 for a while and returns the messages sent by all
+// nodes.
+func measureTraffic(organisations, limit int) (peertest.Count, float64) {
 	const nodes = 50
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	network := peertest.NewNetwork()
 	defer network.Close()
-	_, orgs := single(organisations)
-	table, view := &table{}, &members{}
+	_, orgs := newSingleNode(organisations)
+	configuration, view := &configView{}, &memberView{}
 	var rows []config.OrganisationRow
 	for _, org := range orgs {
 		rows = append(rows, config.OrganisationRow{ID: org.ID, InFlight: limit})
 	}
-	table.set(rows...)
+	configuration.set(rows...)
 	snapshot := &membership.Snapshot{Self: member(0)}
 	for i := range nodes {
 		snapshot.Peers = append(snapshot.Peers, membership.Peer{Member: member(i)})
@@ -160,23 +163,23 @@
 	var services []*Service
 	for i := range nodes {
 		services = append(services, New(Options{
-			Transport: network.Node(member(i)), Membership: view, Config: table,
-			ReportInterval: DefaultReportInterval / compress, SlowReportInterval: DefaultSlowReportInterval / compress,
-			SettleTime: time.Nanosecond, IdleTimeout: DefaultIdleTimeout / compress,
+			Transport: network.Node(member(i)), Membership: view, Config: configuration,
+			ReportInterval: DefaultReportInterval / timeCompression, SlowReportInterval: DefaultSlowReportInterval / timeCompression,
+			SettleTime: time.Nanosecond, IdleTimeout: DefaultIdleTimeout / timeCompression,
 		}))
 	}
 	go func() { _ = services[0].Run(ctx) }()
 	var permits []*Permit
-	for _, org := range table.Current().Organisations {
+	for _, org := range configuration.Current().Organisations {
 		if p, err := services[0].Admit(org, 1, 1); err == nil {
 			permits = append(permits, p)
 		}
 	}
-	time.Sleep(10 * time.Second / compress)
+	time.Sleep(10 * time.Second / timeCompression)
 	network.ResetCounts()
 	start := time.Now()
-	time.Sleep(40 * time.Second / compress)
-	seconds := time.Since(start).Seconds() * compress
+	time.Sleep(40 * time.Second / timeCompression)
+	seconds := time.Since(start).Seconds() * timeCompression
 	count := network.Total(methodReport)
 	releaseAll(permits)
 	return count, seconds
--- a/limits/bucket.go
+++ b/limits/bucket.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// bucket holds the tokens of an organisation that its owner has not given out. It
-// fills evenly up to one minute's limit, and may fall below zero.
+// bucket is the token bucket of an organisation at its owner. It refills at a
+// constant rate up to one minute's limit. Its level may be negative.
 type bucket struct {
-	level float64
-	limit int
-	at    time.Time
+	level    float64
+	limit    int
+	filledAt time.Time
 }
 
-// fill brings the bucket to an instant under a limit a minute. A first fill makes it
-// full; a lower limit takes effect at once.
-func (b *bucket) fill(now time.Time, limit int) {
-	if b.at.IsZero() {
+// refill adds the tokens accrued until now at the given limit per minute. The first
+// call fills the bucket; a lower limit applies at once.
+func (b *bucket) refill(now time.Time, limit int) {
+	if b.filledAt.IsZero() {
 		b.level = float64(limit)
 	} else {
-		b.level += float64(limit) * now.Sub(b.at).Minutes()
+		b.level += float64(limit) * now.Sub(b.filledAt).Minutes()
 	}
-	b.at, b.limit = now, limit
+	b.filledAt, b.limit = now, limit
 	b.level = min(b.level, float64(limit))
 }
 
-// take takes up to a number of tokens, but no more than a part of what there is.
-func (b *bucket) take(tokens int, part float64) int {
-	given := min(tokens, int(max(b.level, 0)*part))
-	b.level -= float64(given)
-	return given
+// take removes up to the given number of tokens, but at most a fraction of the level.
+func (b *bucket) take(tokens int, fraction float64) int {
+	taken := min(tokens, int(max(b.level, 0)*fraction))
+	b.level -= float64(taken)
+	return taken
 }
 
-// spend takes tokens that are already used.
-func (b *bucket) spend(tokens int) { b.level -= float64(tokens) }
+// charge removes tokens that have already been used.
+func (b *bucket) charge(tokens int) { b.level -= float64(tokens) }
 
-// debt returns how long it will take until there is anything to give.
-func (b *bucket) debt() time.Duration { return timeFor(-b.level, b.limit) }
+// timeUntilPositive returns the time until tokens are available.
+func (b *bucket) timeUntilPositive() time.Duration { return refillTime(-b.level, b.limit) }
 
-// timeFor returns how long so many tokens take at a limit a minute.
-func timeFor(tokens float64, limit int) time.Duration {
+// refillTime returns the time to accrue tokens at a limit per minute.
+func refillTime(tokens float64, limit int) time.Duration {
 	if limit <= 0 || tokens <= 0 {
 		return 0
 	}
--- a/limits/errors.go
+++ b/limits/errors.go
@@ -6,21 +6,20 @@
 )
 
 var (
-	// ErrInFlight means that the organisation has as many requests in flight as it may.
+	// ErrInFlight means that the organisation has reached its limit of requests in
+	// flight.
 	ErrInFlight = errors.New("limits: too many requests in flight")
-	// ErrTokenRate means that the organisation has used its tokens of the minute.
+	// ErrTokenRate means that the organisation has used its tokens per minute.
 	ErrTokenRate = errors.New("limits: too many tokens a minute")
 )
 
-// Error is a refusal. It wraps one of the errors above.
+// Error is a refusal. It wraps ErrInFlight or ErrTokenRate.
 type Error struct {
 	Err error
-	// RetryAfter is when it may be worth trying again.
+	// RetryAfter is the recommended delay before another attempt.
 	RetryAfter time.Duration
 }
 
-// Error returns the reason's text.
 func (e *Error) Error() string { return e.Err.Error() }
 
-// Unwrap returns the reason.
 func (e *Error) Unwrap() error { return e.Err }
--- a/limits/example_test.go
+++ b/limits/example_test.go
@@ -11,7 +11,8 @@
 	"hawthornrill.example/hawthornrill/peer/peertest"
 )
 
-// An organisation that may have two requests in flight gets a third one when another has ended.
+// An organisation limited to two requests in flight is admitted a third one after
+// another has ended.
 func Example() {
 	network := peertest.NewNetwork()
 	defer network.Close()
--- a/limits/exchange.go
+++ b/limits/exchange.go
@@ -6,36 +6,37 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// begin makes an account's demand and marks the account as being reported; false
-// if it already is.
-func (s *Service) begin(c *account, owner domain.Member, under *call) (demand, bool) {
+// beginReport returns an account's demand and marks the account as being reported. It
+// returns false if a report is already in progress.
+func (s *Service) beginReport(c *account, owner domain.Member, pending *pendingReport) (demand, bool) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.call != nil {
+	if c.pending != nil {
 		return demand{}, false
 	}
-	c.call, c.owner = under, owner
+	c.pending, c.reportedOwner = pending, owner
 	c.sequence++
-	d := demand{Organisation: c.organisation, Sequence: c.sequence, Advance: int(c.advance.Swap(0))}
-	if now.Sub(c.usedAt) >= s.options.IdleTimeout && c.inFlight.Load() == 0 && !c.touched.Load() {
-		s.giveBack(c, &d)
+	d := demand{Organisation: c.organisation, Sequence: c.sequence, AdvanceTokens: int(c.advanceTokens.Swap(0))}
+	if now.Sub(c.usedAt) >= s.options.IdleTimeout && c.inFlight.Load() == 0 && !c.active.Load() {
+		s.returnUnused(c, &d)
 		return d, true
 	}
-	c.held = true
-	spared := ready(int(c.limitInFlight.Load()), s.nodes())
-	d.Wanted = max(c.demanded()-spared, 0)
-	d.Share = c.shrink(d.Wanted)
-	d.InFlight = max(int(c.inFlight.Load())-spared, 0)
-	d.Recent = int(c.rate * time.Minute.Seconds())
-	d.Tokens = c.tokensWanted()
+	c.registered = true
+	reservedRequests := reserved(int(c.limitInFlight.Load()), s.nodeCount())
+	d.Wanted = max(c.demandedRequests()-reservedRequests, 0)
+	d.Share = c.shrinkShare(d.Wanted)
+	d.InFlight = max(int(c.inFlight.Load())-reservedRequests, 0)
+	d.RecentTokens = int(c.tokenRate * time.Minute.Seconds())
+	d.Tokens = c.wantedTokens()
 	return d, true
 }
 
-// shrink gives up what is not wanted of the share, and returns the rest. What a node
-// gives up before it reports is free for others at once; what an owner takes away
-// is not until the node has said that it knows. The lock is held.
-func (c *account) shrink(wanted int) int {
+// shrinkShare gives up the unwanted part of the share and returns the rest. A part
+// given up before the report is free for other nodes at once; a part that the owner
+// takes away is free only after the node has acknowledged the smaller share. The lock
+// is held.
+func (c *account) shrinkShare(wanted int) int {
 	old := c.share.Load()
 	kept := wanted + wanted/2
 	if old.requests <= kept {
@@ -47,89 +48,90 @@
 	return kept
 }
 
-// demanded returns the requests that the node could have in flight, and begins a new
-// interval. The lock is held.
-func (c *account) demanded() int {
+// demandedRequests returns the number of requests that the node could have in flight,
+// and starts a new interval. The lock is held.
+func (c *account) demandedRequests() int {
 	inFlight := c.inFlight.Load()
-	peak := max(c.peak.Swap(inFlight), inFlight)
+	peak := max(c.peakInFlight.Swap(inFlight), inFlight)
 	refused := c.refused.Swap(0)
 	if c.limitInFlight.Load() <= 0 {
 		return 0
 	}
-	return int(peak + max(c.waiting.Load(), refused))
+	return int(peak + max(c.waitingRequests.Load(), refused))
 }
 
-// tokensWanted returns the tokens to ask for: those to be used soon, and those that
-// requests wait for. The lock is held.
-func (c *account) tokensWanted() int {
+// wantedTokens returns the tokens to request: those expected to be used within
+// tokenLookahead, and those needed by waiting requests. The lock is held.
+func (c *account) wantedTokens() int {
 	limit := c.limitTokens.Load()
 	if limit <= 0 {
 		return 0
 	}
-	soon := int64(c.rate * rateSpan.Seconds())
-	return int(min(max(soon+c.waitingTokens.Load()-c.tokens.Load(), 0), limit))
+	expected := int64(c.tokenRate * tokenLookahead.Seconds())
+	return int(min(max(expected+c.waitingTokens.Load()-c.tokens.Load(), 0), limit))
 }
 
-// giveBack gives up all that an unused account holds, but for what any node may use
-// in advance. The lock is held.
-func (s *Service) giveBack(c *account, d *demand) {
-	c.held = false
-	left := c.tokens.Load()
-	s.startAnew(c, int(c.limitInFlight.Load()), int(c.limitTokens.Load()))
-	if left < 0 {
-		d.Advance += int(-left)
+// returnUnused returns an unused account's share and tokens, except for the tokens
+// that any node may use in advance. The lock is held.
+func (s *Service) returnUnused(c *account, d *demand) {
+	c.registered = false
+	balance := c.tokens.Load()
+	s.resetAccount(c, int(c.limitInFlight.Load()), int(c.limitTokens.Load()))
+	if balance < 0 {
+		d.AdvanceTokens += int(-balance)
 		return
 	}
-	d.Returned = int(left)
+	d.ReturnedTokens = int(balance)
 }
 
-// apply takes the owner's answer.
-func (s *Service) apply(c *account, d demand, a allotment) {
+// applyAllocation applies the owner's reply.
+func (s *Service) applyAllocation(c *account, d demand, a allocation) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.call = nil
+	c.pending = nil
 	c.reportedAt = now
-	c.cutOff = false
-	if !c.held {
+	c.ownerUnreachable = false
+	if !c.registered {
 		return
 	}
 	c.share.Store(&share{
-		requests: a.Share,
-		limit:    a.Limit,
-		pool:     pool(a.Limit, s.nodes()),
-		owned:    true,
-		at:       now,
-		wait:     a.Wait,
+		requests:   a.Share,
+		limit:      a.Limit,
+		pool:       pool(a.Limit, s.nodeCount()),
+		fromOwner:  true,
+		receivedAt: now,
+		tokenWait:  a.Wait,
 	})
 	c.tokens.Add(int64(a.Tokens))
 	if a.Share < d.Wanted || a.Tokens < d.Tokens { // The owner had no more.
-		c.calmUntil = now.Add(s.options.Cooldown)
+		c.cooldownUntil = now.Add(s.options.Cooldown)
 	}
 }
 
-// fail keeps what the account has; one that has no share of an owner takes an equal
-// part. Whether the owner has heard is not known: what was given back counts as lost,
-// and what was used in advance is told again.
-func (s *Service) fail(c *account, d demand) {
+// reportFailed keeps the account's share, or uses an equal part if no owner has given
+// one. The owner may or may not have received the report: returned tokens count as
+// lost, and tokens used in advance are reported again.
+func (s *Service) reportFailed(c *account, d demand) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.call = nil
-	c.calmUntil = now.Add(s.options.ReportInterval)
-	c.advance.Add(int64(d.Advance))
-	if c.held {
-		s.cut(now, c)
+	c.pending = nil
+	c.cooldownUntil = now.Add(s.options.ReportInterval)
+	c.advanceTokens.Add(int64(d.AdvanceTokens))
+	if c.registered {
+		s.markOwnerUnreachable(now, c)
 	}
 }
 
-// cut marks an account whose owner does not answer. The lock is held.
-func (s *Service) cut(now time.Time, c *account) {
-	if !c.cutOff {
-		c.cutOff = true
-		c.filledAt = now
+// markOwnerUnreachable marks an account whose owner does not answer. The lock is
+// held.
+func (s *Service) markOwnerUnreachable(now time.Time, c *account) {
+	if !c.ownerUnreachable {
+		c.ownerUnreachable = true
+		c.refilledAt = now
 	}
-	if !c.share.Load().owned {
-		s.takeEqualPart(now, c)
+	if !c.share.Load().fromOwner {
+		s.useEqualShare(now, c)
 	}
 }
--- a/limits/options.go
+++ b/limits/options.go
@@ -12,40 +12,41 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Options are the parts and numbers of a Service. Zero numbers are replaced by the
-// defaults below.
+// Options configures a Service. Zero values are replaced by the defaults below.
 type Options struct {
 	Transport  peer.Transport
 	Membership membership.View
 	Config     config.View
-	// Metrics is where counters are registered; nil for a set of its own.
+	// Metrics is the set in which counters are registered; nil means a new set.
 	Metrics *metrics.Set
 	Logger  zerolog.Logger
 
-	// ReportInterval is the interval of reports of organisations that press against
-	// their share, SlowReportInterval that of others in use.
+	// ReportInterval is the report interval of organisations under pressure,
+	// SlowReportInterval that of other organisations in use.
 	ReportInterval     time.Duration
 	SlowReportInterval time.Duration
-	// Settle is how long a new owner waits for the nodes' first reports before it
-	// shares by demand.
+	// SettleTime is how long a new owner waits for the nodes' first reports before it
+	// allocates by demand.
 	SettleTime time.Duration
-	// Keep is how long a node keeps a share when it can't reach the owner. Owners
-	// count a share for Keep and two SlowReportInterval after a node's last report.
+	// ShareRetention is how long a node keeps a share when it can't reach the owner.
+	// Owners count a share for ShareRetention and two SlowReportInterval after a
+	// node's last report.
 	ShareRetention time.Duration
-	// IdleTimeout is how long an organisation must be unused at a node before the node
-	// gives its share back, EvictAfter before it forgets the organisation.
+	// IdleTimeout is how long an organisation must be unused at a node before the
+	// node returns its share, EvictAfter before the node evicts the organisation.
 	IdleTimeout time.Duration
 	EvictAfter  time.Duration
-	// Patience bounds the wait of a request for an immediate answer of the owner.
+	// OwnerWaitTimeout bounds a request's wait for the owner's reply.
 	OwnerWaitTimeout time.Duration
-	// Cooldown is the least time between such calls when the owner had no more.
+	// Cooldown is the minimum time between immediate reports when the owner had
+	// nothing left to allocate.
 	Cooldown time.Duration
 	// CallTimeout bounds a call to an owner.
 	CallTimeout time.Duration
-	// RetryAfter is what callers over the limit on requests are told.
+	// RetryAfter is the delay recommended to callers over the limit on requests.
 	RetryAfter time.Duration
-	// Rotate is the interval at which shares that are too few for all nodes go on to
-	// others.
+	// RotationInterval is the interval at which shares that are too few for all nodes
+	// move to other nodes.
 	RotationInterval time.Duration
 }
 
--- a/limits/permit.go
+++ b/limits/permit.go
@@ -2,21 +2,21 @@
 
 import "sync/atomic"
 
-// Permit is a request counted in.
+// Permit represents an admitted request.
 type Permit struct {
-	account  *account
-	cost     int
-	tokens   bool
-	released atomic.Bool
+	account      *account
+	cost         int
+	tokenLimited bool
+	released     atomic.Bool
 }
 
-// Release counts the request out with the tokens that it really took: both 0 if it
-// was not run. Only the first call counts.
+// Release ends the request with the tokens that it actually used: both 0 if it was
+// not run. Only the first call has an effect.
 func (p *Permit) Release(promptTokens, answerTokens int) {
 	if p.account == nil || p.released.Swap(true) {
 		return
 	}
-	p.account.release(max(promptTokens, 0)+max(answerTokens, 0)-p.cost, p.tokens)
+	p.account.release(max(promptTokens, 0)+max(answerTokens, 0)-p.cost, p.tokenLimited)
 }
 
 // unlimited is the permit of organisations without limits.
--- a/limits/reporter.go
+++ b/limits/reporter.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-
 	"time"
 
 	"hawthornrill.example/hawthornrill/domain"
@@ -10,79 +9,79 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// rateSpan is how far ahead tokens are asked for.
-const rateSpan = 2 * time.Second
+// tokenLookahead is the time for which tokens are requested in advance.
+const tokenLookahead = 2 * time.Second
 
-// rateWeight is the weight of the last interval in the rate of tokens used.
-const rateWeight = 0.5
+// rateSmoothing is the weight of the last interval in the token rate.
+const rateSmoothing = 0.5
 
-// Run reports demand and applies the answers until the context ends, and then
-// returns its error.
+// Run reports demand and applies the replies until the context ends, and returns the
+// context's error.
 func (s *Service) Run(ctx context.Context) error {
 	return pacing.Every(ctx, s.options.ReportInterval, func() { s.tick(time.Now()) })
 }
 
-// tick looks after all accounts and sends the reports that are due, one message for
-// each owner.
+// tick updates all accounts and sends the reports that are due, one message for each
+// owner.
 func (s *Service) tick(now time.Time) {
-	f := s.lookAround()
-	var forgotten []*account
+	nodes := s.refreshNodes()
+	var evicted []*account
 	due := make(map[domain.Member][]*account)
 	for _, c := range s.accounts.current() {
-		if s.forget(now, c) {
-			forgotten = append(forgotten, c)
+		if s.evictIfIdle(now, c) {
+			evicted = append(evicted, c)
 			continue
 		}
-		if owner, ok := f.owner(c.organisation); ok && s.due(now, c, owner) {
+		if owner, ok := nodes.owner(c.organisation); ok && s.reportDue(now, c, owner) {
 			due[owner] = append(due[owner], c)
 		}
 	}
-	s.accounts.drop(forgotten)
-	s.books.sweep(now)
+	s.accounts.drop(evicted)
+	s.allocators.evictIdle(now)
 	for owner, list := range due {
-		s.report(owner, list)
+		s.sendReport(owner, list)
 	}
 }
 
-// forget closes an account that has long been unused.
-func (s *Service) forget(now time.Time, c *account) bool {
+// evictIfIdle closes an account that has been unused for EvictAfter.
+func (s *Service) evictIfIdle(now time.Time, c *account) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.touched.Swap(false) || c.inFlight.Load() > 0 {
+	if c.active.Swap(false) || c.inFlight.Load() > 0 {
 		c.usedAt = now
 	}
-	return now.Sub(c.usedAt) >= s.options.EvictAfter && c.call == nil && c.closeIdle()
+	return now.Sub(c.usedAt) >= s.options.EvictAfter && c.pending == nil && c.closeIdle()
 }
 
-// due keeps an account without an owner going, and reports whether its owner should
-// hear of it now.
-func (s *Service) due(now time.Time, c *account, owner domain.Member) bool {
+// reportDue refills an account whose owner is unreachable, and reports whether a
+// report to its owner is due.
+func (s *Service) reportDue(now time.Time, c *account, owner domain.Member) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.rate(now, c)
-	if c.cutOff {
-		s.fill(now, c)
+	s.updateTokenRate(now, c)
+	if c.ownerUnreachable {
+		s.refillUnreachable(now, c)
 	}
-	if c.call != nil {
+	if c.pending != nil {
 		return false
 	}
 	idle := now.Sub(c.usedAt) >= s.options.IdleTimeout
 	switch {
 	case idle:
-		return c.held
-	case c.cutOff || s.presses(c) || c.held && !owner.SameLife(c.owner):
+		return c.registered
+	case c.ownerUnreachable || s.underPressure(c) || c.registered && !owner.SameLife(c.reportedOwner):
 		return true
 	default:
-		return now.Sub(c.reportedAt) >= s.options.SlowReportInterval && s.holds(c)
+		return now.Sub(c.reportedAt) >= s.options.SlowReportInterval && s.needsReport(c)
 	}
 }
 
-// presses reports whether the account's share is used up, far too large, or of
-// another limit than that in force. The lock is held.
-func (s *Service) presses(c *account) bool {
+// underPressure reports whether the account's share is used up, much too large, or
+// based on an outdated limit. The lock is held.
+func (s *Service) underPressure(c *account) bool {
 	share := c.share.Load()
 	limit := int(c.limitInFlight.Load())
-	wanted := max(int(c.peak.Load())-ready(limit, s.nodes()), 0)
+	wanted := max(int(c.peakInFlight.Load())-reserved(limit, s.nodeCount()), 0)
 	switch {
 	case c.refused.Load() > 0:
 		return true
@@ -91,77 +90,78 @@
 	case limit > 0 && share.requests > 2*wanted:
 		return true
 	}
-	return c.limitTokens.Load() > 0 && float64(c.tokens.Load()) < c.rate*rateSpan.Seconds()
+	return c.limitTokens.Load() > 0 && float64(c.tokens.Load()) < c.tokenRate*tokenLookahead.Seconds()
 }
 
-// holds reports whether the owner must go on hearing of the account. The lock is held.
-func (s *Service) holds(c *account) bool {
-	beyond := c.inFlight.Load() > int64(ready(int(c.limitInFlight.Load()), s.nodes()))
-	return c.share.Load().requests > 0 || c.limitInFlight.Load() > 0 && beyond || c.advance.Load() > 0
+// needsReport reports whether the owner must continue to receive the account's
+// reports. The lock is held.
+func (s *Service) needsReport(c *account) bool {
+	beyond := c.inFlight.Load() > int64(reserved(int(c.limitInFlight.Load()), s.nodeCount()))
+	return c.share.Load().requests > 0 || c.limitInFlight.Load() > 0 && beyond || c.advanceTokens.Load() > 0
 }
 
-// rate works out the tokens used a second. The lock is held.
-func (s *Service) rate(now time.Time, c *account) {
-	elapsed := now.Sub(c.ratedAt).Seconds()
+// updateTokenRate updates the token rate. The lock is held.
+func (s *Service) updateTokenRate(now time.Time, c *account) {
+	elapsed := now.Sub(c.rateUpdatedAt).Seconds()
 	if elapsed <= 0 {
 		return
 	}
-	c.ratedAt = now
-	used := max(float64(c.used.Swap(0)), 0)
-	c.rate += rateWeight * (used/elapsed - c.rate)
+	c.rateUpdatedAt = now
+	used := max(float64(c.usedTokens.Swap(0)), 0)
+	c.tokenRate += rateSmoothing * (used/elapsed - c.tokenRate)
 }
 
-// fill adds the equal part of the tokens of an account whose owner can't be reached.
-// The lock is held.
-func (s *Service) fill(now time.Time, c *account) {
-	part := equalPart(int(c.limitTokens.Load()), s.nodes())
-	added := int64(float64(part) * now.Sub(c.filledAt).Minutes())
-	c.filledAt = now
-	if room := int64(part) - c.tokens.Load(); room > 0 {
+// refillUnreachable adds the node's equal part of the tokens to an account whose
+// owner is unreachable. The lock is held.
+func (s *Service) refillUnreachable(now time.Time, c *account) {
+	equal := equalShare(int(c.limitTokens.Load()), s.nodeCount())
+	added := int64(float64(equal) * now.Sub(c.refilledAt).Minutes())
+	c.refilledAt = now
+	if room := int64(equal) - c.tokens.Load(); room > 0 {
 		c.tokens.Add(min(added, room))
 	}
-	if now.Sub(c.share.Load().at) >= s.options.ShareRetention {
-		s.takeEqualPart(now, c)
+	if now.Sub(c.share.Load().receivedAt) >= s.options.ShareRetention {
+		s.useEqualShare(now, c)
 	}
 }
 
-// takeEqualPart is what a node does whose owner has long been out of reach. The lock
-// is held.
-func (s *Service) takeEqualPart(now time.Time, c *account) {
-	limit, nodes := int(c.limitInFlight.Load()), s.nodes()
-	part := equalPart(limit, nodes) - ready(limit, nodes)
-	c.share.Store(&share{requests: part, limit: limit, pool: pool(limit, nodes), at: now})
+// useEqualShare replaces the share by an equal part of the limit while the owner is
+// unreachable. The lock is held.
+func (s *Service) useEqualShare(now time.Time, c *account) {
+	limit, nodes := int(c.limitInFlight.Load()), s.nodeCount()
+	part := equalShare(limit, nodes) - reserved(limit, nodes)
+	c.share.Store(&share{requests: part, limit: limit, pool: pool(limit, nodes), receivedAt: now})
 }
 
-// ask asks the owner at once, or joins the report under way. It returns nil if the
-// owner has just said that there is no more, or does not answer.
-func (s *Service) ask(c *account) *call {
+// reportNow reports to the owner at once, or joins the report in progress. It returns
+// nil during the cooldown and while the owner is unreachable.
+func (s *Service) reportNow(c *account) *pendingReport {
 	c.mu.Lock()
-	under, calm := c.call, c.cutOff || time.Now().Before(c.calmUntil)
+	pending, suppressed := c.pending, c.ownerUnreachable || time.Now().Before(c.cooldownUntil)
 	c.mu.Unlock()
-	if calm {
+	if suppressed {
 		return nil
 	}
-	if under != nil {
-		return under
+	if pending != nil {
+		return pending
 	}
-	owner, ok := s.lookAround().owner(c.organisation)
+	owner, ok := s.refreshNodes().owner(c.organisation)
 	if !ok || s.ctx.Err() != nil {
 		return nil
 	}
-	s.report(owner, []*account{c})
+	s.sendReport(owner, []*account{c})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.call
+	return c.pending
 }
 
-// report sends one message to an owner and applies the answer when it comes.
-func (s *Service) report(owner domain.Member, list []*account) {
-	under := &call{done: make(chan struct{})}
+// sendReport sends one message to an owner and applies the reply when it arrives.
+func (s *Service) sendReport(owner domain.Member, list []*account) {
+	pending := &pendingReport{done: make(chan struct{})}
 	var reported []*account
 	var r report
 	for _, c := range list {
-		if d, ok := s.begin(c, owner, under); ok {
+		if d, ok := s.beginReport(c, owner, pending); ok {
 			reported = append(reported, c)
 			r.Demands = append(r.Demands, d)
 		}
@@ -170,30 +170,30 @@
 		return
 	}
 	s.reports.Inc()
-	go s.exchange(owner, r, reported, under)
+	go s.exchange(owner, r, reported, pending)
 }
 
-func (s *Service) exchange(owner domain.Member, r report, list []*account, under *call) {
-	defer close(under.done)
+func (s *Service) exchange(owner domain.Member, r report, list []*account, pending *pendingReport) {
+	defer close(pending.done)
 	ctx, cancel := context.WithTimeout(s.ctx, s.options.CallTimeout)
 	defer cancel()
 	answer, err := peer.Call[report, reply](ctx, s.options.Transport, owner, methodReport, r)
 	failed := err != nil || len(answer.Shares) != len(list)
 	if failed {
 		s.failures.Inc()
-		s.options.Logger.Debug().Err(err).Stringer("owner", owner).Msg("limits not reported")
+		s.options.Logger.Debug().Err(err).Stringer("owner", owner).Msg("report to limits owner failed")
 	}
 	for i, c := range list {
-		if failed || !answer.Shares[i].fits(c) {
-			s.fail(c, r.Demands[i])
+		if failed || !answer.Shares[i].validFor(c) {
+			s.reportFailed(c, r.Demands[i])
 			continue
 		}
-		s.apply(c, r.Demands[i], answer.Shares[i])
+		s.applyAllocation(c, r.Demands[i], answer.Shares[i])
 	}
 }
 
-// fits reports whether an allotment is one: the owner may not know of the
-// organisation or of its limit yet.
-func (a *allotment) fits(c *account) bool {
+// validFor reports whether an allocation applies: the owner may not know the
+// organisation or its limit yet.
+func (a *allocation) validFor(c *account) bool {
 	return !a.Ignored && (a.Limit > 0 || c.limitInFlight.Load() <= 0)
 }
--- a/limits/service.go
+++ b/limits/service.go
@@ -13,17 +13,17 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// errClosed means that the account was forgotten meanwhile.
-var errClosed = errors.New("limits: account closed")
+// errAccountClosed means that the account has been evicted.
+var errAccountClosed = errors.New("limits: account closed")
 
-// Service is a node's part of the limits: it admits requests here, and owns some
+// Service admits requests at a node and, as their owner, allocates the limits of some
 // organisations for all nodes.
 type Service struct {
-	options  Options
-	accounts *accounts
-	books    *books
-	fleet    atomic.Pointer[fleet]
-	// ctx ends the calls that requests cause; stop ends it.
+	options    Options
+	accounts   *accounts
+	allocators *allocators
+	nodeSet    atomic.Pointer[nodeSet]
+	// ctx bounds the calls made for requests; stop cancels it.
 	ctx  context.Context
 	stop context.CancelFunc
 
@@ -33,8 +33,8 @@
 	failures *metrics.Counter
 }
 
-// New returns a Service and registers its handler. Run must run for shares to
-// follow demand.
+// New returns a Service and registers its handler. Shares follow demand only while
+// Run is running.
 func New(options Options) *Service {
 	o := options.withDefaults()
 	ctx, stop := context.WithCancel(context.Background())
@@ -48,129 +48,128 @@
 		reports:  o.Metrics.GetOrCreateCounter("hawthornrill_limits_reports_total"),
 		failures: o.Metrics.GetOrCreateCounter("hawthornrill_limits_report_failures_total"),
 	}
-	s.books = newBooks(s)
-	s.fleet.Store(&fleet{changedAt: time.Now()})
-	s.lookAround()
+	s.allocators = newAllocators(s)
+	s.nodeSet.Store(&nodeSet{changedAt: time.Now()})
+	s.refreshNodes()
 	o.Metrics.GetOrCreateGauge("hawthornrill_limits_accounts", func() float64 { return float64(len(s.accounts.current())) })
-	o.Metrics.GetOrCreateGauge("hawthornrill_limits_owned", func() float64 { return float64(s.books.len()) })
-	peer.Handle(o.Transport, methodReport, s.books.handle)
+	o.Metrics.GetOrCreateGauge("hawthornrill_limits_owned", func() float64 { return float64(s.allocators.len()) })
+	peer.Handle(o.Transport, methodReport, s.allocators.handleReport)
 	return s
 }
 
-// Close ends the calls under way. Admit then goes by the shares that are there.
+// Close cancels the calls in progress. Admit then uses the existing shares.
 func (s *Service) Close() { s.stop() }
 
-// Admit counts a request in under its organisation's limits, or returns an *Error.
-// The answer's tokens are an estimate, settled by Permit.Release. It returns at
-// once, unless this node's share is used up and the owner may have more: then it
-// waits for the owner's answer, at most Options.Patience.
+// Admit admits a request under its organisation's limits, or returns an *Error. The
+// number of answer tokens is an estimate, corrected by Permit.Release. Admit returns
+// at once, unless this node's share is used up and the owner may have more: then it
+// waits for the owner's reply, at most Options.OwnerWaitTimeout.
 func (s *Service) Admit(org *config.Organisation, promptTokens, answerTokens int) (*Permit, error) {
 	if org.InFlight <= 0 && org.TokensPerMinute <= 0 {
 		return unlimited, nil
 	}
-	a := newAdmission(org, s.nodes(), promptTokens, answerTokens)
-	account, err := s.try(org, a)
+	a := newAdmission(org, s.nodeCount(), promptTokens, answerTokens)
+	account, err := s.tryAdmit(org, a)
 	if err != nil {
-		account, err = s.insist(org, a, account, err)
+		account, err = s.admitAfterReport(org, a, account, err)
 	}
 	if err != nil {
 		s.refused.Inc()
 		return nil, s.refusal(account, a, err)
 	}
 	s.admitted.Inc()
-	return &Permit{account: account, cost: a.cost, tokens: a.tokens > 0}, nil
+	return &Permit{account: account, cost: a.cost, tokenLimited: a.tokens > 0}, nil
 }
 
-// try asks the organisation's account, a new one if it was just forgotten.
-func (s *Service) try(org *config.Organisation, a admission) (*account, error) {
+// tryAdmit uses the organisation's account, or a new one if it has just been evicted.
+func (s *Service) tryAdmit(org *config.Organisation, a admission) (*account, error) {
 	for {
 		c := s.accounts.get(org.ID, func() *account { return s.newAccount(org) })
 		err := c.admit(a)
-		if err != errClosed { //nolint:errorlint // never wrapped
+		if err != errAccountClosed { //nolint:errorlint // never wrapped
 			return c, err
 		}
 		s.accounts.drop([]*account{c})
 	}
 }
 
-// insist asks the owner for more and tries again, as long as the owner gives more
-// and patience lasts.
-func (s *Service) insist(org *config.Organisation, a admission, c *account, err error) (*account, error) {
-	patience := time.NewTimer(s.options.OwnerWaitTimeout)
-	defer patience.Stop()
-	c.waiting.Add(1)
-	c.waitingTokens.Add(a.needed())
-	defer c.waitingTokens.Add(-a.needed())
-	defer c.waiting.Add(-1)
+// admitAfterReport requests more from the owner and retries, until the request is
+// admitted, the owner has nothing left or OwnerWaitTimeout has passed.
+func (s *Service) admitAfterReport(org *config.Organisation, a admission, c *account, err error) (*account, error) {
+	timer := time.NewTimer(s.options.OwnerWaitTimeout)
+	defer timer.Stop()
+	c.waitingRequests.Add(1)
+	c.waitingTokens.Add(a.requiredTokens())
+	defer c.waitingTokens.Add(-a.requiredTokens())
+	defer c.waitingRequests.Add(-1)
 	for err != nil {
-		call := s.ask(c)
-		if call == nil {
+		pending := s.reportNow(c)
+		if pending == nil {
 			return c, c.admit(a)
 		}
 		select {
-		case <-call.done:
-		case <-patience.C:
-			s.giveUp(c)
+		case <-pending.done:
+		case <-timer.C:
+			s.ownerTimedOut(c)
 			return c, c.admit(a)
 		}
-		if err = c.admit(a); err == errClosed { //nolint:errorlint // never wrapped
-			return s.try(org, a)
+		if err = c.admit(a); err == errAccountClosed { //nolint:errorlint // never wrapped
+			return s.tryAdmit(org, a)
 		}
 	}
 	return c, nil
 }
 
-// giveUp goes on without an owner that does not answer in time.
-func (s *Service) giveUp(c *account) {
+// ownerTimedOut marks the owner as unreachable if the report is still pending.
+func (s *Service) ownerTimedOut(c *account) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.call != nil {
-		s.cut(time.Now(), c)
+	if c.pending != nil {
+		s.markOwnerUnreachable(time.Now(), c)
 	}
 }
 
-// refusal notes the refusal as demand and returns the error.
+// refusal counts the refusal as demand and returns the error.
 func (s *Service) refusal(c *account, a admission, err error) error {
 	c.refused.Add(1)
 	retry := s.options.RetryAfter
 	if errors.Is(err, ErrTokenRate) {
-		missing := timeFor(float64(a.needed()-c.tokens.Load()), a.tokens)
-		retry = max(retry, c.share.Load().wait+missing)
+		missing := refillTime(float64(a.requiredTokens()-c.tokens.Load()), a.tokens)
+		retry = max(retry, c.share.Load().tokenWait+missing)
 	}
 	return &Error{Err: err, RetryAfter: retry}
 }
 
-// newAccount returns an account of which the owner knows nothing yet.
+// newAccount returns an account that the owner does not know yet.
 func (s *Service) newAccount(org *config.Organisation) *account {
 	now := time.Now()
-	c := &account{organisation: org.ID, ratedAt: now, usedAt: now}
-	s.startAnew(c, org.InFlight, org.TokensPerMinute)
+	c := &account{organisation: org.ID, rateUpdatedAt: now, usedAt: now}
+	s.resetAccount(c, org.InFlight, org.TokensPerMinute)
 	return c
 }
 
-// startAnew gives an account what it may use before the owner knows of it: an equal
+// resetAccount gives an account what it may use before its first report: an equal
 // part of the tokens, and no share of the requests.
-func (s *Service) startAnew(c *account, inFlight, tokensPerMinute int) {
-	c.share.Store(&share{limit: inFlight, pool: pool(inFlight, s.nodes()), at: time.Now()})
-	tokens := int64(tokensPerMinute / s.nodes())
+func (s *Service) resetAccount(c *account, inFlight, tokensPerMinute int) {
+	c.share.Store(&share{limit: inFlight, pool: pool(inFlight, s.nodeCount()), receivedAt: time.Now()})
+	tokens := int64(tokensPerMinute / s.nodeCount())
 	c.tokens.Store(tokens)
-	c.advance.Store(tokens)
+	c.advanceTokens.Store(tokens)
 }
 
-// nodes returns the number of live nodes, at least one.
-func (s *Service) nodes() int { return max(len(s.fleet.Load().live), 1) }
+// nodeCount returns the number of live nodes, at least one.
+func (s *Service) nodeCount() int { return max(len(s.nodeSet.Load().live), 1) }
 
-// lookAround brings the fleet up to date.
-func (s *Service) lookAround() *fleet {
-	f := s.fleet.Load()
+// refreshNodes updates the node set from the membership.
+func (s *Service) refreshNodes() *nodeSet {
+	current := s.nodeSet.Load()
 	view := s.options.Membership.Current()
-	if view == f.view {
-		return f
+	if view == current.view {
+		return current
 	}
-	next := f.next(time.Now(), view, s.options.SettleTime)
-	s.fleet.CompareAndSwap(f, next)
-	return s.fleet.Load()
+	next := current.update(time.Now(), view, s.options.SettleTime)
+	s.nodeSet.CompareAndSwap(current, next)
+	return s.nodeSet.Load()
 }
 
-// self returns this node's identifier.
 func (s *Service) self() domain.NodeID { return s.options.Transport.Self().Node }
--- a/limits/share.go
+++ b/limits/share.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// share is the part of the limit on requests that a node may use, beyond what each
-// node may always use. It is immutable.
+// share is a node's share of the limit on requests, in addition to its reserved
+// request. It is immutable.
 type share struct {
 	requests int
-	// limit and pool are those of which it is a part.
+	// limit and pool are the values on which the share is based.
 	limit int
 	pool  int
-	// owned is false if no owner gave it.
-	owned bool
-	at    time.Time
-	// wait is how long it takes until there are more tokens, as the owner said.
-	wait time.Duration
+	// fromOwner is false if the node has taken an equal part by itself.
+	fromOwner  bool
+	receivedAt time.Time
+	// tokenWait is the time until the owner has more tokens, as stated in its reply.
+	tokenWait time.Duration
 }
 
-// allowed returns the requests of a pool that may be in flight. A smaller pool than
-// that of which the share is a part shrinks it at once, so that the shares of all
-// nodes still sum to no more than the pool.
+// allowed returns the number of requests in flight allowed by the share under a pool.
+// If the pool is smaller than the one on which the share is based, the share is
+// reduced proportionally, so that the shares of all nodes still sum to at most the
+// pool.
 func (s *share) allowed(pool int) int {
 	if s.pool > pool {
 		return s.requests * pool / s.pool
