--- a/capacity/leastoutstanding.go
+++ b/capacity/leastoutstanding.go
@@ -2,18 +2,17 @@
 
 import "time"
 
-// LeastOutstanding is the plain Chooser: it takes the endpoint with the least
-// outstanding requests for its limit, and knows no speeds.
+// LeastOutstanding is the default Chooser: it takes the endpoint with the fewest
+// outstanding requests relative to its limit, and makes no forecasts.
 type LeastOutstanding struct{}
 
-// NewLeastOutstanding returns the plain Chooser.
 func NewLeastOutstanding() LeastOutstanding { return LeastOutstanding{} }
 
-// Admit admits every ask.
-func (LeastOutstanding) Admit(time.Time, *Ask) error { return nil }
+// Admit admits every request.
+func (LeastOutstanding) Admit(time.Time, *Request) error { return nil }
 
-// Choose returns the candidate with the smallest part of its limit in use.
-func (LeastOutstanding) Choose(_ time.Time, _ *Waiting, candidates []*EndpointState) (int, bool) {
+// Choose returns the candidate with the smallest fraction of its limit in use.
+func (LeastOutstanding) Choose(_ time.Time, _ *QueuedRequest, candidates []*EndpointState) (int, bool) {
 	best := 0
 	for i, c := range candidates {
 		if c.Requests*candidates[best].Limit < candidates[best].Requests*c.Limit {
@@ -24,10 +23,10 @@
 }
 
 // Granted does nothing.
-func (LeastOutstanding) Granted(time.Time, *EndpointState, *Ask) {}
+func (LeastOutstanding) Granted(time.Time, *EndpointState, *Request) {}
 
-// Forecast knows nothing.
-func (LeastOutstanding) Forecast(time.Time, *EndpointState, *Ask) Forecast { return Forecast{} }
+// Forecast returns zero values, for unknown.
+func (LeastOutstanding) Forecast(time.Time, *EndpointState, *Request) Forecast { return Forecast{} }
 
 // Observe does nothing.
-func (LeastOutstanding) Observe(time.Time, *EndpointState, *Ask, Result) {}
+func (LeastOutstanding) Observe(time.Time, *EndpointState, *Request, Result) {}
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -19,7 +19,7 @@
 )
 
 // Observe implements capacity.Chooser.
-func (rt *Router) Observe(now time.Time, state *capacity.EndpointState, ask *capacity.Ask, result capacity.Result) {
+func (rt *Router) Observe(now time.Time, state *capacity.EndpointState, ask *capacity.Request, result capacity.Result) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.pruneEndpoints(now)
@@ -45,7 +45,7 @@
 }
 
 // untrackedGrant returns an approximation of a grant that was not tracked.
-func (rt *Router) untrackedGrant(now time.Time, state *capacity.EndpointState, ask *capacity.Ask) trackedGrant {
+func (rt *Router) untrackedGrant(now time.Time, state *capacity.EndpointState, ask *capacity.Request) trackedGrant {
 	return trackedGrant{
 		placed: now,
 		work:   float64(ask.PromptTokens + rt.options.RequestOverheadTokens*state.Requests),
@@ -54,7 +54,7 @@
 	}
 }
 
-func (rt *Router) handleCompleted(now time.Time, e *Endpoint, grant trackedGrant, ask *capacity.Ask, state *capacity.EndpointState, result capacity.Result) {
+func (rt *Router) handleCompleted(now time.Time, e *Endpoint, grant trackedGrant, ask *capacity.Request, state *capacity.EndpointState, result capacity.Result) {
 	e.ejector.RecordSuccess()
 	rt.options.Quarantine.Completed(ask.Fingerprint)
 	e.cacheTrust.Observe(grant.cached, float64(result.CachedTokens))
@@ -123,7 +123,7 @@
 
 // handleCrash records the request's content with the quarantine, clears the prefix table since the
 // cache is lost, and ejects the endpoint.
-func (rt *Router) handleCrash(now time.Time, e *Endpoint, grant trackedGrant, ask *capacity.Ask, alone bool) {
+func (rt *Router) handleCrash(now time.Time, e *Endpoint, grant trackedGrant, ask *capacity.Request, alone bool) {
 	if now.Sub(e.crash.at) > crashWindow {
 		e.crash = crashEvent{at: now, alone: alone}
 		e.prefixes.Clear()
@@ -176,7 +176,7 @@
 	delete(rt.endpoints, id)
 }
 
-// Report implements capacity.Reporter.
+// Report implements capacity.ReportReceiver.
 func (rt *Router) Report(now time.Time, state *capacity.EndpointState, report endpoint.LoadReport) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -187,7 +187,7 @@
 	}
 }
 
-// CacheEvents implements capacity.Reporter. Duplicate events are ignored. A sequence that restarts
+// CacheEvents implements capacity.ReportReceiver. Duplicate events are ignored. A sequence that restarts
 // means that the endpoint has lost its cache.
 func (rt *Router) CacheEvents(now time.Time, state *capacity.EndpointState, events []endpoint.CacheEvent) {
 	rt.mu.Lock()
--- a/routing/quarantine/quarantine_test.go
+++ b/routing/quarantine/quarantine_test.go
@@ -151,11 +151,11 @@
 type testPool struct {
 	router  *routing.Router
 	states  []*capacity.EndpointState
-	running map[int][]capacity.Ask
+	running map[int][]capacity.Request
 }
 
 func newTestPool(name string, q routing.Quarantine) *testPool {
-	p := &testPool{router: routing.NewRouter(routing.Options{Quarantine: q}), running: make(map[int][]capacity.Ask)}
+	p := &testPool{router: routing.NewRouter(routing.Options{Quarantine: q}), running: make(map[int][]capacity.Request)}
 	for i := range 2 {
 		p.states = append(p.states, &capacity.EndpointState{ID: domain.EndpointID(fmt.Sprint(name, i)), Row: &config.EndpointRow{ID: domain.EndpointID(fmt.Sprint(name, i))}})
 	}
@@ -165,11 +165,11 @@
 // submit places a request with the content and returns false if the content is quarantined.
 func (p *testPool) submit(fingerprint uint64) bool {
 	now := time.Now()
-	ask := capacity.Ask{Pool: "model/m", Fingerprint: fingerprint, PromptTokens: 100, AnswerTokens: 10}
+	ask := capacity.Request{Pool: "model/m", Fingerprint: fingerprint, PromptTokens: 100, AnswerTokens: 10}
 	if p.router.Admit(now, &ask) != nil {
 		return false
 	}
-	if at, ok := p.router.Choose(now, &capacity.Waiting{Ask: &ask}, p.states); ok {
+	if at, ok := p.router.Choose(now, &capacity.QueuedRequest{Request: &ask}, p.states); ok {
 		p.router.Granted(now, p.states[at], &ask)
 		p.states[at].Requests++
 		p.running[at] = append(p.running[at], ask)
--- a/routing/router.go
+++ b/routing/router.go
@@ -35,8 +35,8 @@
 }
 
 var (
-	_ capacity.Chooser  = (*Router)(nil)
-	_ capacity.Reporter = (*Router)(nil)
+	_ capacity.Chooser        = (*Router)(nil)
+	_ capacity.ReportReceiver = (*Router)(nil)
 )
 
 // NewRouter returns a Router without learned state.
@@ -57,7 +57,7 @@
 }
 
 // Admit implements capacity.Chooser. It refuses quarantined contents.
-func (rt *Router) Admit(_ time.Time, ask *capacity.Ask) error {
+func (rt *Router) Admit(_ time.Time, ask *capacity.Request) error {
 	remaining := rt.options.Quarantine.Quarantined(ask.Fingerprint)
 	if remaining <= 0 {
 		return nil
@@ -80,17 +80,17 @@
 }
 
 // Choose implements capacity.Chooser.
-func (rt *Router) Choose(now time.Time, waiting *capacity.Waiting, states []*capacity.EndpointState) (int, bool) {
+func (rt *Router) Choose(now time.Time, waiting *capacity.QueuedRequest, states []*capacity.EndpointState) (int, bool) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.counters.decisions.Inc()
 	r := rt.newRequest(now, waiting)
-	candidates := rt.pipeline.Filter(r, rt.candidates(now, states, waiting.Ask.Pool))
+	candidates := rt.pipeline.Filter(r, rt.candidates(now, states, waiting.Request.Pool))
 	if len(candidates) == 0 {
 		return rt.chooseWithoutCandidates(r, waiting, states)
 	}
 	best := rt.pipeline.Choose(r, candidates)
-	if !waiting.Pressing && rt.shouldHoldBack(r, best, candidates) {
+	if !waiting.Urgent && rt.shouldHoldBack(r, best, candidates) {
 		rt.counters.heldBack.Inc()
 		return 0, false
 	}
@@ -99,9 +99,9 @@
 
 // chooseWithoutCandidates decides when no candidate passes the filters: the request waits, unless it
 // would be refused for waiting; then it takes the best unfiltered candidate.
-func (rt *Router) chooseWithoutCandidates(r *Request, waiting *capacity.Waiting, states []*capacity.EndpointState) (int, bool) {
+func (rt *Router) chooseWithoutCandidates(r *Request, waiting *capacity.QueuedRequest, states []*capacity.EndpointState) (int, bool) {
 	rt.counters.noCandidate.Inc()
-	if !waiting.Pressing {
+	if !waiting.Urgent {
 		return 0, false
 	}
 	return rt.pipeline.Choose(r, rt.candidates(r.Now, states, r.Ask.Pool)).index, true
@@ -116,12 +116,12 @@
 }
 
 // Granted implements capacity.Chooser.
-func (rt *Router) Granted(now time.Time, state *capacity.EndpointState, ask *capacity.Ask) {
+func (rt *Router) Granted(now time.Time, state *capacity.EndpointState, ask *capacity.Request) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	e := rt.endpoint(now, state)
 	e.updateState(now, state)
-	r := rt.newRequest(now, &capacity.Waiting{Ask: ask})
+	r := rt.newRequest(now, &capacity.QueuedRequest{Request: ask})
 	c := rt.estimate(r, state, e)
 	rt.countTokens(ask, c)
 	rt.trackGrant(r, c)
@@ -166,13 +166,13 @@
 	return probe
 }
 
-func (rt *Router) countTokens(ask *capacity.Ask, c *Candidate) {
+func (rt *Router) countTokens(ask *capacity.Request, c *Candidate) {
 	rt.counters.promptTokens.Add(ask.PromptTokens)
 	rt.counters.predictedCachedTokens.Add(int(c.Estimate.CachedTokens))
 }
 
 // recordSession records the endpoint of the session's last turn.
-func (rt *Router) recordSession(now time.Time, id domain.EndpointID, ask *capacity.Ask) {
+func (rt *Router) recordSession(now time.Time, id domain.EndpointID, ask *capacity.Request) {
 	if ask.Session == "" {
 		return
 	}
@@ -185,19 +185,19 @@
 
 // Forecast implements capacity.Chooser. It returns a zero Forecast while both the endpoint and its
 // generation have few samples.
-func (rt *Router) Forecast(now time.Time, state *capacity.EndpointState, ask *capacity.Ask) capacity.Forecast {
+func (rt *Router) Forecast(now time.Time, state *capacity.EndpointState, ask *capacity.Request) capacity.Forecast {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	e := rt.endpoint(now, state)
 	if max(e.profile.Samples(), e.generation.profile.Samples()) < rt.options.MinForecastSamples {
 		return capacity.Forecast{}
 	}
-	r := rt.newRequest(now, &capacity.Waiting{Ask: ask})
+	r := rt.newRequest(now, &capacity.QueuedRequest{Request: ask})
 	c := rt.estimate(r, state, e)
 	return capacity.Forecast{
 		FirstToken: durationFromSeconds(c.Estimate.FirstToken),
 		Total:      durationFromSeconds(c.Estimate.Total),
-		Reading:    durationFromSeconds(c.Estimate.Work * e.Speed().FirstToken.Slope),
+		Prefill:    durationFromSeconds(c.Estimate.Work * e.Speed().FirstToken.Slope),
 	}
 }
 
@@ -213,8 +213,8 @@
 }
 
 // newRequest returns the pipeline input for a queued request.
-func (rt *Router) newRequest(now time.Time, waiting *capacity.Waiting) *Request {
-	ask := waiting.Ask
+func (rt *Router) newRequest(now time.Time, waiting *capacity.QueuedRequest) *Request {
+	ask := waiting.Request
 	rt.requestScratch = Request{
 		Now:      now,
 		Ask:      ask,
@@ -230,7 +230,7 @@
 
 // affinity returns the hash used to break ties: that of the session or of the first prompt block.
 // Requests with neither are distributed by a counter.
-func (rt *Router) affinity(ask *capacity.Ask) uint64 {
+func (rt *Router) affinity(ask *capacity.Request) uint64 {
 	switch {
 	case ask.Session != "":
 		return xxhash.Sum64String(ask.Session)
@@ -258,10 +258,10 @@
 
 // endpoint returns the learned state of an endpoint, creating it on first use.
 func (rt *Router) endpoint(now time.Time, state *capacity.EndpointState) *Endpoint {
-	e, ok := state.Learned.(*Endpoint)
+	e, ok := state.ChooserState.(*Endpoint)
 	if !ok {
 		e = NewEndpoint(now, state.Row, rt.generation(state.Row.Generation), rt.options.PrefixBlocks)
-		state.Learned = e
+		state.ChooserState = e
 	}
 	if name := state.Row.Generation; e.generationName != name {
 		e.setGeneration(name, rt.generation(name))
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -33,25 +33,25 @@
 
 // heldGrant is a grant that has not ended.
 type heldGrant struct {
-	ask   capacity.Ask
+	ask   capacity.Request
 	state *capacity.EndpointState
 }
 
-func (o *testOwner) ask() capacity.Ask {
+func (o *testOwner) ask() capacity.Request {
 	o.asks++
-	return capacity.Ask{Pool: "model/m", PromptTokens: 400, AnswerTokens: 100, Fingerprint: o.asks}
+	return capacity.Request{Pool: "model/m", PromptTokens: 400, AnswerTokens: 100, Fingerprint: o.asks}
 }
 
 // choose returns the index of the chosen endpoint, or -1 if the request has to wait.
-func (o *testOwner) choose(ask capacity.Ask, pressing bool) int {
-	waiting := capacity.Waiting{Ask: &ask, Due: o.now.Add(time.Minute), Pressing: pressing}
+func (o *testOwner) choose(ask capacity.Request, pressing bool) int {
+	waiting := capacity.QueuedRequest{Request: &ask, Due: o.now.Add(time.Minute), Urgent: pressing}
 	if at, ok := o.router.Choose(o.now, &waiting, o.states); ok {
 		return at
 	}
 	return -1
 }
 
-func (o *testOwner) grant(at int, ask capacity.Ask) heldGrant {
+func (o *testOwner) grant(at int, ask capacity.Request) heldGrant {
 	state := o.states[at]
 	o.router.Granted(o.now, state, &ask)
 	state.Requests++
@@ -207,7 +207,7 @@
 		o.now = o.now.Add(200 * time.Millisecond)
 	}
 	assert.Equal(t, o.router.State()[0].Failures, 1)
-	assert.Equal(t, o.states[0].Learned.(*Endpoint).ejector.Health(o.now), HealthProbation)
+	assert.Equal(t, o.states[0].ChooserState.(*Endpoint).ejector.Health(o.now), HealthProbation)
 }
 
 func TestMostlyEjectedPoolIsProbed(t *testing.T) {
@@ -245,7 +245,7 @@
 	other.Session = "another"
 	next := ask
 	next.Blocks = []uint64{1}
-	for name, ask := range map[string]capacity.Ask{"shared prompt": other, "next turn": next} {
+	for name, ask := range map[string]capacity.Request{"shared prompt": other, "next turn": next} {
 		o.grant(first, o.ask())
 		assert.Equal(t, o.choose(ask, false), first, name)
 	}
@@ -255,7 +255,7 @@
 	o.end(o.grant(first, other), completeResult(1))
 	assert.Assert(t, o.router.State()[first].CacheTrust < before, "a missed cache prediction reduces the trust")
 	o.router.CacheEvents(o.now, o.states[first], []endpoint.CacheEvent{{Sequence: 9, Block: 5, Stored: true}})
-	e := o.states[first].Learned.(*Endpoint)
+	e := o.states[first].ChooserState.(*Endpoint)
 	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 64)
 	o.router.CacheEvents(o.now, o.states[first], []endpoint.CacheEvent{{Sequence: 1, Block: 5, Stored: true}})
 	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 0, "a restarted sequence clears the prefix table")
@@ -268,7 +268,7 @@
 	o := newTestOwner(t, 4, Options{})
 	served := make(map[int]int)
 	for range 400 {
-		ask := capacity.Ask{Pool: "service/catalogue"}
+		ask := capacity.Request{Pool: "service/catalogue"}
 		at := o.choose(ask, false)
 		served[at]++
 		h := o.grant(at, ask)
@@ -280,7 +280,7 @@
 	}
 	o.addLoad(3, 1)
 	for range 20 {
-		assert.Assert(t, o.choose(capacity.Ask{Pool: "service/catalogue"}, false) != 1)
+		assert.Assert(t, o.choose(capacity.Request{Pool: "service/catalogue"}, false) != 1)
 	}
 }
 
@@ -293,7 +293,7 @@
 		o.grant(0, o.ask())
 		o.states[0].AnswerTokens = 5
 		o.router.Report(o.now, o.states[0], endpoint.LoadReport{})
-		o.router.Granted(o.now, o.states[0], &capacity.Ask{})
+		o.router.Granted(o.now, o.states[0], &capacity.Request{})
 		o.states = o.states[1:]
 		got := o.choose(o.ask(), false)
 		assert.Equal(t, got, min(want, 0), "ratio %v", ratio)
@@ -373,6 +373,6 @@
 	f := NewFactory(Options{})
 	state := &capacity.EndpointState{ID: "e", Row: &config.EndpointRow{ID: "e"}}
 	chooser := f.New()
-	chooser.Granted(t0, state, &capacity.Ask{})
+	chooser.Granted(t0, state, &capacity.Request{})
 	assert.Equal(t, len(f.State()), 1)
 }
