--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,9 +1,9 @@
-// Package directory holds the endpoints in service, as the platform's store lists them.
+// Package directory holds the endpoints in service as listed in the platform's store.
 //
-// A listed endpoint that leaves is out of the snapshot at once. Only an entry that went missing while the store was out
-// of reach is kept for a while after the store has returned, since entries lapse with the store and come back. An entry
-// that can't be used takes the endpoint out at once, outage or not. An endpoint that has restarted under its ID is another
-// incarnation: the one before is out at once, and what is told of it later changes nothing.
+// An endpoint whose entry is removed leaves the snapshot at once. Only an entry that went missing while the store was
+// unavailable is retained for a while after the store has returned, since entries expire in an outage and are listed again
+// afterwards. An unusable entry removes the endpoint at once, also during an outage. An endpoint that restarts under the
+// same ID is a new incarnation: the previous one is removed at once, and later entries for it are ignored.
 package directory
 
 import (
@@ -16,18 +16,18 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Directory is the list of endpoints. Readers take snapshots without a lock.
+// Directory is the list of endpoints. Snapshots are read without a lock.
 type Directory struct {
 	current atomic.Pointer[Snapshot]
 
 	mu        sync.Mutex
 	endpoints map[domain.EndpointID]*Endpoint
-	// missing are kept until the instant, unless they are listed again.
+	// missing maps endpoints whose entries are missing to the time until which they are retained.
 	missing map[domain.EndpointID]boottime.Instant
 	changed chan struct{}
 }
 
-// Snapshot is the list at one time, immutable.
+// Snapshot is an immutable copy of the list.
 type Snapshot struct {
 	services map[string][]*Endpoint
 	// byIncarnation holds each endpoint under its Incarnation.
@@ -45,13 +45,13 @@
 	return d
 }
 
-// Current returns the list as it is now.
+// Current returns the current snapshot.
 func (d *Directory) Current() *Snapshot { return d.current.Load() }
 
-// Changed receives a value after changes.
+// Changed returns a channel that receives a value after changes.
 func (d *Directory) Changed() <-chan struct{} { return d.changed }
 
-// Service returns the endpoints of a service, in the order of their names.
+// Service returns the endpoints of a service, ordered by ID.
 func (s *Snapshot) Service(name string) []*Endpoint { return s.services[name] }
 
 // Endpoint returns the endpoint with this incarnation, or nil.
@@ -62,13 +62,13 @@
 // Len returns the number of endpoints.
 func (s *Snapshot) Len() int { return len(s.byIncarnation) }
 
-// Apply brings in listed endpoints and takes out removed ones. Those removed before keepUntil are kept until then; a
-// keepUntil in the past removes at once.
+// Apply adds listed endpoints and removes removed ones. If keepUntil is later than now, removed endpoints are retained until
+// then.
 func (d *Directory) Apply(now boottime.Instant, listed []*Endpoint, removed []domain.EndpointID, keepUntil boottime.Instant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range listed {
-		d.list(e)
+		d.upsert(e)
 	}
 	for _, id := range removed {
 		d.remove(now, id, keepUntil)
@@ -76,14 +76,14 @@
 	d.publish()
 }
 
-// Replace makes the list the whole truth, but for missing endpoints that are kept until keepUntil.
+// Replace replaces the list. Missing endpoints are retained until keepUntil.
 func (d *Directory) Replace(now boottime.Instant, listed []*Endpoint, keepUntil boottime.Instant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	present := make(map[domain.EndpointID]bool, len(listed))
 	for _, e := range listed {
 		present[e.ID] = true
-		d.list(e)
+		d.upsert(e)
 	}
 	for id := range d.endpoints {
 		if !present[id] {
@@ -93,7 +93,7 @@
 	d.publish()
 }
 
-// Drop takes endpoints out at once whose entries can't be used.
+// Drop removes endpoints with unusable entries at once.
 func (d *Directory) Drop(ids []domain.EndpointID) {
 	if len(ids) == 0 {
 		return
@@ -107,27 +107,27 @@
 	d.publish()
 }
 
-// Sweep drops missing endpoints whose time is over, and returns them.
+// Sweep removes and returns the missing endpoints whose retention has ended.
 func (d *Directory) Sweep(now boottime.Instant) []domain.EndpointID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var gone []domain.EndpointID
+	var expired []domain.EndpointID
 	for id, until := range d.missing {
 		if now >= until {
 			delete(d.missing, id)
 			delete(d.endpoints, id)
-			gone = append(gone, id)
+			expired = append(expired, id)
 		}
 	}
-	if len(gone) > 0 {
+	if len(expired) > 0 {
 		d.publish()
 	}
-	return gone
+	return expired
 }
 
-// list takes an entry, unless it is of an earlier incarnation. One that does not tell its start is taken to be of the
-// incarnation that is listed.
-func (d *Directory) list(e *Endpoint) {
+// upsert adds or replaces an entry unless it belongs to an earlier incarnation. An entry without a start time is assigned
+// to the listed incarnation.
+func (d *Directory) upsert(e *Endpoint) {
 	listed := d.endpoints[e.ID]
 	delete(d.missing, e.ID)
 	if e.outdated(listed) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// Each calls visit with every endpoint.
+// Each calls visit for every endpoint.
 func (s *Snapshot) Each(visit func(*Endpoint)) {
 	for _, e := range s.byIncarnation {
 		visit(e)
