--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -1,4 +1,4 @@
-// Package pacing waits, and repeats work, until a context ends.
+// Package pacing provides delays and periodic execution that end with a context.
 package pacing
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits and reports whether the context still holds.
+// Sleep waits for d or until the context ends, and reports whether the context is still active.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -21,7 +21,7 @@
 	}
 }
 
-// Every does the work once each period until the context ends, and returns the context's error.
+// Every calls work once per period until the context ends, and returns the context's error.
 func Every(ctx context.Context, period time.Duration, work func()) error {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/prefix/chain.go
+++ b/prefix/chain.go
@@ -1,8 +1,7 @@
-// Package prefix names the beginnings of prompts. A prompt is cut into blocks of
-// a fixed number of characters; the hash of a block covers the model and all
-// blocks before it, so that two prompts share exactly the leading hashes whose
-// text they share. Engines name the entries of their prompt caches so, and
-// routing finds by it the engine that has most of a prompt.
+// Package prefix identifies prefixes of prompts by chained block hashes. A prompt is divided into blocks of a fixed
+// number of bytes; the hash of a block covers the model and all blocks before it, so that two prompts share exactly
+// the leading hashes of their common prefix. Engines identify the entries of their prompt caches by these hashes, and
+// routing uses them to find the engine that has cached the longest prefix of a prompt.
 package prefix
 
 import (
@@ -17,26 +16,26 @@
 	BlockBytes = 256
 	// BytesPerToken is the mean length of a token, used for estimates.
 	BytesPerToken = 4
-	// BlockTokens is the number of tokens that a block is taken for.
+	// BlockTokens is the estimated number of tokens in a block.
 	BlockTokens = BlockBytes / BytesPerToken
 )
 
-// Ends of a role and of a message, which keep their borders in the hash.
+// Terminators of a role and of a message, which make the boundaries part of the hash.
 const (
 	endOfRole    = "\n"
 	endOfMessage = "\x00"
 )
 
-// Chain computes the block hashes of a conversation that grows. The zero value
-// is not usable; a Chain must not be used by two goroutines at a time.
+// Chain computes the block hashes of a growing conversation. The zero value is not usable. A Chain must not be used
+// concurrently.
 type Chain struct {
-	digest     xxhash.Digest
-	inBlock    int
-	characters int
-	blocks     []uint64
+	digest       xxhash.Digest
+	bytesInBlock int
+	totalBytes   int
+	blocks       []uint64
 }
 
-// NewChain starts a conversation with the model.
+// NewChain returns a chain for an empty conversation with the model.
 func NewChain(model string) *Chain {
 	c := &Chain{}
 	c.startBlock(xxhash.Sum64String(model))
@@ -51,25 +50,24 @@
 	c.write(endOfMessage)
 }
 
-// Blocks returns the hashes of the full blocks so far, the shortest prefix
-// first. The slice must not be changed and is valid after further messages.
+// Blocks returns the hashes of the complete blocks so far, the shortest prefix first. The slice must not be modified and
+// remains valid after further messages.
 func (c *Chain) Blocks() []uint64 { return slices.Clip(c.blocks) }
 
 // Tokens estimates the number of tokens so far.
-func (c *Chain) Tokens() int { return Tokens(c.characters) }
+func (c *Chain) Tokens() int { return Tokens(c.totalBytes) }
 
-// Sum returns the hash of the whole conversation so far, the last part of a
-// block included.
+// Sum returns the hash of the whole conversation so far, including an incomplete last block.
 func (c *Chain) Sum() uint64 { return c.digest.Sum64() }
 
 func (c *Chain) write(s string) {
-	c.characters += len(s)
+	c.totalBytes += len(s)
 	for len(s) > 0 {
-		n := min(len(s), BlockBytes-c.inBlock)
+		n := min(len(s), BlockBytes-c.bytesInBlock)
 		_, _ = c.digest.WriteString(s[:n])
-		c.inBlock += n
+		c.bytesInBlock += n
 		s = s[n:]
-		if c.inBlock == BlockBytes {
+		if c.bytesInBlock == BlockBytes {
 			c.endBlock()
 		}
 	}
@@ -86,10 +84,10 @@
 	binary.LittleEndian.PutUint64(seed[:], previous)
 	c.digest.Reset()
 	_, _ = c.digest.Write(seed[:])
-	c.inBlock = 0
+	c.bytesInBlock = 0
 }
 
-// Tokens estimates the number of tokens in a text of so many bytes.
-func Tokens(characters int) int {
-	return (characters + BytesPerToken - 1) / BytesPerToken
+// Tokens estimates the number of tokens in a text of the given number of bytes.
+func Tokens(bytes int) int {
+	return (bytes + BytesPerToken - 1) / BytesPerToken
 }
--- a/prefix/chain_test.go
+++ b/prefix/chain_test.go
@@ -26,13 +26,13 @@
 		other *prefix.Chain
 		want  int
 	}{
-		"same":             {chain("m", message{"user", long}), 3},
-		"grown":            {chain("m", message{"user", long}, message{"assistant", long}), 3},
-		"other model":      {chain("n", message{"user", long}), 0},
-		"other role":       {chain("m", message{"system", long}), 0},
-		"differs at start": {chain("m", message{"user", "b" + long}), 0},
-		"differs later":    {chain("m", message{"user", long[:300] + "b" + long[301:]}), 1},
-		"border moved":     {chain("m", message{"user", "a"}, message{"user", long}), 0},
+		"same":                   {chain("m", message{"user", long}), 3},
+		"extended":               {chain("m", message{"user", long}, message{"assistant", long}), 3},
+		"other model":            {chain("n", message{"user", long}), 0},
+		"other role":             {chain("m", message{"system", long}), 0},
+		"differs at start":       {chain("m", message{"user", "b" + long}), 0},
+		"differs later":          {chain("m", message{"user", long[:300] + "b" + long[301:]}), 1},
+		"message boundary moved": {chain("m", message{"user", "a"}, message{"user", long}), 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -47,16 +47,16 @@
 	}
 }
 
-func TestGrowingIsTheSameAsWhole(t *testing.T) {
+func TestIncrementalHashesEqualWholeConversation(t *testing.T) {
 	text := strings.Repeat("x", 1000)
-	grown := chain("m", message{"user", text})
-	before := grown.Blocks()
-	grown.Add("assistant", text)
+	extended := chain("m", message{"user", text})
+	before := extended.Blocks()
+	extended.Add("assistant", text)
 	whole := chain("m", message{"user", text}, message{"assistant", text})
-	assert.DeepEqual(t, grown.Blocks(), whole.Blocks())
+	assert.DeepEqual(t, extended.Blocks(), whole.Blocks())
 	assert.DeepEqual(t, before, whole.Blocks()[:len(before)])
-	assert.Equal(t, grown.Sum(), whole.Sum())
-	assert.Equal(t, grown.Tokens(), prefix.Tokens(2000+len("user")+len("assistant")+4))
+	assert.Equal(t, extended.Sum(), whole.Sum())
+	assert.Equal(t, extended.Tokens(), prefix.Tokens(2000+len("user")+len("assistant")+4))
 }
 
 func BenchmarkChain(b *testing.B) {
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,6 +1,5 @@
-// Package rendezvous chooses among named items by rendezvous hashing: all nodes
-// with the same items choose alike, and when an item comes or goes only the keys
-// that it wins or had change hands.
+// Package rendezvous selects among named items by rendezvous hashing: all nodes with the same items select alike, and
+// adding or removing an item reassigns only the keys that it gains or held.
 package rendezvous
 
 import (
@@ -10,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score ranks the named item for the key.
+// Score returns the rank of the named item for the key. The highest score comes first.
 func Score(key, name string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -20,8 +19,8 @@
 	return d.Sum64()
 }
 
-// First returns the index of the item that comes first for the key, or -1 if there
-// are none. Equal scores are ordered by name.
+// First returns the index of the item with the highest score for the key, or -1 if there are none. Ties are broken by
+// name.
 func First[T any](key string, items []T, name func(T) string) int {
 	best, bestScore := -1, uint64(0)
 	for i := range items {
@@ -33,7 +32,7 @@
 	return best
 }
 
-// Order returns the items in the order in which they come for the key.
+// Order returns the items in descending order of their scores for the key. Ties are broken by name.
 func Order[T any](key string, items []T, name func(T) string) []T {
 	sorted := slices.Clone(items)
 	slices.SortFunc(sorted, func(a, b T) int {
