--- a/follow/follower.go
+++ b/follow/follower.go
@@ -4,7 +4,7 @@
 // of the configuration: it counts from the sending of the last call that confirmed it, not from the arrival of the
 // response, and continues while the process is suspended. A topic whose history is lost is read again in full.
 //
-// Store calls are billed and every node makes them, so only some nodes of each data centre confirm the configuration every
+// Store calls have a price and every node makes them, so only some nodes of each data centre confirm the configuration every
 // two seconds. The others rely on the state that these report (ObservePeer), use long watches, and query the store as soon
 // as the reports stop or show a change that their own watch has not returned. In a large data centre they also take
 // endpoint changes (ApplyEndpointChanges) and the configuration from the forwarder. A node that can't reach the store takes
--- a/follow/timing.go
+++ b/follow/timing.go
@@ -6,7 +6,7 @@
 	// confirmingWatchWait is the wait of a watch that confirms the configuration. Twice this plus the response time must be
 	// below the minimum bound on the age of keys in use (5 s), since the age counts from the sending of the previous watch.
 	confirmingWatchWait = 1400 * time.Millisecond
-	// idleWatchWait is the wait of a watch that need not confirm anything. Calls are billed; the store allows 30 s.
+	// idleWatchWait is the wait of a watch that need not confirm anything. Each call has a price; the store allows 30 s.
 	idleWatchWait = 25 * time.Second
 	// peerConfirmationMaxAge is the age up to which a node relies on its peers' confirmations, and peerConfirmationTimeout
 	// the age at which it queries the store itself. The age at a confirming peer is at most twice confirmingWatchWait.
@@ -20,7 +20,7 @@
 	probeWait = time.Millisecond
 	// probeTimeout is the timeout of that watch.
 	probeTimeout = 700 * time.Millisecond
-	// minRetryDelay and maxRetryDelay bound the delay after failed calls, which are billed too.
+	// minRetryDelay and maxRetryDelay bound the delay after failed calls, which have a price too.
 	minRetryDelay = 150 * time.Millisecond
 	maxRetryDelay = 700 * time.Millisecond
 	// baseBatchDelay lets one call read several changes. Each node of the fleet adds batchDelayPerNode, up to maxBatchDelay,
--- a/gossip/pacer.go
+++ b/gossip/pacer.go
@@ -8,7 +8,7 @@
 	baseInterval         = 60 * time.Millisecond
 	intervalPerLocalNode = 3 * time.Millisecond
 	// intervalPerRemoteNode is what each node of another data centre adds to the interval between reports to those nodes,
-	// up to maxRemoteInterval. Traffic between data centres is billed, and their nodes share fewer endpoints with this one.
+	// up to maxRemoteInterval. Traffic between data centres has a price, and their nodes share fewer endpoints with this one.
 	intervalPerRemoteNode = 12 * time.Millisecond
 	maxRemoteInterval     = 450 * time.Millisecond
 	// localBytesPerSecond and remoteBytesPerSecond bound the rates at which a node sends to the nodes of its data centre and
