--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -33,7 +33,7 @@
 func (d *Daemon) newMembers(transport peer.Transport, list hostlist.List, set *metrics.Set) *membership.Service {
 	return membership.New(membership.Options{
 		Transport: transport,
-		List:      list,
+		HostList:  list,
 		Seeds:     d.seeds(),
 		Logger:    d.options.Log,
 		Metrics:   set,
--- a/load/virtual/members.go
+++ b/load/virtual/members.go
@@ -19,7 +19,7 @@
 func (m *members) Leave(context.Context) error { return nil }
 
 // Farewell implements node.Members.
-func (m *members) Farewell(context.Context) error { return nil }
+func (m *members) AnnounceStopped(context.Context) error { return nil }
 
 func peersOf(all []domain.Member) []membership.Peer {
 	var peers []membership.Peer
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -130,7 +130,7 @@
 func (x *fleet) start(m domain.Member) *testNode {
 	options := Options{
 		Transport:  x.network.Node(m),
-		List:       x.list,
+		HostList:   x.list,
 		RandomSeed: uint64(len(x.order))*1000 + uint64(m.Incarnation),
 		Logger:     zerolog.Nop(),
 	}
--- a/membership/hostlist_fault_test.go
+++ b/membership/hostlist_fault_test.go
@@ -103,7 +103,7 @@
 func TestListLagsBehindANewNode(t *testing.T) {
 	inBubble(t, 2, 4, nil, func(t *testing.T, x *fleet) {
 		// The new node is not listed; it knows one seed, in another data centre.
-		x.change = func(o *Options) { o.List = nil; o.Seeds = []hostlist.Host{hostOf(lifeOf(dcID(1), 0, 1))} }
+		x.change = func(o *Options) { o.HostList = nil; o.Seeds = []hostlist.Host{hostOf(lifeOf(dcID(1), 0, 1))} }
 		x.start(lifeOf(dcID(0), 7, 1))
 		x.within(8*time.Second, "alive", func() bool { return x.all(x.order, x.order, StatusAlive) })
 		x.throughout(5*time.Minute, "stays alive", func() bool { return x.all(x.order, x.order, StatusAlive) })
--- a/membership/leave.go
+++ b/membership/leave.go
@@ -20,7 +20,7 @@
 
 // Farewell says that this life ends, as the last thing before the transport is
 // closed. It tells the same peers as Leave does.
-func (s *Service) Farewell(ctx context.Context) error { return s.announce(ctx, intentFarewell) }
+func (s *Service) AnnounceStopped(ctx context.Context) error { return s.announce(ctx, intentFarewell) }
 
 func (s *Service) announce(ctx context.Context, in intent) error {
 	request, peers := s.raiseIntent(in)
--- a/membership/listloop.go
+++ b/membership/listloop.go
@@ -13,14 +13,14 @@
 // listLoop reads the host list while this node is one of its delegates or has not
 // joined yet.
 func (s *Service) listLoop(ctx context.Context) {
-	if s.options.List == nil {
+	if s.options.HostList == nil {
 		return
 	}
 	for {
 		if s.readsList() {
 			s.readList(ctx)
 		}
-		if !pacing.Sleep(ctx, s.options.ListInterval/2+s.jitter(s.options.ListInterval)) {
+		if !pacing.Sleep(ctx, s.options.HostListInterval/2+s.jitter(s.options.HostListInterval)) {
 			return
 		}
 	}
@@ -35,9 +35,9 @@
 // readList reads the list and acts on it. A list that can't be had changes
 // nothing.
 func (s *Service) readList(ctx context.Context) {
-	readCtx, cancel := context.WithTimeout(ctx, s.options.ListInterval)
+	readCtx, cancel := context.WithTimeout(ctx, s.options.HostListInterval)
 	defer cancel()
-	hosts, err := s.options.List.List(readCtx)
+	hosts, err := s.options.HostList.List(readCtx)
 	if err != nil {
 		s.metrics.listFailures.Inc()
 		s.options.Logger.Debug().Err(err).Msg("host list not read")
--- a/membership/options.go
+++ b/membership/options.go
@@ -26,8 +26,8 @@
 	DefaultExchangeTimeout = time.Second
 	// DefaultDelegates is how many nodes of a data centre contact each other one.
 	DefaultDelegates = 2
-	// DefaultListInterval is how often the list's delegates read the host list.
-	DefaultListInterval = 5 * time.Second
+	// DefaultHostListInterval is how often the list's delegates read the host list.
+	DefaultHostListInterval = 5 * time.Second
 	// DefaultGoneAfter is how long a node must be both unreachable and off the host
 	// list before it is gone.
 	DefaultGoneAfter = time.Minute
@@ -40,7 +40,7 @@
 	// Transport carries the messages. Its Self is this node.
 	Transport peer.Transport
 	// List is the platform's host list; nil for none.
-	List hostlist.List
+	HostList hostlist.List
 	// Seeds are peers to begin with, from the settings. Their states are ignored.
 	Seeds []hostlist.Host
 
@@ -51,7 +51,7 @@
 	ExchangeInterval time.Duration
 	ExchangeTimeout  time.Duration
 	Delegates        int
-	ListInterval     time.Duration
+	HostListInterval time.Duration
 	GoneAfter        time.Duration
 	GoneRetention    time.Duration
 
@@ -71,7 +71,7 @@
 	defaults.Set(&o.ExchangeInterval, DefaultExchangeInterval)
 	defaults.Set(&o.ExchangeTimeout, DefaultExchangeTimeout)
 	defaults.Set(&o.Delegates, DefaultDelegates)
-	defaults.Set(&o.ListInterval, DefaultListInterval)
+	defaults.Set(&o.HostListInterval, DefaultHostListInterval)
 	defaults.Set(&o.GoneAfter, DefaultGoneAfter)
 	defaults.Set(&o.GoneRetention, DefaultGoneRetention)
 	if o.Metrics == nil {
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func (v *viewOf) Farewell(context.Context) error {
+func (v *viewOf) AnnounceStopped(context.Context) error {
 	v.c.setStatus(v.self, membership.StatusGone)
 	return nil
 }
--- a/node/members.go
+++ b/node/members.go
@@ -14,5 +14,5 @@
 	// Leave tells the peers that this node takes nothing new.
 	Leave(ctx context.Context) error
 	// Farewell tells the peers that this life has ended.
-	Farewell(ctx context.Context) error
+	AnnounceStopped(ctx context.Context) error
 }
--- a/node/node.go
+++ b/node/node.go
@@ -310,7 +310,7 @@
 		return ctx.Err()
 	}
 	err := n.enrolment.depart(ctx)
-	return errors.Join(err, n.options.Members.Farewell(ctx))
+	return errors.Join(err, n.options.Members.AnnounceStopped(ctx))
 }
 
 // Table returns the operators' table on this node.
--- a/sizing/membership_bench_test.go
+++ b/sizing/membership_bench_test.go
@@ -82,7 +82,7 @@
 func (f *memberFleet) start(m domain.Member) *membership.Service {
 	s := membership.New(membership.Options{
 		Transport:        f.network.Node(m),
-		List:             f.hosts,
+		HostList:         f.hosts,
 		Seeds:            f.hosts,
 		ProbeInterval:    membership.DefaultProbeInterval / membershipCompress,
 		ExchangeInterval: membership.DefaultExchangeInterval / membershipCompress,
@@ -232,7 +232,7 @@
 func (f *memberFleet) restart(b *testing.B, incarnation domain.Incarnation) {
 	b.Helper()
 	assert.NilError(b, f.services[0].Leave(b.Context()))
-	assert.NilError(b, f.services[0].Farewell(b.Context()))
+	assert.NilError(b, f.services[0].AnnounceStopped(b.Context()))
 	f.stops[0]()
 	s := f.start(fleetMember(0, 0, incarnation))
 	last := len(f.services) - 1
--- a/sizing/node_bench_test.go
+++ b/sizing/node_bench_test.go
@@ -75,7 +75,7 @@
 		link := network.Node(fleetMember(0, i, 1))
 		n, err := node.New(node.Options{
 			Transport: link, Store: store.NewClient(), Adapters: noEndpoints{},
-			Members: membership.New(membership.Options{Transport: link, List: hosts, Seeds: hosts}),
+			Members: membership.New(membership.Options{Transport: link, HostList: hosts, Seeds: hosts}),
 			Log:     zerolog.Nop(), Metrics: metrics.NewSet(), SessionSecrets: [][]byte{[]byte(strings.Repeat("s", 32))},
 		})
 		assert.NilError(b, err)
--- a/sizing/settings_test.go
+++ b/sizing/settings_test.go
@@ -35,7 +35,7 @@
 		"exchange_seconds":          membership.DefaultExchangeInterval.Seconds(),
 		"exchange_timeout":          membership.DefaultExchangeTimeout.Seconds(),
 		"delegates":                 membership.DefaultDelegates,
-		"list_seconds":              membership.DefaultListInterval.Seconds(),
+		"list_seconds":              membership.DefaultHostListInterval.Seconds(),
 		"link_idle_seconds":         wslink.DefaultIdleTimeout.Seconds(),
 		"report_seconds":            sourceDuration(t, "../node/reports.go", "reportEvery").Seconds(),
 		"watch_seconds":             sourceDuration(t, "../document/options.go", "WatchRenewal").Seconds(),
