--- a/load/virtual/members.go
+++ b/load/virtual/members.go
@@ -18,7 +18,7 @@
 // Leave implements node.Members.
 func (m *members) Leave(context.Context) error { return nil }
 
-// Farewell implements node.Members.
+// AnnounceStopped implements node.Members.
 func (m *members) AnnounceStopped(context.Context) error { return nil }
 
 func peersOf(all []domain.Member) []membership.Peer {
--- a/membership/broadcast.go
+++ b/membership/broadcast.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	// retransmitFactor times the binary logarithm of the data centre's size is how
-	// often a node passes a change on. What still misses a node is repaired by
-	// comparing tables.
+	// retransmitFactor times the binary logarithm of the data centre's size is
+	// the number of times a node transmits a change. A change that still misses a
+	// node is repaired by comparing tables.
 	retransmitFactor = 1
-	// piggybackLimit is how many changes a ping or its answer carries.
+	// piggybackLimit is the maximum number of changes in a ping or its reply.
 	piggybackLimit = 8
-	// pushLimit is how many changes a push carries.
+	// pushLimit is the maximum number of changes in a push.
 	pushLimit = 64
 )
 
-// broadcast is a change that is being passed on: a record or a contact.
+// broadcast is a pending change: either a record or a reachability report.
 type broadcast struct {
-	record  *record
-	contact *contact
-	sent    int
+	record       *record
+	reachability *reachability
+	sent         int
 }
 
-// broadcasts hold the changes that a node passes on, each a bounded number of
-// times, the least often sent ones first.
+// broadcasts is the queue of changes to disseminate. Each is transmitted a
+// bounded number of times, the least often transmitted first.
 type broadcasts struct {
 	pending []*broadcast
-	// fresh counts the changes that have not been sent at all.
-	fresh int
+	// unsent counts the changes that have not been transmitted yet.
+	unsent int
 }
 
-// addRecord passes a record on, in place of an earlier one of the node.
+// addRecord queues a record and drops any queued record of the same node.
 func (b *broadcasts) addRecord(r record) {
 	b.remove(func(o *broadcast) bool { return o.record != nil && o.record.Node == r.Node })
 	b.pending = append(b.pending, &broadcast{record: &r})
-	b.fresh++
+	b.unsent++
 }
 
-// addContact passes a contact on, in place of an earlier one.
-func (b *broadcasts) addContact(c contact) {
-	b.remove(func(o *broadcast) bool { return o.contact != nil && o.contact.key() == c.key() })
-	b.pending = append(b.pending, &broadcast{contact: &c})
-	b.fresh++
+// addReachability queues a report and drops any queued one with the same key.
+func (b *broadcasts) addReachability(c reachability) {
+	b.remove(func(o *broadcast) bool { return o.reachability != nil && o.reachability.key() == c.key() })
+	b.pending = append(b.pending, &broadcast{reachability: &c})
+	b.unsent++
 }
 
 func (b *broadcasts) remove(match func(*broadcast) bool) {
@@ -51,29 +51,29 @@
 			return false
 		}
 		if o.sent == 0 {
-			b.fresh--
+			b.unsent--
 		}
 		return true
 	})
 }
 
-// take returns up to limit changes to send, and counts them as sent. Those that
-// have been sent often enough for the number of nodes are dropped.
-func (b *broadcasts) take(limit, nodes int) (records []record, contacts []contact) {
+// take returns up to limit changes to send and counts them as sent. Changes that
+// have reached the retransmission count for the number of nodes are dropped.
+func (b *broadcasts) take(limit, nodes int) (records []record, contacts []reachability) {
 	if len(b.pending) == 0 {
 		return nil, nil
 	}
 	slices.SortStableFunc(b.pending, func(x, y *broadcast) int { return x.sent - y.sent })
 	for _, o := range b.pending[:min(limit, len(b.pending))] {
 		if o.sent == 0 {
-			b.fresh--
+			b.unsent--
 		}
 		o.sent++
 		if o.record != nil {
 			records = append(records, *o.record)
 			continue
 		}
-		contacts = append(contacts, *o.contact)
+		contacts = append(contacts, *o.reachability)
 	}
 	enough := retransmitFactor * bits.Len(uint(nodes))
 	b.pending = slices.DeleteFunc(b.pending, func(o *broadcast) bool { return o.sent >= enough })
--- a/membership/fleet_test.go
+++ b/membership/cluster_test.go
@@ -19,31 +19,31 @@
 	"hawthornrill.example/hawthornrill/peer/peertest"
 )
 
-// fleet is a set of services on an in-memory network in virtual time.
-type fleet struct {
-	t       testing.TB
-	network *peertest.Network
-	list    *fakeList
-	nodes   map[domain.NodeID]*testNode
-	order   []domain.NodeID
-	change  func(*Options)
+// testCluster is a set of services on an in-memory network in virtual time.
+type testCluster struct {
+	t         testing.TB
+	network   *peertest.Network
+	hostList  *fakeHostList
+	nodes     map[domain.NodeID]*testNode
+	order     []domain.NodeID
+	configure func(*Options)
 }
 
-// testNode is one life of a node.
+// testNode is one incarnation of a node.
 type testNode struct {
 	*Service
 	stop func()
 }
 
-// fakeList is a host list that tests set.
-type fakeList struct {
+// fakeHostList is a host list whose content tests set.
+type fakeHostList struct {
 	mu    sync.Mutex
 	hosts map[domain.NodeID]hostlist.Host
 	err   error
 	reads int
 }
 
-func (l *fakeList) List(context.Context) ([]hostlist.Host, error) {
+func (l *fakeHostList) List(context.Context) ([]hostlist.Host, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reads++
@@ -54,19 +54,19 @@
 	return hosts, l.err
 }
 
-func (l *fakeList) set(host hostlist.Host) {
+func (l *fakeHostList) set(host hostlist.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hosts[host.Node] = host
 }
 
-func (l *fakeList) fail(err error) {
+func (l *fakeHostList) fail(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.err = err
 }
 
-func (l *fakeList) remove(nodes ...domain.NodeID) {
+func (l *fakeHostList) remove(nodes ...domain.NodeID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, node := range nodes {
@@ -74,14 +74,15 @@
 	}
 }
 
-// nodeID names the i-th node of a data centre, dcID the i-th data centre.
+// nodeID returns the ID of the i-th node of a data centre, dcID that of the i-th
+// data centre.
 func nodeID(dc domain.DataCentre, i int) domain.NodeID {
 	return domain.NodeID(fmt.Sprintf("%s-%02d", dc, i))
 }
 
 func dcID(i int) domain.DataCentre { return domain.DataCentre(fmt.Sprintf("dc%02d", i)) }
 
-func lifeOf(dc domain.DataCentre, i int, incarnation domain.Incarnation) domain.Member {
+func memberOf(dc domain.DataCentre, i int, incarnation domain.Incarnation) domain.Member {
 	return domain.Member{Node: nodeID(dc, i), Incarnation: incarnation, DataCentre: dc, Address: "10.0.0.1:7000"}
 }
 
@@ -89,53 +90,53 @@
 	return hostlist.Host{Node: m.Node, Address: m.Address, DataCentre: m.DataCentre, State: hostlist.StateLive}
 }
 
-// inBubble runs f in virtual time with a fleet of dcs data centres of size nodes,
-// which have settled.
-func inBubble(t *testing.T, dcs, size int, change func(*Options), f func(t *testing.T, x *fleet)) {
+// withTestCluster runs f in virtual time with a settled cluster of dcs data
+// centres of size nodes each.
+func withTestCluster(t *testing.T, dcs, size int, configure func(*Options), f func(t *testing.T, x *testCluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		x := newFleet(t, change)
+		x := newTestCluster(t, configure)
 		defer x.close()
-		x.grow(dcs, size)
-		x.settle()
+		x.startAll(dcs, size)
+		x.awaitSettled()
 		f(t, x)
 	})
 }
 
-func newFleet(t testing.TB, change func(*Options)) *fleet {
-	return &fleet{
-		t:       t,
-		network: peertest.NewNetwork(),
-		list:    &fakeList{hosts: make(map[domain.NodeID]hostlist.Host)},
-		nodes:   make(map[domain.NodeID]*testNode),
-		change:  change,
+func newTestCluster(t testing.TB, configure func(*Options)) *testCluster {
+	return &testCluster{
+		t:         t,
+		network:   peertest.NewNetwork(),
+		hostList:  &fakeHostList{hosts: make(map[domain.NodeID]hostlist.Host)},
+		nodes:     make(map[domain.NodeID]*testNode),
+		configure: configure,
 	}
 }
 
-// grow lists all hosts and starts their nodes.
-func (x *fleet) grow(dcs, size int) {
+// startAll lists all hosts and starts their nodes.
+func (x *testCluster) startAll(dcs, size int) {
 	for d := range dcs {
 		for i := range size {
-			x.list.set(hostOf(lifeOf(dcID(d), i, 1)))
+			x.hostList.set(hostOf(memberOf(dcID(d), i, 1)))
 		}
 	}
 	for d := range dcs {
 		for i := range size {
-			x.start(lifeOf(dcID(d), i, 1))
+			x.start(memberOf(dcID(d), i, 1))
 		}
 	}
 }
 
-// start runs a life until it is stopped.
-func (x *fleet) start(m domain.Member) *testNode {
+// start runs an incarnation until its stop function is called.
+func (x *testCluster) start(m domain.Member) *testNode {
 	options := Options{
 		Transport:  x.network.Node(m),
-		HostList:   x.list,
+		HostList:   x.hostList,
 		RandomSeed: uint64(len(x.order))*1000 + uint64(m.Incarnation),
 		Logger:     zerolog.Nop(),
 	}
-	if x.change != nil {
-		x.change(&options)
+	if x.configure != nil {
+		x.configure(&options)
 	}
 	s := New(options)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -152,37 +153,37 @@
 	return n
 }
 
-// crash ends a node without a word.
-func (x *fleet) crash(node domain.NodeID) {
+// crash stops a node without an announcement.
+func (x *testCluster) crash(node domain.NodeID) {
 	x.network.Crash(node)
 	x.nodes[node].stop()
 	delete(x.nodes, node)
 	x.order = slices.DeleteFunc(x.order, func(o domain.NodeID) bool { return o == node })
 }
 
-func (x *fleet) close() {
+func (x *testCluster) close() {
 	x.network.Close()
 	for _, n := range x.nodes {
 		n.stop()
 	}
 }
 
-// settle waits until all see all as alive, and then until nothing is passed on any
-// more.
-func (x *fleet) settle() {
+// awaitSettled waits until every node sees every other as alive, and then until
+// no changes are being disseminated.
+func (x *testCluster) awaitSettled() {
 	x.t.Helper()
 	x.within(time.Minute, "settled", func() bool { return x.all(x.order, x.order, StatusAlive) })
-	time.Sleep(settleTime + syncQuiet)
+	time.Sleep(settlePeriod + syncQuietPeriod)
 }
 
-// status returns what a viewer believes of a node.
-func (x *fleet) status(viewer, of domain.NodeID) (Status, bool) {
+// status returns the status of a node in a viewer's snapshot.
+func (x *testCluster) status(viewer, of domain.NodeID) (Status, bool) {
 	p, ok := x.nodes[viewer].Current().Peer(of)
 	return p.Status, ok && p.Incarnation != 0
 }
 
-// all reports whether all viewers hold all the nodes to be as given.
-func (x *fleet) all(viewers, of []domain.NodeID, status Status) bool {
+// all reports whether all viewers see all the given nodes with the status.
+func (x *testCluster) all(viewers, of []domain.NodeID, status Status) bool {
 	for _, viewer := range viewers {
 		for _, node := range of {
 			if got, ok := x.status(viewer, node); !ok || got != status {
@@ -193,8 +194,8 @@
 	return true
 }
 
-// count returns how many viewers hold a node to be as given.
-func (x *fleet) count(viewers []domain.NodeID, of domain.NodeID, status Status) int {
+// count returns the number of viewers that see a node with the status.
+func (x *testCluster) count(viewers []domain.NodeID, of domain.NodeID, status Status) int {
 	n := 0
 	for _, viewer := range viewers {
 		if got, _ := x.status(viewer, of); got == status {
@@ -205,7 +206,7 @@
 }
 
 // within waits in virtual time for a condition and returns how long it took.
-func (x *fleet) within(limit time.Duration, what string, condition func() bool) time.Duration {
+func (x *testCluster) within(limit time.Duration, what string, condition func() bool) time.Duration {
 	x.t.Helper()
 	start := time.Now()
 	for {
@@ -220,8 +221,8 @@
 	}
 }
 
-// throughout checks in virtual time that a condition holds for a while.
-func (x *fleet) throughout(d time.Duration, what string, condition func() bool) {
+// throughout checks in virtual time that a condition holds for the duration.
+func (x *testCluster) throughout(d time.Duration, what string, condition func() bool) {
 	x.t.Helper()
 	for start := time.Now(); time.Since(start) < d; time.Sleep(250 * time.Millisecond) {
 		synctest.Wait()
@@ -229,8 +230,9 @@
 	}
 }
 
-// watch counts the snapshots of the viewers in which one of the nodes is not alive.
-func (x *fleet) watch(viewers, of []domain.NodeID) *atomic.Int32 {
+// countNotAlive counts the viewers' published snapshots in which one of the nodes
+// is not alive.
+func (x *testCluster) countNotAlive(viewers, of []domain.NodeID) *atomic.Int32 {
 	seen := new(atomic.Int32)
 	for _, viewer := range viewers {
 		x.nodes[viewer].Subscribe(func(s *Snapshot) {
@@ -244,8 +246,8 @@
 	return seen
 }
 
-// group returns the nodes of a data centre.
-func (x *fleet) group(dc int) []domain.NodeID {
+// nodesIn returns the nodes of a data centre.
+func (x *testCluster) nodesIn(dc int) []domain.NodeID {
 	var group []domain.NodeID
 	for _, node := range x.order {
 		if x.nodes[node].self.DataCentre == dcID(dc) {
@@ -255,29 +257,29 @@
 	return group
 }
 
-// counter numbers the occurrences of keys.
-type counter struct {
+// keyCounter counts the occurrences of each key.
+type keyCounter struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-func newCounter() *counter { return &counter{counts: make(map[string]int)} }
+func newKeyCounter() *keyCounter { return &keyCounter{counts: make(map[string]int)} }
 
-func (c *counter) next(key string) int {
+func (c *keyCounter) next(key string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[key]++
 	return c.counts[key]
 }
 
-// silentTransport goes nowhere.
-type silentTransport struct{ self domain.Member }
+// disconnectedTransport fails every call with peer.ErrNotSent.
+type disconnectedTransport struct{ self domain.Member }
 
-func (t silentTransport) Self() domain.Member              { return t.self }
-func (t silentTransport) Handle(peer.Method, peer.Handler) {}
-func (t silentTransport) Call(context.Context, domain.Member, peer.Method, []byte) ([]byte, error) {
+func (t disconnectedTransport) Self() domain.Member              { return t.self }
+func (t disconnectedTransport) Handle(peer.Method, peer.Handler) {}
+func (t disconnectedTransport) Call(context.Context, domain.Member, peer.Method, []byte) ([]byte, error) {
 	return nil, peer.ErrNotSent
 }
-func (t silentTransport) Send(context.Context, domain.Member, peer.Method, []byte) error {
+func (t disconnectedTransport) Send(context.Context, domain.Member, peer.Method, []byte) error {
 	return peer.ErrNotSent
 }
--- a/membership/delegation.go
+++ b/membership/delegation.go
@@ -7,79 +7,80 @@
 	"hawthornrill.example/hawthornrill/rendezvous"
 )
 
-// listKey is the rendezvous key of the nodes that read the host list.
-const listKey = "host list"
+// hostListKey is the rendezvous key for the nodes that read the host list.
+const hostListKey = "host list"
 
-// delegation says which nodes of the own data centre do which work for the rest,
-// and what follows from their word. It is derived from a table.
+// delegation assigns work of the local data centre to its nodes and holds the
+// result of their reachability reports. It is derived from a table.
 type delegation struct {
-	// contacts are the delegates for each other data centre.
-	contacts map[domain.DataCentre][]domain.NodeID
-	// list are the nodes that read the host list.
-	list []domain.NodeID
-	// nodes counts the nodes of the own data centre that answer.
-	nodes int
-	// up are the other data centres that can be reached.
-	up map[domain.DataCentre]bool
+	// delegates are the nodes that exchange state with each remote data centre.
+	delegates       map[domain.DataCentre][]domain.NodeID
+	hostListReaders []domain.NodeID
+	// nodeCount is the number of responsive nodes of the local data centre.
+	nodeCount int
+	// reachable tells for each remote data centre whether it can be reached.
+	reachable map[domain.DataCentre]bool
 }
 
-// delegate derives the delegation. Where no delegate has said anything yet, the
-// previous answer stands.
-func (t *table) delegate(delegates int, previous map[domain.DataCentre]bool) delegation {
-	nodes := t.answering()
+// deriveDelegation computes the delegation. For a data centre about which no
+// delegate has reported yet, the previous result is kept.
+func (t *table) deriveDelegation(perDataCentre int, previous map[domain.DataCentre]bool) delegation {
+	nodes := t.responsiveNodes()
 	d := delegation{
-		contacts: make(map[domain.DataCentre][]domain.NodeID),
-		list:     first(listKey, nodes, delegates),
-		nodes:    len(nodes),
-		up:       make(map[domain.DataCentre]bool),
+		delegates:       make(map[domain.DataCentre][]domain.NodeID),
+		hostListReaders: topRanked(hostListKey, nodes, perDataCentre),
+		nodeCount:       len(nodes),
+		reachable:       make(map[domain.DataCentre]bool),
 	}
 	for _, dc := range t.dataCentres() {
-		if dc == t.home {
+		if dc == t.localDC {
 			continue
 		}
-		chosen := first(string(dc), nodes, delegates)
-		d.contacts[dc] = chosen
-		d.up[dc] = t.isUp(dc, chosen, previous[dc])
+		delegates := topRanked(string(dc), nodes, perDataCentre)
+		d.delegates[dc] = delegates
+		d.reachable[dc] = t.isReachable(dc, delegates, previous[dc])
 	}
 	return d
 }
 
-// first returns the first count nodes in rendezvous order for the key.
-func first(key string, nodes []domain.NodeID, count int) []domain.NodeID {
+// topRanked returns the first count nodes in rendezvous order for the key.
+func topRanked(key string, nodes []domain.NodeID, count int) []domain.NodeID {
 	ranked := rendezvous.Order(key, nodes, func(node domain.NodeID) string { return string(node) })
 	return ranked[:min(count, len(ranked))]
 }
 
-// answering returns the nodes of the own data centre that are alive or leaving.
-func (t *table) answering() []domain.NodeID {
+// responsiveNodes returns the nodes of the local data centre that are alive or
+// leaving.
+func (t *table) responsiveNodes() []domain.NodeID {
 	var nodes []domain.NodeID
 	for _, node := range t.order {
 		e := t.entries[node]
-		if e.DataCentre == t.home && e.status() <= StatusLeaving {
+		if e.DataCentre == t.localDC && e.status() <= StatusLeaving {
 			nodes = append(nodes, node)
 		}
 	}
 	return nodes
 }
 
-// isUp reports whether a data centre can be reached: one delegate's success
-// outweighs the others' failures.
-func (t *table) isUp(dc domain.DataCentre, delegates []domain.NodeID, previous bool) bool {
-	stated := false
+// isReachable reports whether a data centre can be reached: one delegate's
+// success outweighs the others' failures.
+func (t *table) isReachable(dc domain.DataCentre, delegates []domain.NodeID, previous bool) bool {
+	reported := false
 	for _, node := range delegates {
-		c, ok := t.contacts[contactKey{node, dc}]
-		if ok && c.Up {
+		c, ok := t.reachability[reachabilityKey{node, dc}]
+		if ok && c.Reachable {
 			return true
 		}
-		stated = stated || ok
+		reported = reported || ok
 	}
-	return previous && !stated
+	return previous && !reported
 }
 
-// contacted returns the data centres that the node is to contact, sorted.
-func (d delegation) contacted(node domain.NodeID) []domain.DataCentre {
+// assignedDataCentres returns the data centres for which the node is a delegate,
+// sorted.
+func (d delegation) assignedDataCentres(node domain.NodeID) []domain.DataCentre {
 	var list []domain.DataCentre
-	for dc, delegates := range d.contacts {
+	for dc, delegates := range d.delegates {
 		if slices.Contains(delegates, node) {
 			list = append(list, dc)
 		}
@@ -88,24 +89,27 @@
 	return list
 }
 
-// readsList reports whether the node is to read the host list.
-func (d delegation) readsList(node domain.NodeID) bool { return slices.Contains(d.list, node) }
+// readsHostList reports whether the node is assigned to read the host list.
+func (d delegation) readsHostList(node domain.NodeID) bool {
+	return slices.Contains(d.hostListReaders, node)
+}
 
-// status returns what a record means, seen from the table's data centre.
-func (t *table) statusOf(r record, up map[domain.DataCentre]bool) Status {
+// statusOf returns the status of a record as seen from the table's data centre.
+// The nodes of an unreachable data centre are unreachable.
+func (t *table) statusOf(r record, reachable map[domain.DataCentre]bool) Status {
 	status := r.status()
-	if r.DataCentre != t.home && status < StatusUnreachable && !up[r.DataCentre] {
+	if r.DataCentre != t.localDC && status < StatusUnreachable && !reachable[r.DataCentre] {
 		return StatusUnreachable
 	}
 	return status
 }
 
-// peers returns what a snapshot shows.
-func (t *table) peers(up map[domain.DataCentre]bool) []Peer {
+// peers returns the peers of a snapshot.
+func (t *table) peers(reachable map[domain.DataCentre]bool) []Peer {
 	peers := make([]Peer, 0, len(t.order))
 	for _, node := range t.order {
 		r := t.entries[node].record
-		peers = append(peers, Peer{Member: r.member(), Status: t.statusOf(r, up)})
+		peers = append(peers, Peer{Member: r.member(), Status: t.statusOf(r, reachable)})
 	}
 	return peers
 }
--- a/membership/detector.go
+++ b/membership/detector.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// checkInterval is how often a node pings one unreachable peer of its data
-	// centre, in case it is back.
-	checkInterval = 4 * time.Second
-	// checkLimit is how many pings of doubtful peers a tick may start.
-	checkLimit = 4
-	// doubtLimit bounds the doubtful peers that are remembered.
-	doubtLimit = 256
+	// recheckInterval is how often a node pings one unreachable peer of its data
+	// centre to detect that it has recovered.
+	recheckInterval = 4 * time.Second
+	// recheckLimit is the maximum number of pings to disputed peers per tick.
+	recheckLimit = 4
+	// disputedLimit bounds the queue of disputed peers.
+	disputedLimit = 256
 )
 
-// detector chooses whom to probe.
+// detector selects the peers to probe.
 type detector struct {
 	// round holds the nodes still to be probed in this round.
 	round []domain.NodeID
-	// probing are the nodes with a probe under way.
+	// probing holds the nodes with a probe in progress.
 	probing map[domain.NodeID]bool
-	// doubts are nodes said to be well by others and unreachable by this one.
-	doubts []domain.NodeID
-	// checked is when an unreachable peer was last pinged.
-	checked time.Time
+	// disputed holds nodes that others report as healthy and this node as
+	// unreachable.
+	disputed []domain.NodeID
+	// lastRecheck is when an unreachable peer was last pinged.
+	lastRecheck time.Time
 }
 
-// next returns the next node to probe: each round visits all candidates once, in
+// next returns the next node to probe. Each round visits all candidates once, in
 // random order.
 func (d *detector) next(t *table, self domain.NodeID, random *rand.Rand) (domain.Member, bool) {
 	for refilled := false; ; {
@@ -50,10 +51,10 @@
 	}
 }
 
-// probeable reports whether a node is to be probed: it is another one of the data
-// centre that is believed to answer.
+// probeable reports whether a node is a probe target: another node of the local
+// data centre that is alive or leaving.
 func probeable(t *table, e *entry, self domain.NodeID) bool {
-	return e.DataCentre == t.home && e.Node != self && e.status() <= StatusLeaving
+	return e.DataCentre == t.localDC && e.Node != self && e.status() <= StatusLeaving
 }
 
 func probeRound(t *table, self domain.NodeID, random *rand.Rand) []domain.NodeID {
@@ -67,64 +68,66 @@
 	return round
 }
 
-// doubt notes that others say that a node is well which this one holds to be
-// unreachable.
-func (d *detector) doubt(node domain.NodeID) {
-	if len(d.doubts) < doubtLimit && !slices.Contains(d.doubts, node) {
-		d.doubts = append(d.doubts, node)
+// addDisputed queues a node that others report as healthy and this node holds to
+// be unreachable.
+func (d *detector) addDisputed(node domain.NodeID) {
+	if len(d.disputed) < disputedLimit && !slices.Contains(d.disputed, node) {
+		d.disputed = append(d.disputed, node)
 	}
 }
 
-// checks returns the peers to ping in case they are back: the doubtful ones, and
-// from time to time any unreachable one of the data centre.
-func (d *detector) checks(t *table, now time.Time, random *rand.Rand) []domain.Member {
+// recheckTargets returns the peers to ping in case they have recovered: disputed
+// ones, and at every recheckInterval one random unreachable peer of the data
+// centre.
+func (d *detector) recheckTargets(t *table, now time.Time, random *rand.Rand) []domain.Member {
 	var members []domain.Member
-	for len(d.doubts) > 0 && len(members) < checkLimit {
-		if e := t.entries[d.doubts[0]]; e != nil && e.Health >= healthUnreachable {
+	for len(d.disputed) > 0 && len(members) < recheckLimit {
+		if e := t.entries[d.disputed[0]]; e != nil && e.Health >= healthUnreachable {
 			members = append(members, e.member())
 		}
-		d.doubts = d.doubts[1:]
+		d.disputed = d.disputed[1:]
 	}
-	if now.Sub(d.checked) < checkInterval {
+	if now.Sub(d.lastRecheck) < recheckInterval {
 		return members
 	}
-	d.checked = now
-	if lost := t.unreachable(); len(lost) > 0 {
-		members = append(members, lost[random.IntN(len(lost))])
+	d.lastRecheck = now
+	if unreachable := t.unreachable(); len(unreachable) > 0 {
+		members = append(members, unreachable[random.IntN(len(unreachable))])
 	}
 	return members
 }
 
-// unreachable returns the lives of the own data centre that do not answer and have
-// not said farewell.
+// unreachable returns the members of the local data centre that do not answer and
+// have not announced that they stopped.
 func (t *table) unreachable() []domain.Member {
 	var members []domain.Member
 	for _, node := range t.order {
 		e := t.entries[node]
-		if e.DataCentre == t.home && e.Health >= healthUnreachable && e.Intent != intentFarewell {
+		if e.DataCentre == t.localDC && e.Health >= healthUnreachable && e.Intent != intentStopped {
 			members = append(members, e.member())
 		}
 	}
 	return members
 }
 
-// relays returns up to count nodes to ping the target through: of the own data
-// centre, and where there are too few, of others.
-func (t *table) relays(target, self domain.NodeID, count int, up map[domain.DataCentre]bool, random *rand.Rand) []domain.Member {
-	var near, far []domain.Member
+// randomPeers returns up to count random peers other than the target that are
+// neither suspect nor unreachable: peers of the local data centre, and where
+// there are too few, of others.
+func (t *table) randomPeers(target, self domain.NodeID, count int, reachable map[domain.DataCentre]bool, random *rand.Rand) []domain.Member {
+	var local, remote []domain.Member
 	for _, node := range t.order {
 		e := t.entries[node]
 		switch {
-		case node == target || node == self || t.statusOf(e.record, up) > StatusLeaving || e.Health == healthSuspect:
-		case e.DataCentre == t.home:
-			near = append(near, e.member())
+		case node == target || node == self || t.statusOf(e.record, reachable) > StatusLeaving || e.Health == healthSuspect:
+		case e.DataCentre == t.localDC:
+			local = append(local, e.member())
 		default:
-			far = append(far, e.member())
+			remote = append(remote, e.member())
 		}
 	}
-	shuffle(near, random)
-	shuffle(far, random)
-	all := append(near, far...)
+	shuffle(local, random)
+	shuffle(remote, random)
+	all := append(local, remote...)
 	return all[:min(count, len(all))]
 }
 
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -10,7 +10,8 @@
 	"hawthornrill.example/hawthornrill/peer/peertest"
 )
 
-// Two nodes find each other by their seeds, and one learns that the other leaves.
+// Two nodes discover each other through their seeds, and one learns that the
+// other is leaving.
 func Example() {
 	network := peertest.NewNetwork()
 	defer network.Close()
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -9,26 +9,26 @@
 	"hawthornrill.example/hawthornrill/rendezvous"
 )
 
-// exchangeAttempts is how many nodes of a data centre are tried before it counts
-// as cut off.
+// exchangeAttempts is the number of attempts, spread over the nodes of a data
+// centre, before the data centre is reported as unreachable.
 const exchangeAttempts = 4
 
-// exchanges are this node's duties as a delegate.
-type exchanges struct {
-	// next is when each data centre is to be contacted again.
+// exchangeState schedules the exchanges of this node as a delegate.
+type exchangeState struct {
+	// next is when the next exchange with each data centre is due.
 	next map[domain.DataCentre]time.Time
-	// running are the data centres being contacted.
+	// running holds the data centres with an exchange in progress.
 	running map[domain.DataCentre]bool
 }
 
-// dueExchanges returns the data centres to contact now. A new delegate begins at
-// once.
+// dueExchanges returns the data centres to exchange state with now. A new
+// delegate starts without waiting for the interval.
 func (s *Service) dueExchanges(now time.Time) []domain.DataCentre {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := make(map[domain.DataCentre]time.Time)
 	var due []domain.DataCentre
-	for _, dc := range s.delegation.contacted(s.self.Node) {
+	for _, dc := range s.delegation.assignedDataCentres(s.self.Node) {
 		next[dc] = s.exchanges.next[dc]
 		if s.exchanges.running[dc] || now.Before(next[dc]) {
 			continue
@@ -41,26 +41,27 @@
 	return due
 }
 
-// exchange contacts another data centre: it tries a few of its nodes, fetches what
-// has changed there, and says whether any of them answered.
+// exchange pulls changes from another data centre, trying several of its nodes,
+// and reports whether any of them answered.
 func (s *Service) exchange(ctx context.Context, dc domain.DataCentre) {
 	defer s.endExchange(dc)
-	contacts := s.contactsIn(dc)
-	if len(contacts) == 0 {
+	targets := s.exchangeTargets(dc)
+	if len(targets) == 0 {
 		return
 	}
 	for attempt := range exchangeAttempts {
 		started := time.Now()
-		if s.pullDataCentre(ctx, contacts[attempt%len(contacts)]) {
-			s.setContact(dc, true)
+		if s.pullDataCentre(ctx, targets[attempt%len(targets)]) {
+			s.setReachable(dc, true)
 			return
 		}
-		// An attempt that fails at once is not followed by the next at once.
+		// Pace the attempts, so that a failure without delay does not cause the
+		// next at once.
 		if !pacing.Sleep(ctx, s.options.ExchangeTimeout/2-time.Since(started)) {
 			return
 		}
 	}
-	s.setContact(dc, false)
+	s.setReachable(dc, false)
 }
 
 func (s *Service) endExchange(dc domain.DataCentre) {
@@ -69,47 +70,48 @@
 	delete(s.exchanges.running, dc)
 }
 
-// contactsIn returns the nodes of a data centre to try, those that its own nodes
-// hold to be well first, in an order that stays the same: a delegate keeps its
-// contact, and the link to it, while it answers.
-func (s *Service) contactsIn(dc domain.DataCentre) []domain.Member {
+// exchangeTargets returns the nodes of a data centre to try, those that its own
+// nodes hold to be healthy first. Their order is stable, so that a delegate
+// reuses the same peer, and the link to it, while that peer answers.
+func (s *Service) exchangeTargets(dc domain.DataCentre) []domain.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var well, unwell []domain.Member
-	for _, r := range s.table.records(dc) {
+	var healthy, unhealthy []domain.Member
+	for _, r := range s.table.recordsOf(dc) {
 		switch {
 		case r.gone():
 		case r.Health == healthOK && r.Incarnation != 0:
-			well = append(well, r.member())
+			healthy = append(healthy, r.member())
 		default:
-			unwell = append(unwell, r.member())
+			unhealthy = append(unhealthy, r.member())
 		}
 	}
 	name := func(m domain.Member) string { return string(m.Node) }
-	well = rendezvous.Order(string(s.self.Node), well, name)
-	shuffle(unwell, s.random)
-	return append(well, unwell...)
+	healthy = rendezvous.Order(string(s.self.Node), healthy, name)
+	shuffle(unhealthy, s.random)
+	return append(healthy, unhealthy...)
 }
 
-// setContact says whether this node reaches a data centre, if that is news.
-func (s *Service) setContact(dc domain.DataCentre, up bool) {
+// setReachable reports whether this node reaches a data centre, if that has
+// changed.
+func (s *Service) setReachable(dc domain.DataCentre, reachable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, ok := s.table.contacts[contactKey{s.self.Node, dc}]
-	if ok && known.Up == up || s.own.replaced {
+	known, ok := s.table.reachability[reachabilityKey{s.self.Node, dc}]
+	if ok && known.Reachable == reachable || s.local.replaced {
 		return
 	}
-	c := contact{
+	report := reachability{
 		Node:        s.self.Node,
 		Incarnation: s.self.Incarnation,
 		DataCentre:  dc,
 		Sequence:    known.Sequence + 1,
-		Up:          up,
+		Reachable:   reachable,
 	}
-	s.table.mergeContact(c)
-	s.sync.changed = time.Now()
-	s.broadcasts.addContact(c)
-	signal(s.fresh)
-	s.options.Logger.Info().Str("data_centre", string(dc)).Bool("reached", up).Msg("contact with data centre")
+	s.table.mergeReachability(report)
+	s.sync.lastChange = time.Now()
+	s.broadcasts.addReachability(report)
+	signal(s.pushPending)
+	s.options.Logger.Info().Str("data_centre", string(dc)).Bool("reached", reachable).Msg("contact with data centre")
 	s.publish()
 }
--- a/membership/fault_test.go
+++ b/membership/fault_test.go
@@ -16,14 +16,14 @@
 	"hawthornrill.example/hawthornrill/peer/peertest"
 )
 
-func others(nodes []domain.NodeID, but ...domain.NodeID) []domain.NodeID {
+func excluding(nodes []domain.NodeID, excluded ...domain.NodeID) []domain.NodeID {
 	var rest []domain.NodeID
 	for _, node := range nodes {
-		excluded := false
-		for _, each := range but {
-			excluded = excluded || node == each
+		skip := false
+		for _, each := range excluded {
+			skip = skip || node == each
 		}
-		if !excluded {
+		if !skip {
 			rest = append(rest, node)
 		}
 	}
@@ -33,60 +33,62 @@
 func TestCrashIsNoticed(t *testing.T) {
 	cases := []struct {
 		dcs, size   int
-		near, far   time.Duration
-		whole       bool
+		local, all  time.Duration
+		wholeDC     bool
 		description string
 	}{
 		{1, 2, 6 * time.Second, 0, false, "the only other node"},
-		{3, 2, 4 * time.Second, 11 * time.Second, false, "today's size"},
+		{3, 2, 4 * time.Second, 11 * time.Second, false, "three data centres of two nodes"},
 		{2, 48, 5 * time.Second, 11 * time.Second, false, "design size"},
 		{3, 7, 0, 11 * time.Second, true, "a whole data centre"},
 	}
 	for _, c := range cases {
 		t.Run(c.description, func(t *testing.T) {
-			inBubble(t, c.dcs, c.size, nil, func(t *testing.T, x *fleet) {
-				dead := []domain.NodeID{x.group(0)[1]}
-				if c.whole {
-					dead = x.group(0)
+			withTestCluster(t, c.dcs, c.size, nil, func(t *testing.T, x *testCluster) {
+				crashed := []domain.NodeID{x.nodesIn(0)[1]}
+				if c.wholeDC {
+					crashed = x.nodesIn(0)
 				}
-				for _, node := range dead {
+				for _, node := range crashed {
 					x.crash(node)
 				}
-				first := x.within(c.near, "unreachable to one", func() bool { return x.count(x.group(0), dead[0], StatusUnreachable) > 0 || c.whole })
-				near := first + x.within(c.near-first, "unreachable nearby", func() bool { return x.all(x.group(0), dead, StatusUnreachable) })
-				assert.Assert(t, near == 0 || near-first <= time.Second, "first %s, last %s", first, near)
-				far := x.within(c.far-near, "unreachable everywhere", func() bool { return x.all(x.order, dead, StatusUnreachable) })
-				t.Logf("first %s, near %s, far %s", first, near, near+far)
-				// It stays so: only the list, a farewell or a later life makes it gone.
+				first := x.within(c.local, "unreachable to the first node", func() bool { return x.count(x.nodesIn(0), crashed[0], StatusUnreachable) > 0 || c.wholeDC })
+				local := first + x.within(c.local-first, "unreachable in the local data centre", func() bool { return x.all(x.nodesIn(0), crashed, StatusUnreachable) })
+				assert.Assert(t, local == 0 || local-first <= time.Second, "first %s, last %s", first, local)
+				everywhere := x.within(c.all-local, "unreachable everywhere", func() bool { return x.all(x.order, crashed, StatusUnreachable) })
+				t.Logf("first %s, local %s, everywhere %s", first, local, local+everywhere)
+				// Without a host list change, a stop announcement or a later
+				// incarnation, the nodes remain unreachable and do not become
+				// gone.
 				x.throughout(20*time.Second, "stays unreachable", func() bool {
-					return x.all(x.order, dead, StatusUnreachable) && x.all(x.order, x.order, StatusAlive)
+					return x.all(x.order, crashed, StatusUnreachable) && x.all(x.order, x.order, StatusAlive)
 				})
 			})
 		})
 	}
 }
 
-func TestPausedNodeComesBackByItself(t *testing.T) {
-	inBubble(t, 2, 7, nil, func(t *testing.T, x *fleet) {
-		paused := x.group(0)[3]
-		rest := others(x.order, paused)
+func TestPausedNodeRecoversAfterResume(t *testing.T) {
+	withTestCluster(t, 2, 7, nil, func(t *testing.T, x *testCluster) {
+		paused := x.nodesIn(0)[3]
+		rest := excluding(x.order, paused)
 		x.network.Pause(paused)
 		x.within(11*time.Second, "unreachable", func() bool { return x.all(rest, []domain.NodeID{paused}, StatusUnreachable) })
-		x.throughout(2*time.Minute, "not gone, nobody else lost", func() bool {
+		x.throughout(2*time.Minute, "unreachable but not gone, all others alive", func() bool {
 			return x.all(rest, []domain.NodeID{paused}, StatusUnreachable) && x.all(rest, rest, StatusAlive)
 		})
 		x.network.Resume(paused)
-		x.within(3*time.Second, "back nearby", func() bool { return x.all(x.group(0), x.group(0), StatusAlive) })
-		x.within(6*time.Second, "back everywhere", func() bool { return x.all(x.order, x.order, StatusAlive) })
+		x.within(3*time.Second, "alive again in the local data centre", func() bool { return x.all(x.nodesIn(0), x.nodesIn(0), StatusAlive) })
+		x.within(6*time.Second, "alive again everywhere", func() bool { return x.all(x.order, x.order, StatusAlive) })
 	})
 }
 
-func TestPausedNodeDoesNotBlameOthers(t *testing.T) {
-	inBubble(t, 1, 2, nil, func(t *testing.T, x *fleet) {
-		// The node suspects the other one when it is paused; when it wakes, its time
-		// for asking on has passed, but the other one is well.
+func TestPausedNodeDoesNotDeclareOthersUnreachable(t *testing.T) {
+	withTestCluster(t, 1, 2, nil, func(t *testing.T, x *testCluster) {
+		// The node is paused while it suspects the other one. When it resumes,
+		// its suspicion timeout has passed although the other node is healthy.
 		paused, other := x.nodes[x.order[0]], x.nodes[x.order[1]]
-		blamed := x.watch(x.order[:1], x.order[1:])
+		notAlive := x.countNotAlive(x.order[:1], x.order[1:])
 		x.network.Cut(x.order[0], x.order[1])
 		x.within(3*time.Second, "suspected", func() bool { return paused.isSuspect(other.self) })
 		x.network.Pause(x.order[0])
@@ -94,130 +96,131 @@
 		time.Sleep(time.Minute)
 		x.network.Resume(x.order[0])
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, blamed.Load(), int32(0))
+		assert.Equal(t, notAlive.Load(), int32(0))
 		assert.Assert(t, x.all(x.order, x.order, StatusAlive))
 	})
 }
 
-func TestDeafOrMuteNodeHarmsNobodyElse(t *testing.T) {
+func TestOneWayPartitionAffectsOnlyThatNode(t *testing.T) {
 	cases := []struct {
 		name string
 		size int
-		cut  func(x *fleet, node, other domain.NodeID)
+		cut  func(x *testCluster, node, other domain.NodeID)
 	}{
-		{"deaf", 3, func(x *fleet, node, other domain.NodeID) { x.network.CutOneWay(other, node) }},
-		{"deaf", 12, func(x *fleet, node, other domain.NodeID) { x.network.CutOneWay(other, node) }},
-		{"mute", 12, func(x *fleet, node, other domain.NodeID) { x.network.CutOneWay(node, other) }},
+		{"inbound cut", 3, func(x *testCluster, node, other domain.NodeID) { x.network.CutOneWay(other, node) }},
+		{"inbound cut", 12, func(x *testCluster, node, other domain.NodeID) { x.network.CutOneWay(other, node) }},
+		{"outbound cut", 12, func(x *testCluster, node, other domain.NodeID) { x.network.CutOneWay(node, other) }},
 	}
 	for _, c := range cases {
 		for seed := range uint64(4) {
-			t.Run(fmt.Sprintf("%s of %d, seed %d", c.name, c.size, seed), func(t *testing.T) {
-				inBubble(t, 1, c.size, seeded(seed), func(t *testing.T, x *fleet) {
+			t.Run(fmt.Sprintf("%s, %d nodes, seed %d", c.name, c.size, seed), func(t *testing.T) {
+				withTestCluster(t, 1, c.size, withSeed(seed), func(t *testing.T, x *testCluster) {
 					node := x.order[c.size/2]
-					rest := others(x.order, node)
+					rest := excluding(x.order, node)
 					for _, other := range rest {
 						c.cut(x, node, other)
 					}
-					blamed := x.watch(rest, rest)
+					notAlive := x.countNotAlive(rest, rest)
 					time.Sleep(30 * time.Second)
-					assert.Equal(t, blamed.Load(), int32(0))
+					assert.Equal(t, notAlive.Load(), int32(0))
 					assert.Assert(t, x.all(rest, []domain.NodeID{node}, StatusUnreachable))
 					assert.Assert(t, x.all([]domain.NodeID{node}, rest, StatusUnreachable))
 					x.network.HealAll()
-					x.within(10*time.Second, "back", func() bool { return x.all(x.order, x.order, StatusAlive) })
+					x.within(10*time.Second, "alive again", func() bool { return x.all(x.order, x.order, StatusAlive) })
 				})
 			})
 		}
 	}
 }
 
-// seeded varies the random choices of a fleet.
-func seeded(seed uint64) func(*Options) {
+// withSeed varies the random choices of a cluster.
+func withSeed(seed uint64) func(*Options) {
 	return func(o *Options) { o.RandomSeed += seed * 1_000_000 }
 }
 
-func TestCutBetweenTwoNodesIsBridged(t *testing.T) {
-	inBubble(t, 1, 7, nil, func(t *testing.T, x *fleet) {
+func TestRelaysCompensateForCutLinks(t *testing.T) {
+	withTestCluster(t, 1, 7, nil, func(t *testing.T, x *testCluster) {
 		x.network.Cut(x.order[0], x.order[1])
 		x.network.CutOneWay(x.order[2], x.order[3])
 		x.throughout(2*time.Minute, "all alive", func() bool { return x.all(x.order, x.order, StatusAlive) })
 	})
 }
 
-func TestDataCentresPart(t *testing.T) {
-	inBubble(t, 3, 5, nil, func(t *testing.T, x *fleet) {
-		cutOff, rest := x.group(0), append(x.group(1), x.group(2)...)
+func TestDataCentrePartition(t *testing.T) {
+	withTestCluster(t, 3, 5, nil, func(t *testing.T, x *testCluster) {
+		cutOff, rest := x.nodesIn(0), append(x.nodesIn(1), x.nodesIn(2)...)
 		x.network.Partition(cutOff, rest)
-		x.within(11*time.Second, "parted", func() bool {
+		x.within(11*time.Second, "partitioned", func() bool {
 			return x.all(cutOff, rest, StatusUnreachable) && x.all(rest, cutOff, StatusUnreachable)
 		})
-		x.throughout(time.Minute, "within a part alive", func() bool { return x.all(cutOff, cutOff, StatusAlive) && x.all(rest, rest, StatusAlive) })
-		// While they are parted one node leaves, one is restarted and one crashes.
+		x.throughout(time.Minute, "each side alive", func() bool { return x.all(cutOff, cutOff, StatusAlive) && x.all(rest, rest, StatusAlive) })
+		// During the partition one node leaves, one is restarted and one crashes.
 		leaver, restarted, crashed := cutOff[1], cutOff[2], cutOff[3]
 		assert.NilError(t, x.nodes[leaver].Leave(t.Context()))
 		x.crash(restarted)
-		x.start(lifeOf(dcID(0), 2, 2))
+		x.start(memberOf(dcID(0), 2, 2))
 		x.crash(crashed)
 		time.Sleep(15 * time.Minute)
 		x.network.HealAll()
-		x.within(9*time.Second, "met again", func() bool {
-			return x.all(x.order, others(x.order, leaver), StatusAlive) &&
+		x.within(9*time.Second, "reunited", func() bool {
+			return x.all(x.order, excluding(x.order, leaver), StatusAlive) &&
 				x.all(x.order, []domain.NodeID{leaver}, StatusLeaving) &&
 				x.all(x.order, []domain.NodeID{crashed}, StatusUnreachable)
 		})
 		for _, viewer := range x.order {
-			status, ok := x.nodes[viewer].Current().StatusOf(lifeOf(dcID(0), 2, 1))
+			status, ok := x.nodes[viewer].Current().StatusOf(memberOf(dcID(0), 2, 1))
 			assert.Assert(t, ok && status == StatusGone)
 		}
 	})
 }
 
 func TestMissedChangesAreRepaired(t *testing.T) {
-	brief := func(o *Options) { o.GoneRetention = 2 * time.Minute }
-	inBubble(t, 2, 12, brief, func(t *testing.T, x *fleet) {
-		// A node that is cut off misses that one of another data centre leaves, and
-		// that one says farewell and is forgotten.
-		far := x.group(1)
+	shortRetention := func(o *Options) { o.GoneRetention = 2 * time.Minute }
+	withTestCluster(t, 2, 12, shortRetention, func(t *testing.T, x *testCluster) {
+		// A partitioned node misses that one node of another data centre leaves,
+		// and that another one announces its stop and is removed from the tables.
+		remote := x.nodesIn(1)
 		var cut domain.NodeID
-		for _, node := range x.group(0) {
+		for _, node := range x.nodesIn(0) {
 			if !slices.Contains(x.nodes[node].State().DataCentres[0].Delegates, node) {
 				cut = node
 			}
 		}
-		for _, other := range others(x.order, cut) {
+		for _, other := range excluding(x.order, cut) {
 			x.network.Cut(cut, other)
 		}
-		x.list.fail(hostlist.ErrUnavailable)
+		x.hostList.fail(hostlist.ErrUnavailable)
 		time.Sleep(10 * time.Second)
-		assert.NilError(t, x.nodes[far[0]].Leave(t.Context()))
-		assert.NilError(t, x.nodes[far[1]].AnnounceStopped(t.Context()))
-		x.crash(far[1])
+		assert.NilError(t, x.nodes[remote[0]].Leave(t.Context()))
+		assert.NilError(t, x.nodes[remote[1]].AnnounceStopped(t.Context()))
+		x.crash(remote[1])
 		time.Sleep(10 * time.Minute)
 		x.network.HealAll()
 		x.within(20*time.Second, "repaired", func() bool {
-			status, known := x.status(cut, far[1])
-			return x.all([]domain.NodeID{cut}, far[:1], StatusLeaving) && (!known || status == StatusGone)
+			status, known := x.status(cut, remote[1])
+			return x.all([]domain.NodeID{cut}, remote[:1], StatusLeaving) && (!known || status == StatusGone)
 		})
 	})
 }
 
-func TestDataCentreSplitsAndHeals(t *testing.T) {
-	inBubble(t, 1, 24, nil, func(t *testing.T, x *fleet) {
+func TestPartitionWithinDataCentreHeals(t *testing.T) {
+	withTestCluster(t, 1, 24, nil, func(t *testing.T, x *testCluster) {
 		a, b := x.order[:11], x.order[11:]
 		x.network.Partition(a, b)
-		x.within(15*time.Second, "parted", func() bool { return x.all(a, b, StatusUnreachable) && x.all(b, a, StatusUnreachable) })
-		x.throughout(time.Minute, "halves alive", func() bool { return x.all(a, a, StatusAlive) && x.all(b, b, StatusAlive) })
+		x.within(15*time.Second, "partitioned", func() bool { return x.all(a, b, StatusUnreachable) && x.all(b, a, StatusUnreachable) })
+		x.throughout(time.Minute, "both halves alive", func() bool { return x.all(a, a, StatusAlive) && x.all(b, b, StatusAlive) })
 		x.network.HealAll()
 		t.Log("healed after", x.within(15*time.Second, "healed", func() bool { return x.all(x.order, x.order, StatusAlive) }))
 	})
 }
 
-func TestNewLifeReplacesTheOld(t *testing.T) {
-	inBubble(t, 2, 5, nil, func(t *testing.T, x *fleet) {
+func TestNewIncarnationReplacesTheOld(t *testing.T) {
+	withTestCluster(t, 2, 5, nil, func(t *testing.T, x *testCluster) {
 		old := x.nodes[x.order[0]]
-		// The old life is paused, not dead, and wakes when the new one runs.
+		// The old incarnation is paused, not stopped, and resumes while the new
+		// one runs.
 		x.network.Pause(x.order[0])
-		x.start(lifeOf(dcID(0), 0, 2))
+		x.start(memberOf(dcID(0), 0, 2))
 		replaced := func() bool {
 			for _, viewer := range x.order {
 				p, _ := x.nodes[viewer].Current().Peer(x.order[0])
@@ -237,24 +240,25 @@
 	})
 }
 
-func TestLeaveAndFarewell(t *testing.T) {
-	brief := func(o *Options) { o.GoneRetention = 2 * time.Minute }
-	inBubble(t, 2, 6, brief, func(t *testing.T, x *fleet) {
+func TestLeaveAndStop(t *testing.T) {
+	shortRetention := func(o *Options) { o.GoneRetention = 2 * time.Minute }
+	withTestCluster(t, 2, 6, shortRetention, func(t *testing.T, x *testCluster) {
 		leaver := x.order[2]
-		here := []domain.NodeID{leaver}
+		leaving := []domain.NodeID{leaver}
 		assert.NilError(t, x.nodes[leaver].Leave(t.Context()))
-		assert.Assert(t, x.all(x.group(0), here, StatusLeaving))
+		assert.Assert(t, x.all(x.nodesIn(0), leaving, StatusLeaving))
 		assert.Equal(t, x.nodes[leaver].Current().SelfStatus(), StatusLeaving)
-		x.within(4*time.Second, "leaving everywhere", func() bool { return x.all(x.order, here, StatusLeaving) })
-		// The list still says that it is live, and somebody tells the node so.
+		x.within(4*time.Second, "leaving everywhere", func() bool { return x.all(x.order, leaving, StatusLeaving) })
+		// The host list still has the node as live, and a peer notifies the node
+		// of this.
 		_, err := peer.Call[listedRequest, empty](t.Context(), x.nodes[x.order[0]].transport, x.nodes[leaver].self, methodListed, listedRequest{})
 		assert.NilError(t, err)
-		x.throughout(time.Minute, "stays leaving", func() bool { return x.all(x.order, here, StatusLeaving) })
+		x.throughout(time.Minute, "stays leaving", func() bool { return x.all(x.order, leaving, StatusLeaving) })
 		assert.NilError(t, x.nodes[leaver].AnnounceStopped(t.Context()))
-		assert.Assert(t, x.all(others(x.group(0), leaver), here, StatusGone))
+		assert.Assert(t, x.all(excluding(x.nodesIn(0), leaver), leaving, StatusGone))
 		x.crash(leaver)
-		x.within(4*time.Second, "gone everywhere", func() bool { return x.all(x.order, here, StatusGone) })
-		x.list.remove(leaver)
+		x.within(4*time.Second, "gone everywhere", func() bool { return x.all(x.order, leaving, StatusGone) })
+		x.hostList.remove(leaver)
 		time.Sleep(6 * time.Minute)
 		for _, viewer := range x.order {
 			_, known := x.nodes[viewer].Current().Peer(leaver)
@@ -263,17 +267,17 @@
 	})
 }
 
-func TestLossMakesNobodyGone(t *testing.T) {
+func TestMessageLossMakesNoNodeGone(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
-		inBubble(t, 2, 16, nil, func(t *testing.T, x *fleet) {
-			x.network.Intercept(lossy(seed, 10))
-			lost, looks := 0, 0
-			x.throughout(2*time.Minute, "nobody gone", func() bool {
+		withTestCluster(t, 2, 16, nil, func(t *testing.T, x *testCluster) {
+			x.network.Intercept(dropPercent(seed, 10))
+			unreachable, observations := 0, 0
+			x.throughout(2*time.Minute, "no node gone", func() bool {
 				for _, viewer := range x.order {
 					for _, p := range x.nodes[viewer].Current().Peers {
-						looks++
+						observations++
 						if p.Status == StatusUnreachable {
-							lost++
+							unreachable++
 						}
 						if p.Status == StatusGone {
 							return false
@@ -282,17 +286,17 @@
 				}
 				return true
 			})
-			t.Logf("seed %d: %d of %d looks found an unreachable peer", seed, lost, looks)
-			assert.Assert(t, lost*1000 < looks)
+			t.Logf("seed %d: %d of %d observations found an unreachable peer", seed, unreachable, observations)
+			assert.Assert(t, unreachable*1000 < observations)
 			x.network.Intercept(nil)
 			x.within(10*time.Second, "all alive", func() bool { return x.all(x.order, x.order, StatusAlive) })
 		})
 	}
 }
 
-// lossy loses percent of the messages, the same ones in every run.
-func lossy(seed uint64, percent uint64) peertest.Interceptor {
-	counts := newCounter()
+// dropPercent drops percent of the messages, the same ones in every run.
+func dropPercent(seed uint64, percent uint64) peertest.Interceptor {
+	counts := newKeyCounter()
 	return func(from, to domain.NodeID, method peer.Method, reply bool) peertest.Action {
 		key := string(from) + " " + string(to) + " " + string(method)
 		if reply {
@@ -304,40 +308,40 @@
 }
 
 func TestDelegatesAreReplaced(t *testing.T) {
-	inBubble(t, 2, 6, nil, func(t *testing.T, x *fleet) {
-		for _, node := range x.nodes[x.group(0)[0]].State().DataCentres[0].Delegates {
+	withTestCluster(t, 2, 6, nil, func(t *testing.T, x *testCluster) {
+		for _, node := range x.nodes[x.nodesIn(0)[0]].State().DataCentres[0].Delegates {
 			x.crash(node)
 		}
-		x.throughout(20*time.Second, "the other data centre alive", func() bool { return x.all(x.group(0), x.group(1), StatusAlive) })
-		crashed := x.group(1)[0]
+		x.throughout(20*time.Second, "the other data centre stays alive", func() bool { return x.all(x.nodesIn(0), x.nodesIn(1), StatusAlive) })
+		crashed := x.nodesIn(1)[0]
 		x.crash(crashed)
-		x.within(11*time.Second, "noticed by the new delegates", func() bool { return x.all(x.group(0), []domain.NodeID{crashed}, StatusUnreachable) })
+		x.within(11*time.Second, "detected by the new delegates", func() bool { return x.all(x.nodesIn(0), []domain.NodeID{crashed}, StatusUnreachable) })
 	})
 }
 
-func TestOneReachableNodeKeepsADataCentreUp(t *testing.T) {
-	inBubble(t, 2, 4, nil, func(t *testing.T, x *fleet) {
-		for _, delegate := range x.group(0) {
-			for _, node := range x.group(1)[1:] {
+func TestOneReachableNodeKeepsDataCentreReachable(t *testing.T) {
+	withTestCluster(t, 2, 4, nil, func(t *testing.T, x *testCluster) {
+		for _, delegate := range x.nodesIn(0) {
+			for _, node := range x.nodesIn(1)[1:] {
 				x.network.Cut(delegate, node)
 			}
 		}
-		x.throughout(2*time.Minute, "all alive", func() bool { return x.all(x.group(0), x.order, StatusAlive) })
+		x.throughout(2*time.Minute, "all alive", func() bool { return x.all(x.nodesIn(0), x.order, StatusAlive) })
 	})
 }
 
-func TestSubscribersAreTold(t *testing.T) {
-	inBubble(t, 1, 3, nil, func(t *testing.T, x *fleet) {
-		told := make(chan *Snapshot, 100)
-		cancel := x.nodes[x.order[0]].Subscribe(func(s *Snapshot) { told <- s })
+func TestSubscribersAreNotified(t *testing.T) {
+	withTestCluster(t, 1, 3, nil, func(t *testing.T, x *testCluster) {
+		notified := make(chan *Snapshot, 100)
+		cancel := x.nodes[x.order[0]].Subscribe(func(s *Snapshot) { notified <- s })
 		assert.NilError(t, x.nodes[x.order[1]].Leave(t.Context()))
 		synctest.Wait()
-		assert.Equal(t, len(told), 1)
-		status, _ := (<-told).StatusOf(lifeOf(dcID(0), 1, 1))
+		assert.Equal(t, len(notified), 1)
+		status, _ := (<-notified).StatusOf(memberOf(dcID(0), 1, 1))
 		assert.Equal(t, status, StatusLeaving)
 		cancel()
 		x.crash(x.order[1])
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, len(told), 0)
+		assert.Equal(t, len(notified), 0)
 	})
 }
--- a/membership/handlers.go
+++ b/membership/handlers.go
@@ -8,7 +8,6 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// handle registers the handlers.
 func (s *Service) handle() {
 	peer.Handle(s.transport, methodPing, s.servePing)
 	peer.Handle(s.transport, methodRelay, s.serveRelay)
@@ -18,55 +17,55 @@
 }
 
 func (s *Service) servePing(_ context.Context, from domain.Member, request ping) (ack, error) {
-	s.absorb(from, request.news)
-	s.compare(from, request.Digest)
-	reply := ack{news: s.newsFor(from)}
-	if request.Introduce {
+	s.applyPayload(from, request.gossipPayload)
+	s.compareDigest(from, request.Digest)
+	reply := ack{gossipPayload: s.payloadFor(from)}
+	if request.Identify {
 		self := s.self
 		reply.Member = &self
 	}
 	return reply, nil
 }
 
-// serveRelay pings the target and tells what came of it.
+// serveRelay pings the target and returns the result.
 func (s *Service) serveRelay(ctx context.Context, _ domain.Member, request relayRequest) (relayReply, error) {
-	n := s.newsFor(request.Target)
-	if request.Accusation != nil {
-		n.Records = append(n.Records, *request.Accusation)
+	payload := s.payloadFor(request.Target)
+	if request.ToRefute != nil {
+		payload.Records = append(payload.Records, *request.ToRefute)
 	}
-	answer, err := s.sendPing(ctx, request.Target, n)
+	result, err := s.sendPing(ctx, request.Target, payload)
 	if err != nil {
 		return relayReply{}, nil
 	}
-	return relayReply{Answered: true, Version: answer.Version, Intent: answer.Intent}, nil
+	return relayReply{Answered: true, Version: result.Version, Intent: result.Intent}, nil
 }
 
 func (s *Service) servePush(_ context.Context, from domain.Member, request pushRequest) (empty, error) {
-	s.absorb(from, request.news)
+	s.applyPayload(from, request.gossipPayload)
 	return empty{}, nil
 }
 
 func (s *Service) servePull(_ context.Context, from domain.Member, request pullRequest) (pullReply, error) {
-	s.absorb(from, news{Version: request.Version, Intent: request.Intent})
+	s.applyPayload(from, gossipPayload{Version: request.Version, Intent: request.Intent})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := pullReply{Settled: s.settled(time.Now())}
 	for dc, hash := range s.table.hashes {
-		known, asked := request.Hashes[dc]
-		if hash != known && (asked || request.All) {
-			reply.Tables = append(reply.Tables, dataCentreTable{dc, s.table.records(dc)})
+		known, requested := request.Hashes[dc]
+		if hash != known && (requested || request.All) {
+			reply.Tables = append(reply.Tables, dataCentreTable{dc, s.table.recordsOf(dc)})
 		}
 	}
 	if request.All {
-		for _, c := range s.table.contacts {
-			reply.Contacts = append(reply.Contacts, c)
+		for _, c := range s.table.reachability {
+			reply.Reachability = append(reply.Reachability, c)
 		}
 	}
 	return reply, nil
 }
 
-// serveListed takes note of what the host list says of this node. The node's own
-// word goes before it.
+// serveListed applies what the host list says of this node. A state that the node
+// has announced itself takes precedence.
 func (s *Service) serveListed(_ context.Context, _ domain.Member, request listedRequest) (empty, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,14 +73,14 @@
 	return empty{}, nil
 }
 
-// setListed notes whether the host list says that this node leaves. The lock is
-// held.
+// setListed records whether the host list has this node as leaving. The caller
+// holds the lock.
 func (s *Service) setListed(leaving bool) {
 	switch {
-	case leaving && s.own.intent == intentServing:
-		s.setOwn(s.own.version+1, intentListedLeaving)
-	case !leaving && s.own.intent == intentListedLeaving:
-		s.setOwn(s.own.version+1, intentServing)
+	case leaving && s.local.intent == intentServing:
+		s.setLocalState(s.local.version+1, intentListedLeaving)
+	case !leaving && s.local.intent == intentListedLeaving:
+		s.setLocalState(s.local.version+1, intentServing)
 	default:
 		return
 	}
--- a/membership/join.go
+++ b/membership/join.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// joinInterval is how long after a fruitless round of candidates the next begins,
-	// at first; it doubles up to maxJoinInterval.
+	// joinInterval is the initial pause after a round in which no candidate
+	// answered; it doubles up to maxJoinInterval.
 	joinInterval    = 500 * time.Millisecond
 	maxJoinInterval = 5 * time.Second
 )
 
-// joinLoop gets the table of a node that is already there. A node that finds
-// nobody serves alone and goes on looking.
+// joinLoop pulls the table of a running node. A node that finds none serves alone
+// and keeps trying.
 func (s *Service) joinLoop(ctx context.Context) {
 	for pause := joinInterval; ; pause = min(2*pause, maxJoinInterval) {
 		if s.join(ctx) {
-			s.joined()
+			s.announceJoined()
 			return
 		}
 		if !pacing.Sleep(ctx, pause/2+s.jitter(pause)) {
@@ -42,31 +42,32 @@
 	return false
 }
 
-// candidates returns the nodes to join by, those of the own data centre first.
+// candidates returns the nodes to join through, those of the local data centre
+// first.
 func (s *Service) candidates() []domain.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var near, far []domain.Member
+	var local, remote []domain.Member
 	for _, node := range s.table.order {
 		e := s.table.entries[node]
 		switch {
 		case node == s.self.Node || e.gone():
 		case e.DataCentre == s.self.DataCentre:
-			near = append(near, e.member())
+			local = append(local, e.member())
 		default:
-			far = append(far, e.member())
+			remote = append(remote, e.member())
 		}
 	}
-	shuffle(near, s.random)
-	shuffle(far, s.random)
-	return append(near, far...)
+	shuffle(local, s.random)
+	shuffle(remote, s.random)
+	return append(local, remote...)
 }
 
-// joined announces this node.
-func (s *Service) joined() {
+// announceJoined broadcasts this node's record after its first pull.
+func (s *Service) announceJoined() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sync.joinedAt = time.Now()
-	s.spread(newRecord(s.self, s.own.version, s.own.intent))
+	s.enqueueBroadcast(newRecord(s.self, s.local.version, s.local.intent))
 	s.options.Logger.Info().Int("peers", len(s.table.order)-1).Msg("joined")
 }
--- a/membership/links_slope_test.go
+++ b/membership/links_slope_test.go
@@ -15,8 +15,8 @@
 	"hawthornrill.example/hawthornrill/peer/wslink"
 )
 
-// linkFleet runs services over real links with TLS on loopback.
-type linkFleet struct {
+// linkCluster runs services over real TLS links on loopback.
+type linkCluster struct {
 	authority *pki.Authority
 	seed      hostlist.Host
 	services  []*Service
@@ -24,7 +24,7 @@
 	bytes     atomic.Int64
 }
 
-// countedConn counts the bytes of both directions at the end that dialled.
+// countedConn counts the bytes of both directions on the dialling side.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -43,11 +43,11 @@
 }
 
 // start runs one node until the benchmark ends.
-func (x *linkFleet) start(b *testing.B, i int) {
+func (x *linkCluster) start(b *testing.B, i int) {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
-	self := lifeOf(dcID(0), i, 1)
+	self := memberOf(dcID(0), i, 1)
 	self.Address = listener.Addr().String()
 	bundle, err := x.authority.Bundle(self.Node, time.Now())
 	assert.NilError(b, err)
@@ -76,8 +76,8 @@
 	x.services, x.links = append(x.services, service), append(x.links, transport)
 }
 
-// alive reports whether all see all.
-func (x *linkFleet) alive() bool {
+// allAlive reports whether every node sees every node as alive.
+func (x *linkCluster) allAlive() bool {
 	for _, s := range x.services {
 		if count(s.Current(), StatusAlive) != len(x.services) {
 			return false
@@ -86,22 +86,23 @@
 	return true
 }
 
-// BenchmarkSlopeOverLinks measures a data centre at rest over real links, in real
-// time: processor time and bytes on the socket with all that the links need, and
-// the memory of a node's links.
+// BenchmarkSlopeOverLinks measures an idle data centre over real links in real
+// time: processor time and bytes on the socket including link maintenance, and
+// the memory of a node with its links.
 func BenchmarkSlopeOverLinks(b *testing.B) {
 	for _, nodes := range []int{7, 24, 48} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			authority, err := pki.NewAuthority(time.Now())
 			assert.NilError(b, err)
-			x := &linkFleet{authority: authority}
+			x := &linkCluster{authority: authority}
 			before := heapInUse()
 			for i := range nodes {
 				x.start(b, i)
 			}
-			// Until everybody has probed everybody and all links are open.
+			// Wait until every node has probed every other and all links are
+			// open.
 			time.Sleep(time.Duration(nodes)*DefaultProbeInterval + 5*time.Second)
-			assert.Assert(b, x.alive())
+			assert.Assert(b, x.allAlive())
 			const window = 20 * time.Second
 			cpu, bytes := processorTime(), x.bytes.Load()
 			time.Sleep(window)
@@ -115,7 +116,7 @@
 				links += len(l.State().Links)
 			}
 			b.ReportMetric(float64(links)/float64(nodes), "links/node")
-			assert.Assert(b, x.alive())
+			assert.Assert(b, x.allAlive())
 		})
 	}
 }
--- a/membership/messages.go
+++ b/membership/messages.go
@@ -6,92 +6,94 @@
 )
 
 const (
-	// methodPing asks whether a life is there.
+	// methodPing checks that a member is running.
 	methodPing peer.Method = "membership.ping"
-	// methodRelay asks another node to ping a third one.
+	// methodRelay asks a node to ping a third one.
 	methodRelay peer.Method = "membership.relay"
-	// methodPush hands on changes.
+	// methodPush delivers changes.
 	methodPush peer.Method = "membership.push"
 	// methodPull fetches the parts of a table that differ.
 	methodPull peer.Method = "membership.pull"
-	// methodListed tells a node what the host list says of it.
+	// methodListed tells a node its state in the host list.
 	methodListed peer.Method = "membership.listed"
 )
 
-// news is what most messages carry: the sender's own state and changes that are
-// being passed on.
-type news struct {
+// gossipPayload is part of most messages: the sender's own state and the changes
+// that it passes on.
+type gossipPayload struct {
 	// Version and Intent are the sender's own.
 	Version uint64 `cbor:"1,keyasint,omitempty"`
 	Intent  intent `cbor:"2,keyasint,omitempty"`
-	// Digest sums up the sender's table.
-	Digest   uint64    `cbor:"3,keyasint,omitempty"`
-	Records  []record  `cbor:"4,keyasint,omitempty"`
-	Contacts []contact `cbor:"5,keyasint,omitempty"`
+	// Digest is the hash of the sender's table.
+	Digest       uint64         `cbor:"3,keyasint,omitempty"`
+	Records      []record       `cbor:"4,keyasint,omitempty"`
+	Reachability []reachability `cbor:"5,keyasint,omitempty"`
 }
 
-// ping asks whether a life is there. Its news may hold an accusation of the
-// receiver, which the receiver refutes.
+// ping checks that a member is running. Its payload may hold a record of the
+// receiver with worse health, which the receiver refutes.
 type ping struct {
-	news
-	// Introduce asks the receiver to say who it is.
-	Introduce bool `cbor:"6,keyasint,omitempty"`
+	gossipPayload
+	// Identify asks the receiver to return its member record.
+	Identify bool `cbor:"6,keyasint,omitempty"`
 }
 
-// ack answers a ping.
+// ack is the reply to a ping.
 type ack struct {
-	news
-	// Member is the life that answers, if it was asked.
+	gossipPayload
+	// Member is the responding member, set if the ping has Identify.
 	Member *domain.Member `cbor:"6,keyasint,omitempty"`
 }
 
-// relayRequest asks to ping a third node on the sender's behalf.
+// relayRequest asks the receiver to ping a third node on the sender's behalf.
 type relayRequest struct {
 	Target domain.Member `cbor:"1,keyasint"`
-	// Accusation is what the sender holds against the target, if anything.
-	Accusation *record `cbor:"2,keyasint,omitempty"`
+	// ToRefute is the sender's record of the target if it is suspect or worse, or
+	// of a later incarnation.
+	ToRefute *record `cbor:"2,keyasint,omitempty"`
 }
 
-// relayReply tells whether the target answered the relay, and with what.
+// relayReply holds the result of the relayed ping and the target's own state.
 type relayReply struct {
 	Answered bool   `cbor:"1,keyasint,omitempty"`
 	Version  uint64 `cbor:"2,keyasint,omitempty"`
 	Intent   intent `cbor:"3,keyasint,omitempty"`
 }
 
-// pushRequest hands on changes.
-type pushRequest struct{ news }
+// pushRequest delivers changes.
+type pushRequest struct{ gossipPayload }
 
 // empty is a reply without content.
 type empty struct{}
 
-// pullRequest names the parts of a table that the sender wants, with the hashes of
-// what it has.
+// pullRequest selects the parts of a table that the sender wants, by the hashes
+// of its own.
 type pullRequest struct {
 	// Version and Intent are the sender's own.
 	Version uint64                       `cbor:"1,keyasint,omitempty"`
 	Intent  intent                       `cbor:"2,keyasint,omitempty"`
 	Hashes  map[domain.DataCentre]uint64 `cbor:"3,keyasint,omitempty"`
-	// All asks for the data centres that are not in Hashes too, and for contacts.
+	// All also requests data centres that are not in Hashes, and the reachability
+	// reports.
 	All bool `cbor:"4,keyasint,omitempty"`
 }
 
-// pullReply holds the whole tables of those data centres that differ.
+// pullReply holds the complete tables of the data centres that differ.
 type pullReply struct {
-	Tables   []dataCentreTable `cbor:"1,keyasint,omitempty"`
-	Contacts []contact         `cbor:"2,keyasint,omitempty"`
-	// Settled is false from nodes that started a moment ago and may not know their
-	// data centre yet.
+	Tables       []dataCentreTable `cbor:"1,keyasint,omitempty"`
+	Reachability []reachability    `cbor:"2,keyasint,omitempty"`
+	// Settled is false from nodes that joined recently and may not know their
+	// data centre completely yet.
 	Settled bool `cbor:"3,keyasint,omitempty"`
 }
 
-// dataCentreTable is what a node knows of a data centre.
+// dataCentreTable holds a node's records of a data centre.
 type dataCentreTable struct {
 	DataCentre domain.DataCentre `cbor:"1,keyasint"`
 	Records    []record          `cbor:"2,keyasint,omitempty"`
 }
 
-// listedRequest tells a node what the host list says of it.
+// listedRequest tells a node its state in the host list.
 type listedRequest struct {
 	Leaving bool `cbor:"1,keyasint,omitempty"`
 }
--- a/membership/metrics.go
+++ b/membership/metrics.go
@@ -6,16 +6,15 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// serviceMetrics count what the service does.
 type serviceMetrics struct {
-	probes        *metrics.Counter
-	probeFailures *metrics.Counter
-	suspicions    *metrics.Counter
-	declared      *metrics.Counter
-	refutations   *metrics.Counter
-	syncs         *metrics.Counter
-	exchanges     *metrics.Counter
-	listFailures  *metrics.Counter
+	probes              *metrics.Counter
+	probeFailures       *metrics.Counter
+	suspicions          *metrics.Counter
+	declaredUnreachable *metrics.Counter
+	refutations         *metrics.Counter
+	syncs               *metrics.Counter
+	exchanges           *metrics.Counter
+	listFailures        *metrics.Counter
 }
 
 func newServiceMetrics(set *metrics.Set, view View) *serviceMetrics {
@@ -26,24 +25,24 @@
 		})
 	}
 	return &serviceMetrics{
-		probes:        set.GetOrCreateCounter("hawthornrill_membership_probes_total"),
-		probeFailures: set.GetOrCreateCounter("hawthornrill_membership_failed_pings_total"),
-		suspicions:    set.GetOrCreateCounter("hawthornrill_membership_suspicions_total"),
-		declared:      set.GetOrCreateCounter("hawthornrill_membership_declared_unreachable_total"),
-		refutations:   set.GetOrCreateCounter("hawthornrill_membership_refutations_total"),
-		syncs:         set.GetOrCreateCounter("hawthornrill_membership_full_syncs_total"),
-		exchanges:     set.GetOrCreateCounter("hawthornrill_membership_exchanges_total"),
-		listFailures:  set.GetOrCreateCounter("hawthornrill_membership_list_failures_total"),
+		probes:              set.GetOrCreateCounter("hawthornrill_membership_probes_total"),
+		probeFailures:       set.GetOrCreateCounter("hawthornrill_membership_failed_pings_total"),
+		suspicions:          set.GetOrCreateCounter("hawthornrill_membership_suspicions_total"),
+		declaredUnreachable: set.GetOrCreateCounter("hawthornrill_membership_declared_unreachable_total"),
+		refutations:         set.GetOrCreateCounter("hawthornrill_membership_refutations_total"),
+		syncs:               set.GetOrCreateCounter("hawthornrill_membership_full_syncs_total"),
+		exchanges:           set.GetOrCreateCounter("hawthornrill_membership_exchanges_total"),
+		listFailures:        set.GetOrCreateCounter("hawthornrill_membership_list_failures_total"),
 	}
 }
 
-// count returns how many peers have the status, the node itself included.
+// count returns the number of peers with the status, including the node itself.
 func count(s *Snapshot, status Status) int {
-	n := 0
+	total := 0
 	for _, p := range s.Peers {
 		if p.Status == status {
-			n++
+			total++
 		}
 	}
-	return n
+	return total
 }
--- a/membership/options.go
+++ b/membership/options.go
@@ -12,36 +12,42 @@
 )
 
 const (
-	// DefaultProbeInterval is how often a node probes one peer of its data centre.
+	// DefaultProbeInterval is the interval at which a node probes one peer of its
+	// data centre.
 	DefaultProbeInterval = 500 * time.Millisecond
-	// DefaultProbeTimeout is how long a direct ping may take.
+	// DefaultProbeTimeout is the timeout of a direct ping.
 	DefaultProbeTimeout = 300 * time.Millisecond
-	// DefaultSuspicionTimeout is how long a suspect has to answer or refute.
+	// DefaultSuspicionTimeout is the time in which a suspect must answer or
+	// refute.
 	DefaultSuspicionTimeout = 1200 * time.Millisecond
-	// DefaultRelays is how many others are asked to ping a peer that did not answer.
+	// DefaultRelays is the number of nodes asked to ping a peer that did not
+	// answer.
 	DefaultRelays = 3
-	// DefaultExchangeInterval is how often a delegate contacts its data centre.
+	// DefaultExchangeInterval is the interval at which a delegate exchanges state
+	// with its assigned data centre.
 	DefaultExchangeInterval = 3 * time.Second
-	// DefaultExchangeTimeout is how long one attempt of it may take.
+	// DefaultExchangeTimeout is the timeout of one attempt of an exchange.
 	DefaultExchangeTimeout = time.Second
-	// DefaultDelegates is how many nodes of a data centre contact each other one.
+	// DefaultDelegates is the number of nodes of a data centre that exchange
+	// state with each other data centre, and the number that read the host list.
 	DefaultDelegates = 2
-	// DefaultHostListInterval is how often the list's delegates read the host list.
+	// DefaultHostListInterval is the mean interval at which the assigned nodes
+	// read the host list.
 	DefaultHostListInterval = 5 * time.Second
-	// DefaultGoneAfter is how long a node must be both unreachable and off the host
-	// list before it is gone.
+	// DefaultGoneAfter is how long a node must be both unreachable and absent
+	// from the host list before it is gone.
 	DefaultGoneAfter = time.Minute
-	// DefaultGoneRetention is how long a life that is gone is remembered.
+	// DefaultGoneRetention is how long the record of a node that is gone is kept.
 	DefaultGoneRetention = time.Hour
 )
 
-// Options configure a Service. Zero values get defaults.
+// Options configure a Service. Zero values are replaced by the defaults.
 type Options struct {
 	// Transport carries the messages. Its Self is this node.
 	Transport peer.Transport
-	// List is the platform's host list; nil for none.
+	// HostList is the platform's host list; nil for none.
 	HostList hostlist.List
-	// Seeds are peers to begin with, from the settings. Their states are ignored.
+	// Seeds are the configured initial peers. Their states are ignored.
 	Seeds []hostlist.Host
 
 	ProbeInterval    time.Duration
@@ -55,14 +61,14 @@
 	GoneAfter        time.Duration
 	GoneRetention    time.Duration
 
-	// RandomSeed makes the choice of targets repeatable; 0 for a random one.
+	// RandomSeed makes the choice of targets reproducible; 0 for a random seed.
 	RandomSeed uint64
 	Logger     zerolog.Logger
-	// Metrics gets the service's metrics; nil for a set of its own.
+	// Metrics receives the service's metrics; nil for a separate set.
 	Metrics *metrics.Set
 }
 
-// withDefaults fills in what is zero.
+// withDefaults returns the options with zero values replaced by the defaults.
 func (o Options) withDefaults() Options {
 	defaults.Set(&o.ProbeInterval, DefaultProbeInterval)
 	defaults.Set(&o.ProbeTimeout, DefaultProbeTimeout)
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -10,9 +10,9 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// oversleepFactor times the probe timeout past a deadline is taken for a pause of
-// this process.
-const oversleepFactor = 3
+// A probe that overruns its deadline by this factor times the probe timeout is
+// taken to have been interrupted by a pause of this process.
+const pauseDetectionFactor = 3
 
 // dueProbes returns the peer to probe now, if any.
 func (s *Service) dueProbes(time.Time) []domain.Member {
@@ -26,22 +26,23 @@
 	return []domain.Member{target}
 }
 
-// probe finds out whether a peer is there: directly, then through others, then by
-// suspecting it and asking on until it answers, refutes or the time is up.
+// probe checks a peer with a direct ping, then through relays. If neither
+// succeeds, it marks the peer as suspect and retries until the peer answers or
+// refutes, or the suspicion times out.
 func (s *Service) probe(ctx context.Context, target domain.Member) {
 	defer s.endProbe(target.Node)
 	s.metrics.probes.Inc()
 	if s.ping(ctx, target) {
 		return
 	}
-	if s.pingThroughOthers(ctx, target) || ctx.Err() != nil {
+	if s.pingIndirectly(ctx, target) || ctx.Err() != nil {
 		return
 	}
 	version, ok := s.suspect(target)
 	if !ok {
 		return
 	}
-	if !s.askOn(ctx, target) {
+	if !s.awaitRefutation(ctx, target) {
 		s.declareUnreachable(target, version)
 	}
 }
@@ -52,31 +53,32 @@
 	delete(s.detector.probing, node)
 }
 
-// askOn pings a suspect, directly and through others, for the suspicion timeout. It reports whether the suspicion is over, or the context. If this process
-// was paused meanwhile, it begins again: the time that it slept says nothing about
-// the peer.
-func (s *Service) askOn(ctx context.Context, target domain.Member) bool {
+// awaitRefutation pings a suspect, directly and through relays, for the suspicion
+// timeout. It reports whether the suspicion was lifted or the context has ended.
+// If this process was paused meanwhile, the timeout starts again, as the time of
+// the pause says nothing about the peer.
+func (s *Service) awaitRefutation(ctx context.Context, target domain.Member) bool {
 	for {
 		deadline := time.Now().Add(s.options.SuspicionTimeout)
-		if s.askUntil(ctx, target, deadline) {
+		if s.awaitRefutationUntil(ctx, target, deadline) {
 			return true
 		}
-		if time.Since(deadline) < oversleepFactor*s.options.ProbeTimeout {
+		if time.Since(deadline) < pauseDetectionFactor*s.options.ProbeTimeout {
 			return false
 		}
 	}
 }
 
-// askUntil is askOn up to a deadline.
-func (s *Service) askUntil(ctx context.Context, target domain.Member, deadline time.Time) bool {
-	askCtx, cancel := context.WithDeadline(ctx, deadline)
+// awaitRefutationUntil is awaitRefutation with a fixed deadline.
+func (s *Service) awaitRefutationUntil(ctx context.Context, target domain.Member, deadline time.Time) bool {
+	deadlineCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	for time.Now().Before(deadline) {
 		next := time.Now().Add(s.options.ProbeTimeout)
-		if s.ping(askCtx, target) {
+		if s.ping(deadlineCtx, target) {
 			return true
 		}
-		if s.pingThroughOthers(askCtx, target) || !s.isSuspect(target) {
+		if s.pingIndirectly(deadlineCtx, target) || !s.isSuspect(target) {
 			return true
 		}
 		if !pacing.Sleep(ctx, time.Until(next)) {
@@ -86,69 +88,70 @@
 	return false
 }
 
-// ping pings a peer directly and takes over what it answers.
+// ping pings a peer directly and merges its reply.
 func (s *Service) ping(ctx context.Context, target domain.Member) bool {
-	answer, err := s.sendPing(ctx, target, s.newsFor(target))
+	result, err := s.sendPing(ctx, target, s.payloadFor(target))
 	if err != nil {
 		return false
 	}
-	s.compare(answer.from, answer.Digest)
+	s.compareDigest(result.from, result.Digest)
 	return true
 }
 
-// answer is what a ping brought.
-type answer struct {
-	news
-	// from is the life that answered.
+// pingResult is the payload of a ping's reply and its sender.
+type pingResult struct {
+	gossipPayload
+	// from is the member that answered.
 	from domain.Member
 }
 
-// sendPing pings a peer and takes over what it answers. Any life answers for a
-// target with incarnation zero.
-func (s *Service) sendPing(ctx context.Context, target domain.Member, n news) (answer, error) {
+// sendPing pings a peer and merges its reply. For a target with incarnation zero,
+// any incarnation may answer.
+func (s *Service) sendPing(ctx context.Context, target domain.Member, payload gossipPayload) (pingResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.ProbeTimeout)
 	defer cancel()
-	request := ping{news: n, Introduce: target.Incarnation == 0}
+	request := ping{gossipPayload: payload, Identify: target.Incarnation == 0}
 	reply, err := peer.Call[ping, ack](ctx, s.transport, target, methodPing, request)
 	if err != nil {
 		s.metrics.probeFailures.Inc()
-		return answer{}, err
+		return pingResult{}, err
 	}
 	if reply.Member != nil && reply.Member.Node == target.Node {
 		target = *reply.Member
 	}
 	if target.Incarnation == 0 {
-		return answer{}, errNotIntroduced
+		return pingResult{}, errUnidentified
 	}
-	s.absorb(target, reply.news)
-	return answer{reply.news, target}, nil
+	s.applyPayload(target, reply.gossipPayload)
+	return pingResult{reply.gossipPayload, target}, nil
 }
 
-// errNotIntroduced means that a life did not say which it is.
-var errNotIntroduced = errors.New("membership: peer did not introduce itself")
+// errUnidentified means that a reply did not name the responding member.
+var errUnidentified = errors.New("membership: ping reply does not identify the responding member")
 
-// pingThroughOthers asks relays to ping the peer, and reports whether it answered
-// one of them.
-func (s *Service) pingThroughOthers(ctx context.Context, target domain.Member) bool {
-	// A relay waits for the peer as long as this node did.
+// pingIndirectly asks relays to ping the peer, and reports whether any of them
+// got an answer.
+func (s *Service) pingIndirectly(ctx context.Context, target domain.Member) bool {
+	// A relay waits as long for the peer as this node did.
 	ctx, cancel := context.WithTimeout(ctx, 2*s.options.ProbeTimeout)
 	defer cancel()
-	relays, accusation := s.planRelays(target)
-	answers := make(chan relayReply, len(relays))
+	relays, toRefute := s.chooseRelays(target)
+	replies := make(chan relayReply, len(relays))
 	for _, relay := range relays {
-		s.running.Go(func() { answers <- s.askRelay(ctx, relay, relayRequest{target, accusation}) })
+		s.running.Go(func() { replies <- s.callRelay(ctx, relay, relayRequest{target, toRefute}) })
 	}
 	for range relays {
-		if answer := <-answers; answer.Answered {
-			s.absorb(target, news{Version: answer.Version, Intent: answer.Intent})
+		if result := <-replies; result.Answered {
+			s.applyPayload(target, gossipPayload{Version: result.Version, Intent: result.Intent})
 			return true
 		}
 	}
 	return false
 }
 
-// askRelay returns the relay's answer; without one the peer has not answered.
-func (s *Service) askRelay(ctx context.Context, relay domain.Member, request relayRequest) relayReply {
+// callRelay returns the relay's reply. If the call fails, the peer counts as not
+// having answered.
+func (s *Service) callRelay(ctx context.Context, relay domain.Member, request relayRequest) relayReply {
 	reply, err := peer.Call[relayRequest, relayReply](ctx, s.transport, relay, methodRelay, request)
 	if err != nil {
 		return relayReply{}
@@ -156,19 +159,19 @@
 	return reply
 }
 
-func (s *Service) planRelays(target domain.Member) ([]domain.Member, *record) {
+func (s *Service) chooseRelays(target domain.Member) ([]domain.Member, *record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	relays := s.table.relays(target.Node, s.self.Node, s.options.Relays, s.delegation.up, s.random)
-	return relays, s.accusationOf(target)
+	relays := s.table.randomPeers(target.Node, s.self.Node, s.options.Relays, s.delegation.reachable, s.random)
+	return relays, s.recordToRefute(target)
 }
 
-// dueChecks returns the peers to ping in case they are back.
-func (s *Service) dueChecks(now time.Time) []domain.Member {
+// dueRechecks returns the peers to ping in case they have recovered.
+func (s *Service) dueRechecks(now time.Time) []domain.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.detector.checks(s.table, now, s.random)
+	return s.detector.recheckTargets(s.table, now, s.random)
 }
 
-// check pings a peer that is held to be unreachable.
-func (s *Service) check(ctx context.Context, target domain.Member) { s.ping(ctx, target) }
+// recheck pings a peer that is unreachable in this node's table.
+func (s *Service) recheck(ctx context.Context, target domain.Member) { s.ping(ctx, target) }
--- a/membership/pull.go
+++ b/membership/pull.go
@@ -9,49 +9,53 @@
 )
 
 const (
-	// syncQuiet is how long a table must have been unchanged before a difference
-	// from a peer's is taken for a missed change rather than one on its way.
-	syncQuiet = 3 * time.Second
-	// settleTime is how long after joining a node's table is taken to be complete.
-	settleTime = 10 * time.Second
-	// absentAge is how old an entry must be to be given up because its own data
-	// centre does not know it.
-	absentAge = time.Minute
+	// syncQuietPeriod is how long a table must have been unchanged before a
+	// difference from a peer's table counts as a missed change and not as one in
+	// transit.
+	syncQuietPeriod = 3 * time.Second
+	// settlePeriod is how long after joining a node's table is taken to be
+	// complete.
+	settlePeriod = 10 * time.Second
+	// minAbsentAge is the age from which an entry is marked gone if its own data
+	// centre does not have it.
+	minAbsentAge = time.Minute
 )
 
-// syncState controls the repair of differences between tables of a data centre.
+// syncState schedules the repair of differences between the tables of a data
+// centre.
 type syncState struct {
-	// changed is when this node's table last changed.
-	changed time.Time
+	// lastChange is when this node's table last changed.
+	lastChange time.Time
 	// from is a peer whose table differs, to be pulled from at the next tick.
 	from *domain.Member
-	// last is when a table was last pulled.
-	last time.Time
-	// joinedAt is when this node first got another's table; zero before.
+	// lastPull is when a pull was last scheduled.
+	lastPull time.Time
+	// joinedAt is when the first pull from another node succeeded; zero before.
 	joinedAt time.Time
 }
 
-// settled reports whether this node's table can be taken to be complete. The lock
-// is held.
+// settled reports whether this node's table is taken to be complete. The caller
+// holds the lock.
 func (s *Service) settled(now time.Time) bool {
-	return !s.sync.joinedAt.IsZero() && now.Sub(s.sync.joinedAt) >= settleTime
+	return !s.sync.joinedAt.IsZero() && now.Sub(s.sync.joinedAt) >= settlePeriod
 }
 
-// compare looks whether a peer of the data centre has another table.
-func (s *Service) compare(from domain.Member, digest uint64) {
+// compareDigest schedules a pull from a peer of the data centre whose table
+// differs.
+func (s *Service) compareDigest(from domain.Member, digest uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if from.DataCentre != s.self.DataCentre || digest == s.table.digest() {
 		return
 	}
-	if now.Sub(s.sync.changed) >= syncQuiet && now.Sub(s.sync.last) >= syncQuiet {
-		s.sync.from, s.sync.last = &from, now
+	if now.Sub(s.sync.lastChange) >= syncQuietPeriod && now.Sub(s.sync.lastPull) >= syncQuietPeriod {
+		s.sync.from, s.sync.lastPull = &from, now
 	}
 }
 
-// dueSync returns the peer to pull from now, nil for none.
-func (s *Service) dueSync() *domain.Member {
+// dueSyncSource returns the peer to pull from now, nil for none.
+func (s *Service) dueSyncSource() *domain.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	from := s.sync.from
@@ -59,14 +63,14 @@
 	return from
 }
 
-// pullAll fetches all that a peer knows and this node does not, and reports
+// pullAll fetches all tables in which a peer differs from this node, and reports
 // whether the peer answered.
 func (s *Service) pullAll(ctx context.Context, from domain.Member) bool {
 	s.metrics.syncs.Inc()
 	return s.pull(ctx, from, true, s.hashes(), false)
 }
 
-// pullDataCentre fetches a data centre's table from one of its nodes, if it has
+// pullDataCentre fetches a data centre's table from one of its nodes if it has
 // changed, and passes the changes on.
 func (s *Service) pullDataCentre(ctx context.Context, from domain.Member) bool {
 	s.metrics.exchanges.Inc()
@@ -86,61 +90,62 @@
 	return hashes
 }
 
-func (s *Service) pull(ctx context.Context, from domain.Member, all bool, hashes map[domain.DataCentre]uint64, spread bool) bool {
+func (s *Service) pull(ctx context.Context, from domain.Member, all bool, hashes map[domain.DataCentre]uint64, enqueue bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.options.ExchangeTimeout)
 	defer cancel()
 	s.mu.Lock()
-	own := s.ownNews()
+	local := s.localPayload()
 	s.mu.Unlock()
-	request := pullRequest{Version: own.Version, Intent: own.Intent, Hashes: hashes, All: all}
-	// Any life of the node will do: its table says which it is.
+	request := pullRequest{Version: local.Version, Intent: local.Intent, Hashes: hashes, All: all}
+	// Any incarnation of the node may answer: its table has the current one.
 	from.Incarnation = 0
 	reply, err := peer.Call[pullRequest, pullReply](ctx, s.transport, from, methodPull, request)
 	if err != nil {
 		return false
 	}
-	s.applyPull(reply, spread)
+	s.applyPull(reply, enqueue)
 	return true
 }
 
-// applyPull takes over tables.
-func (s *Service) applyPull(reply pullReply, spread bool) {
+// applyPull merges the tables of a reply.
+func (s *Service) applyPull(reply pullReply, enqueue bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := false
-	for _, each := range reply.Tables {
-		for _, r := range each.Records {
-			changed = s.learn(r, spread) || changed
+	for _, received := range reply.Tables {
+		for _, r := range received.Records {
+			changed = s.mergeRecord(r, enqueue) || changed
 		}
 		if reply.Settled {
-			changed = s.giveUpAbsent(each, spread) || changed
+			changed = s.markAbsentGone(received, enqueue) || changed
 		}
 	}
-	for _, c := range reply.Contacts {
-		changed = s.learnContact(c, spread) || changed
+	for _, c := range reply.Reachability {
+		changed = s.mergeReachability(c, enqueue) || changed
 	}
 	if changed {
 		s.publish()
 	}
 }
 
-// giveUpAbsent ends lives that a settled node no longer knows: it has forgotten
-// them after they were gone. A life of the own data centre that answers is kept. It
-// reports whether there were any. The lock is held.
-func (s *Service) giveUpAbsent(theirs dataCentreTable, spread bool) bool {
-	present := make(map[domain.NodeID]bool, len(theirs.Records))
-	for _, r := range theirs.Records {
+// markAbsentGone marks members as gone that a settled node of their data centre
+// no longer has, because it removed them after they were gone. A member of the
+// local data centre that answers is kept. It reports whether the table has
+// changed. The caller holds the lock.
+func (s *Service) markAbsentGone(received dataCentreTable, enqueue bool) bool {
+	present := make(map[domain.NodeID]bool, len(received.Records))
+	for _, r := range received.Records {
 		present[r.Node] = true
 	}
-	oldest := time.Now().Add(-absentAge)
+	oldest := time.Now().Add(-minAbsentAge)
 	changed := false
-	for _, r := range s.table.records(theirs.DataCentre) {
-		answers := r.DataCentre == s.self.DataCentre && r.Health < healthUnreachable
-		if present[r.Node] || answers || r.gone() || s.table.entries[r.Node].since.After(oldest) {
+	for _, r := range s.table.recordsOf(received.DataCentre) {
+		responsive := r.DataCentre == s.self.DataCentre && r.Health < healthUnreachable
+		if present[r.Node] || responsive || r.gone() || s.table.entries[r.Node].since.After(oldest) {
 			continue
 		}
 		r.Health = healthGone
-		changed = s.learn(r, spread) || changed
+		changed = s.mergeRecord(r, enqueue) || changed
 	}
 	return changed
 }
--- a/membership/push.go
+++ b/membership/push.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// pushDelay is how long changes are gathered before they are pushed.
+	// pushDelay is how long changes are collected before a push.
 	pushDelay = 20 * time.Millisecond
-	// pushFanout is how many peers get a push. What it misses goes with pings.
+	// pushFanout is the number of peers that receive a push. Changes that a push
+	// misses are piggybacked on pings.
 	pushFanout = 3
 )
 
-// pushLoop hands fresh changes to a few random peers of the data centre, which do
-// the same: a change is everywhere after a few hops.
+// pushLoop sends new changes to a few random peers of the data centre, which do
+// the same, so that a change reaches all nodes within a few hops.
 func (s *Service) pushLoop(ctx context.Context) {
 	for {
 		select {
-		case <-s.fresh:
+		case <-s.pushPending:
 		case <-ctx.Done():
 			return
 		}
@@ -33,8 +34,8 @@
 	}
 }
 
-// pushOnce sends one message to each of a few peers. It returns false when there
-// is nothing fresh.
+// pushOnce sends one message to each of a few peers. It returns false if there is
+// nothing new to send.
 func (s *Service) pushOnce(ctx context.Context) bool {
 	request, targets := s.nextPush()
 	for _, to := range targets {
@@ -50,11 +51,11 @@
 func (s *Service) nextPush() (pushRequest, []domain.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broadcasts.fresh == 0 {
+	if s.broadcasts.unsent == 0 {
 		return pushRequest{}, nil
 	}
-	targets := s.table.relays("", s.self.Node, pushFanout, nil, s.random)
-	n := s.ownNews()
-	n.Records, n.Contacts = s.broadcasts.take(pushLimit, s.delegation.nodes)
-	return pushRequest{n}, targets
+	targets := s.table.randomPeers("", s.self.Node, pushFanout, nil, s.random)
+	payload := s.localPayload()
+	payload.Records, payload.Reachability = s.broadcasts.take(pushLimit, s.delegation.nodeCount)
+	return pushRequest{payload}, targets
 }
--- a/membership/query.go
+++ b/membership/query.go
@@ -6,7 +6,7 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Peer returns what is known of a node's latest life.
+// Peer returns the latest known incarnation of a node and its status.
 func (s *Snapshot) Peer(node domain.NodeID) (Peer, bool) {
 	at, found := slices.BinarySearchFunc(s.Peers, node, func(p Peer, node domain.NodeID) int {
 		if p.Node < node {
@@ -23,21 +23,22 @@
 	return s.Peers[at], true
 }
 
-// StatusOf returns what is believed of a life; a life that a later one of its node
-// has replaced is gone. The second result is false if nothing is known.
-func (s *Snapshot) StatusOf(life domain.Member) (Status, bool) {
-	p, ok := s.Peer(life.Node)
-	if !ok || p.Incarnation < life.Incarnation {
+// StatusOf returns the status of a member. A member that a later incarnation of
+// its node has replaced is gone. The second result is false if the member is not
+// known.
+func (s *Snapshot) StatusOf(member domain.Member) (Status, bool) {
+	p, ok := s.Peer(member.Node)
+	if !ok || p.Incarnation < member.Incarnation {
 		return 0, false
 	}
-	if p.Incarnation > life.Incarnation {
+	if p.Incarnation > member.Incarnation {
 		return StatusGone, true
 	}
 	return p.Status, true
 }
 
-// SelfStatus returns the node's own status: leaving once it or the host list has
-// said so, gone when a later life of it has been seen.
+// SelfStatus returns the node's own status: leaving once the node or the host
+// list has announced it, gone once a later incarnation has been seen.
 func (s *Snapshot) SelfStatus() Status {
 	status, _ := s.StatusOf(s.Self)
 	return status
--- a/membership/record.go
+++ b/membership/record.go
@@ -8,37 +8,38 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// intent is what a life says of itself. Only the life itself changes it, and each
-// change raises the record's version.
+// intent is the state that a member announces for itself. Only the member changes
+// it, and each change raises the record's version.
 type intent uint8
 
 const (
-	// intentServing lives take work.
+	// intentServing members accept work.
 	intentServing intent = iota
-	// intentListedLeaving lives were told by the host list that they leave.
+	// intentListedLeaving members are leaving according to the host list.
 	intentListedLeaving
-	// intentLeaving lives have said that they leave.
+	// intentLeaving members have announced that they are leaving.
 	intentLeaving
-	// intentFarewell lives have ended.
-	intentFarewell
+	// intentStopped members have ended.
+	intentStopped
 )
 
-// health is what others say of a life. Within a version it only gets worse; the
-// life itself refutes by raising the version.
+// health is what other nodes report of a member. Within a version it only gets
+// worse; the member refutes a report by raising the version.
 type health uint8
 
 const (
 	healthOK health = iota
-	// healthSuspect lives did not answer; it is not yet held against them.
+	// healthSuspect members did not answer a probe. Their status is not affected
+	// yet.
 	healthSuspect
-	// healthUnreachable lives did not answer in time.
+	// healthUnreachable members did not answer within the suspicion timeout.
 	healthUnreachable
-	// healthGone lives are unreachable and off the host list.
+	// healthGone members are unreachable and absent from the host list.
 	healthGone
 )
 
-// record is what nodes tell each other of a life. A record with incarnation zero
-// is of a host that is listed and has never answered.
+// record is the state of a member as nodes exchange it. Incarnation zero stands
+// for a host that is listed and has never answered.
 type record struct {
 	Node        domain.NodeID      `cbor:"1,keyasint"`
 	Incarnation domain.Incarnation `cbor:"2,keyasint,omitempty"`
@@ -49,7 +50,7 @@
 	Health      health             `cbor:"7,keyasint,omitempty"`
 }
 
-// newRecord returns a healthy record of a life.
+// newRecord returns a record with healthOK.
 func newRecord(m domain.Member, version uint64, in intent) record {
 	return record{
 		Node:        m.Node,
@@ -61,22 +62,22 @@
 	}
 }
 
-// member returns the life that the record is of.
 func (r record) member() domain.Member {
 	return domain.Member{Node: r.Node, Incarnation: r.Incarnation, DataCentre: r.DataCentre, Address: r.Address}
 }
 
-// gone reports whether the life has ended, by its own word or the list's.
-func (r record) gone() bool { return r.Intent == intentFarewell || r.Health == healthGone }
+// gone reports whether the incarnation has ended, by its own announcement or
+// according to the host list.
+func (r record) gone() bool { return r.Intent == intentStopped || r.Health == healthGone }
 
-// sameVersion reports whether both are statements about the same version of the
-// same life.
+// sameVersion reports whether both records are of the same incarnation and
+// version.
 func (r record) sameVersion(o record) bool {
 	return r.Node == o.Node && r.Incarnation == o.Incarnation && r.Version == o.Version
 }
 
-// supersedes reports whether r is later knowledge than o: a later life, else a
-// later version of the life, else worse health.
+// supersedes reports whether r replaces o: a later incarnation, else a later
+// version, else worse health.
 func (r record) supersedes(o record) bool {
 	if r.Incarnation != o.Incarnation {
 		return r.Incarnation > o.Incarnation
@@ -87,8 +88,7 @@
 	return r.Health > o.Health
 }
 
-// status returns what the record means to the users of a snapshot. A suspect
-// counts as it did before.
+// status returns the status shown in snapshots. Suspicion does not change it.
 func (r record) status() Status {
 	switch {
 	case r.gone():
@@ -102,9 +102,9 @@
 	}
 }
 
-// hash sums up the record for comparing tables. Lives that are gone do not count,
-// so that they can be forgotten at different times, nor does suspicion, which
-// passes by itself.
+// hash returns the record's part in the table hash. Members that are gone are
+// left out, because nodes remove them at different times, and so is suspicion,
+// which is temporary.
 func (r record) hash() uint64 {
 	if r.gone() {
 		return 0
--- a/membership/service.go
+++ b/membership/service.go
@@ -14,19 +14,19 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Service finds out who is alive, leaving or cut off, and tells the other nodes.
-// See docs/design/membership.md.
+// Service determines which nodes are alive, leaving or unreachable, and
+// disseminates this to the other nodes. See docs/design/membership.md.
 type Service struct {
 	options   Options
 	self      domain.Member
 	transport peer.Transport
 	metrics   *serviceMetrics
 	current   atomic.Pointer[Snapshot]
-	// changed has a value when subscribers are to be told.
-	changed chan struct{}
-	// fresh has a value when there are changes to push.
-	fresh   chan struct{}
-	running sync.WaitGroup
+	// snapshotChanged has a value when subscribers are to be notified.
+	snapshotChanged chan struct{}
+	// pushPending has a value when there are changes to push.
+	pushPending chan struct{}
+	running     sync.WaitGroup
 
 	mu         sync.Mutex
 	random     *rand.Rand
@@ -34,43 +34,43 @@
 	broadcasts broadcasts
 	delegation delegation
 	detector   detector
-	listing    listing
+	hostList   hostListState
 	sync       syncState
-	own        ownState
-	exchanges  exchanges
-	// expired is when lives that are gone were last looked for.
-	expired     time.Time
+	local      localState
+	exchanges  exchangeState
+	// lastExpiry is when members that are gone were last removed.
+	lastExpiry  time.Time
 	subscribers map[int]func(*Snapshot)
 	lastID      int
 }
 
 var _ View = (*Service)(nil)
 
-// New returns a service and registers its handlers with the transport. Its
-// snapshot holds the node itself and, as unreachable, the seeds, until Run has
-// reached them.
+// New returns a service and registers its handlers with the transport. Until Run
+// has reached other nodes, its snapshot holds the node itself and, as
+// unreachable, the seeds.
 func New(options Options) *Service {
 	options = options.withDefaults()
 	s := &Service{
-		options:     options,
-		self:        options.Transport.Self(),
-		transport:   options.Transport,
-		changed:     make(chan struct{}, 1),
-		fresh:       make(chan struct{}, 1),
-		random:      newRandom(options.RandomSeed),
-		exchanges:   exchanges{running: make(map[domain.DataCentre]bool)},
-		subscribers: make(map[int]func(*Snapshot)),
+		options:         options,
+		self:            options.Transport.Self(),
+		transport:       options.Transport,
+		snapshotChanged: make(chan struct{}, 1),
+		pushPending:     make(chan struct{}, 1),
+		random:          newRandom(options.RandomSeed),
+		exchanges:       exchangeState{running: make(map[domain.DataCentre]bool)},
+		subscribers:     make(map[int]func(*Snapshot)),
 	}
 	s.detector.probing = make(map[domain.NodeID]bool)
-	s.table = firstTable(s.self, options.Seeds, time.Now())
+	s.table = newInitialTable(s.self, options.Seeds, time.Now())
 	s.publish()
 	s.metrics = newServiceMetrics(options.Metrics, s)
 	s.handle()
 	return s
 }
 
-// firstTable holds what a node knows at its start: itself and the seeds.
-func firstTable(self domain.Member, seeds []hostlist.Host, now time.Time) *table {
+// newInitialTable returns a table with the node itself and the seeds.
+func newInitialTable(self domain.Member, seeds []hostlist.Host, now time.Time) *table {
 	t := newTable(self.DataCentre)
 	t.insert(newRecord(self, 0, intentServing), now)
 	for _, seed := range seeds {
@@ -91,9 +91,9 @@
 // Current returns the latest snapshot without locking.
 func (s *Service) Current() *Snapshot { return s.current.Load() }
 
-// Subscribe calls f with the latest snapshot after it has changed, one call at a
-// time, while Run runs; intermediate snapshots may be left out. The returned
-// function ends the subscription.
+// Subscribe registers f to be called with the latest snapshot after each change
+// while Run runs. Calls are sequential, and intermediate snapshots may be
+// skipped. The returned function ends the subscription.
 func (s *Service) Subscribe(f func(*Snapshot)) (cancel func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,19 +107,19 @@
 	}
 }
 
-// publish derives the delegation and the snapshot from the table. The lock is
-// held, or the service is not yet shared.
+// publish derives the delegation and the snapshot from the table. The caller
+// holds the lock, or the service is not shared yet.
 func (s *Service) publish() {
-	s.delegation = s.table.delegate(s.options.Delegates, s.delegation.up)
-	peers := s.table.peers(s.delegation.up)
+	s.delegation = s.table.deriveDelegation(s.options.Delegates, s.delegation.reachable)
+	peers := s.table.peers(s.delegation.reachable)
 	if last := s.current.Load(); last != nil && slices.Equal(last.Peers, peers) {
 		return
 	}
 	s.current.Store(&Snapshot{Self: s.self, Peers: peers})
-	signal(s.changed)
+	signal(s.snapshotChanged)
 }
 
-// signal leaves a value in a channel of capacity one.
+// signal sends to a channel of capacity one without blocking.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -127,7 +127,8 @@
 	}
 }
 
-// Run takes part in the membership until the context ends, and returns its error.
+// Run participates in the membership until the context ends, and returns its
+// error.
 func (s *Service) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer s.running.Wait()
@@ -135,13 +136,13 @@
 	s.running.Go(func() { s.notifyLoop(ctx) })
 	s.running.Go(func() { s.pushLoop(ctx) })
 	s.running.Go(func() { s.joinLoop(ctx) })
-	s.running.Go(func() { s.listLoop(ctx) })
+	s.running.Go(func() { s.hostListLoop(ctx) })
 	s.tickLoop(ctx)
 	return ctx.Err()
 }
 
-// tickLoop does the periodic work. The first tick comes at a random moment, so
-// that nodes started together do not act together.
+// tickLoop runs the periodic work. The first tick is delayed at random, so that
+// nodes started together do not act in step.
 func (s *Service) tickLoop(ctx context.Context) {
 	if !pacing.Sleep(ctx, s.jitter(s.options.ProbeInterval)) {
 		return
@@ -158,28 +159,28 @@
 	}
 }
 
-// tick starts what is due.
+// tick starts the work that is due.
 func (s *Service) tick(ctx context.Context, now time.Time) {
 	for _, target := range s.dueProbes(now) {
 		s.running.Go(func() { s.probe(ctx, target) })
 	}
-	for _, target := range s.dueChecks(now) {
-		s.running.Go(func() { s.check(ctx, target) })
+	for _, target := range s.dueRechecks(now) {
+		s.running.Go(func() { s.recheck(ctx, target) })
 	}
 	for _, dc := range s.dueExchanges(now) {
 		s.running.Go(func() { s.exchange(ctx, dc) })
 	}
-	if from := s.dueSync(); from != nil {
+	if from := s.dueSyncSource(); from != nil {
 		s.running.Go(func() { s.pullAll(ctx, *from) })
 	}
 	s.expire(now)
 }
 
-// notifyLoop tells the subscribers of changes.
+// notifyLoop notifies the subscribers of changes.
 func (s *Service) notifyLoop(ctx context.Context) {
 	for {
 		select {
-		case <-s.changed:
+		case <-s.snapshotChanged:
 			s.notify()
 		case <-ctx.Done():
 			return
@@ -199,7 +200,7 @@
 	}
 }
 
-// jitter returns a random part of d.
+// jitter returns a random duration below d.
 func (s *Service) jitter(d time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/membership/snapshot.go
+++ b/membership/snapshot.go
@@ -1,38 +1,42 @@
-// Package membership tells which nodes are alive, leaving or cut off, from the
-// platform's lagging host list and from the peers' own word.
+// Package membership determines which nodes are alive, leaving or unreachable,
+// from the platform's host list, which lags, and from what the nodes report.
 package membership
 
 import "hawthornrill.example/hawthornrill/domain"
 
-// Status is what this node believes of a peer.
+// Status is the state of a peer as this node sees it.
 type Status uint8
 
 const (
 	// StatusAlive peers answer.
 	StatusAlive Status = iota
-	// StatusLeaving peers answer and finish what they have, but take nothing new.
+	// StatusLeaving peers answer and finish their current work, but accept no new
+	// work.
 	StatusLeaving
-	// StatusUnreachable peers do not answer; they may be dead, paused or cut off.
+	// StatusUnreachable peers do not answer; they may be stopped, paused or
+	// partitioned.
 	StatusUnreachable
-	// StatusGone peers have said farewell or are off the host list; the life ended.
+	// StatusGone peers have ended: they have announced it, or are unreachable and
+	// absent from the host list.
 	StatusGone
 )
 
-// Peer is a member with what this node believes of it.
+// Peer is a member and its status.
 type Peer struct {
 	domain.Member
 	Status Status `json:"status"`
 }
 
 // Snapshot is an immutable view. Peers are sorted by node and include the node
-// itself; of each node there is the latest life that is known. A host that is
-// listed and has never answered has incarnation zero.
+// itself, each with its latest known incarnation. Incarnation zero stands for a
+// host that is listed and has never answered.
 type Snapshot struct {
 	Self  domain.Member `json:"self"`
 	Peers []Peer        `json:"peers"`
 }
 
-// View gives the current snapshot without locking. The snapshot must not be changed.
+// View returns the current snapshot without locking. The snapshot must not be
+// modified.
 type View interface {
 	Current() *Snapshot
 }
--- a/membership/state.go
+++ b/membership/state.go
@@ -10,11 +10,12 @@
 // PeerState describes a peer in the state dump.
 type PeerState struct {
 	Peer
-	// Version counts what the life has said of itself, Suspect is true while others
-	// wait for its answer.
+	// Version counts the changes that the member has announced of itself. Suspect
+	// is true while a refutation is awaited.
 	Version uint64 `json:"version"`
 	Suspect bool   `json:"suspect,omitempty"`
-	// SinceMillis is how long it has been as it is, as this node knows.
+	// SinceMillis is the time since this node last saw a change of the
+	// incarnation, intent or health.
 	SinceMillis int64 `json:"since_ms"`
 }
 
@@ -22,7 +23,7 @@
 type DataCentreState struct {
 	DataCentre domain.DataCentre `json:"data_centre"`
 	Reached    bool              `json:"reached"`
-	// Delegates are the nodes that contact it.
+	// Delegates are the nodes that exchange state with it.
 	Delegates []domain.NodeID `json:"delegates"`
 }
 
@@ -37,21 +38,21 @@
 	Peers       []PeerState       `json:"peers"`
 }
 
-// State returns what the service knows.
+// State returns the service's part of the state dump.
 func (s *Service) State() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := State{
 		Self:        s.self,
 		Joined:      !s.sync.joinedAt.IsZero(),
-		Replaced:    s.own.replaced,
+		Replaced:    s.local.replaced,
 		DataCentres: []DataCentreState{},
-		ListReaders: slices.Clone(s.delegation.list),
+		ListReaders: slices.Clone(s.delegation.hostListReaders),
 		Pending:     len(s.broadcasts.pending),
 	}
 	for _, dc := range s.table.dataCentres() {
 		if dc != s.self.DataCentre {
-			state.DataCentres = append(state.DataCentres, DataCentreState{dc, s.delegation.up[dc], s.delegation.contacts[dc]})
+			state.DataCentres = append(state.DataCentres, DataCentreState{dc, s.delegation.reachable[dc], s.delegation.delegates[dc]})
 		}
 	}
 	for _, p := range s.Current().Peers {
--- a/membership/status.go
+++ b/membership/status.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// statusNames are the printed forms, by status.
+// statusNames are the text forms, indexed by status.
 var statusNames = [...]string{"alive", "leaving", "unreachable", "gone"}
 
-// String returns the status in a word.
+// String returns the status as text.
 func (s Status) String() string {
 	if int(s) >= len(statusNames) {
 		return fmt.Sprintf("status(%d)", uint8(s))
@@ -13,10 +13,10 @@
 	return statusNames[s]
 }
 
-// MarshalText writes the status as a word.
+// MarshalText implements encoding.TextMarshaler.
 func (s Status) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads the word.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (s *Status) UnmarshalText(text []byte) error {
 	for i, name := range statusNames {
 		if name == string(text) {
--- a/membership/verdict.go
+++ b/membership/suspicion.go
@@ -6,9 +6,9 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// suspect accuses a peer that did not answer. It returns the version accused, and
-// false if the peer is known to be elsewhere by now: another life, gone, or
-// unreachable already.
+// suspect marks a peer that did not answer as suspect and returns the version
+// that is suspected. It returns false if the record no longer applies: the peer
+// has another incarnation, is gone or is unreachable already.
 func (s *Service) suspect(target domain.Member) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -17,11 +17,10 @@
 		return 0, false
 	}
 	s.metrics.suspicions.Inc()
-	s.accuse(e.record, healthSuspect)
+	s.worsenHealth(e.record, healthSuspect)
 	return e.Version, true
 }
 
-// isSuspect reports whether the peer still is a suspect.
 func (s *Service) isSuspect(target domain.Member) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,36 +36,38 @@
 	if e == nil || e.Incarnation != target.Incarnation || e.Version != version || e.Health != healthSuspect {
 		return
 	}
-	s.accuse(e.record, healthUnreachable)
+	s.worsenHealth(e.record, healthUnreachable)
 }
 
-// accuse takes a worse health over and passes it on. The lock is held.
-func (s *Service) accuse(r record, to health) {
+// worsenHealth merges a record with worse health and queues it for dissemination.
+// The caller holds the lock.
+func (s *Service) worsenHealth(r record, to health) {
 	r.Health = to
 	if !s.table.merge(r, time.Now()) {
 		return
 	}
-	s.sync.changed = time.Now()
+	s.sync.lastChange = time.Now()
 	if to >= healthUnreachable {
-		s.metrics.declared.Inc()
-		s.options.Logger.Info().Str("peer", r.member().String()).Str("status", r.status().String()).Msg("peer lost")
+		s.metrics.declaredUnreachable.Inc()
+		s.options.Logger.Info().Str("peer", r.member().String()).Str("status", r.status().String()).Msg("peer is unreachable")
 	}
-	s.spread(r)
+	s.enqueueBroadcast(r)
 	s.publish()
 }
 
-// expireInterval is how often lives that have been gone for long are looked for.
+// expireInterval is the interval at which expired records of members that are
+// gone are removed.
 const expireInterval = 10 * time.Second
 
-// expire forgets lives that have been gone for long.
+// expire removes members that have been gone for longer than the retention.
 func (s *Service) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.expired) < expireInterval {
+	if now.Sub(s.lastExpiry) < expireInterval {
 		return
 	}
-	s.expired = now
-	if s.table.forgetGone(now.Add(-s.options.GoneRetention)) {
+	s.lastExpiry = now
+	if s.table.removeGone(now.Add(-s.options.GoneRetention)) {
 		s.publish()
 	}
 }
--- a/membership/table.go
+++ b/membership/table.go
@@ -9,41 +9,41 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// entry is a record with when this node last changed its mind about it.
+// entry is a record and the time of its last change at this node.
 type entry struct {
 	record
-	// since is when the life, its intent or its health last changed here.
+	// since is when the incarnation, intent or health last changed at this node.
 	since time.Time
 }
 
-// table is all that a node knows of the others. It has no lock and no clock.
+// table holds a node's knowledge of the cluster. It has no lock and no clock.
 type table struct {
-	home domain.DataCentre
-	// entries by node, and the nodes in order.
+	localDC domain.DataCentre
+	// entries by node, and the nodes in sorted order.
 	entries map[domain.NodeID]*entry
 	order   []domain.NodeID
-	// hashes sum up the records of each data centre.
-	hashes      map[domain.DataCentre]uint64
-	contacts    map[contactKey]contact
-	contactHash uint64
+	// hashes combine the record hashes of each data centre.
+	hashes           map[domain.DataCentre]uint64
+	reachability     map[reachabilityKey]reachability
+	reachabilityHash uint64
 }
 
 func newTable(home domain.DataCentre) *table {
 	return &table{
-		home:     home,
-		entries:  make(map[domain.NodeID]*entry),
-		hashes:   make(map[domain.DataCentre]uint64),
-		contacts: make(map[contactKey]contact),
+		localDC:      home,
+		entries:      make(map[domain.NodeID]*entry),
+		hashes:       make(map[domain.DataCentre]uint64),
+		reachability: make(map[reachabilityKey]reachability),
 	}
 }
 
-// merge takes a record over if it is later than what is known, and reports
-// whether it was. A life that is gone is not news if its node is unknown.
+// merge takes a record over if it supersedes the known one, and reports whether
+// it did. A record that is gone is ignored if its node is unknown.
 func (t *table) merge(r record, now time.Time) bool {
 	if r.Node == "" || r.DataCentre == "" {
 		return false
 	}
-	if r.DataCentre != t.home && r.Health == healthSuspect {
+	if r.DataCentre != t.localDC && r.Health == healthSuspect {
 		r.Health = healthOK
 	}
 	known := t.entries[r.Node]
@@ -75,47 +75,48 @@
 		known.since = now
 	}
 	if known.Incarnation != r.Incarnation {
-		t.dropContacts(r.Node)
+		t.dropReachability(r.Node)
 	}
 	known.record = r
 }
 
-// mergeContact takes a contact over if it is later than what is known.
-func (t *table) mergeContact(c contact) bool {
-	from := t.entries[c.Node]
-	if from == nil || from.Incarnation != c.Incarnation || from.gone() {
+// mergeReachability takes a report over if it supersedes the known one, and
+// reports whether it did.
+func (t *table) mergeReachability(report reachability) bool {
+	from := t.entries[report.Node]
+	if from == nil || from.Incarnation != report.Incarnation || from.gone() {
 		return false
 	}
-	known, ok := t.contacts[c.key()]
-	if ok && !c.supersedes(known) {
+	known, ok := t.reachability[report.key()]
+	if ok && !report.supersedes(known) {
 		return false
 	}
 	if ok {
-		t.contactHash ^= known.hash()
+		t.reachabilityHash ^= known.hash()
 	}
-	t.contacts[c.key()] = c
-	t.contactHash ^= c.hash()
+	t.reachability[report.key()] = report
+	t.reachabilityHash ^= report.hash()
 	return true
 }
 
-// dropContacts forgets what a life that has ended said.
-func (t *table) dropContacts(node domain.NodeID) {
-	for key, c := range t.contacts {
+// dropReachability removes the reports of a node whose incarnation has ended.
+func (t *table) dropReachability(node domain.NodeID) {
+	for key, report := range t.reachability {
 		if key.node == node {
-			t.contactHash ^= c.hash()
-			delete(t.contacts, key)
+			t.reachabilityHash ^= report.hash()
+			delete(t.reachability, key)
 		}
 	}
 }
 
-// forgetGone drops lives that have been gone since before the given time.
-func (t *table) forgetGone(before time.Time) bool {
+// removeGone removes members that have been gone since the given time or longer.
+func (t *table) removeGone(before time.Time) bool {
 	forgot := false
 	for node, e := range t.entries {
 		if !e.gone() || e.since.After(before) {
 			continue
 		}
-		t.dropContacts(node)
+		t.dropReachability(node)
 		delete(t.entries, node)
 		at, _ := slices.BinarySearch(t.order, node)
 		t.order = slices.Delete(t.order, at, at+1)
@@ -124,9 +125,9 @@
 	return forgot
 }
 
-// digest sums up the whole table.
+// digest returns a hash of the whole table.
 func (t *table) digest() uint64 {
-	sum := t.contactHash
+	sum := t.reachabilityHash
 	for dc, hash := range t.hashes {
 		if hash != 0 {
 			sum ^= hash + xxhash.Sum64String(string(dc))
@@ -151,8 +152,8 @@
 	return list
 }
 
-// records returns the records of a data centre, sorted by node.
-func (t *table) records(dc domain.DataCentre) []record {
+// recordsOf returns the records of a data centre, sorted by node.
+func (t *table) recordsOf(dc domain.DataCentre) []record {
 	var records []record
 	for _, node := range t.order {
 		if e := t.entries[node]; e.DataCentre == dc {
--- a/node/members.go
+++ b/node/members.go
@@ -13,6 +13,6 @@
 	Run(ctx context.Context) error
 	// Leave tells the peers that this node takes nothing new.
 	Leave(ctx context.Context) error
-	// Farewell tells the peers that this life has ended.
+	// AnnounceStopped tells the peers that this life has ended.
 	AnnounceStopped(ctx context.Context) error
 }
