--- a/load/virtual/members.go
+++ b/load/virtual/members.go
@@ -18,8 +18,8 @@
 // Leave implements node.Members.
 func (m *members) Leave(context.Context) error { return nil }
 
-// Farewell implements node.Members.
-func (m *members) Farewell(context.Context) error { return nil }
+// AnnounceStopped implements node.Members.
+func (m *members) AnnounceStopped(context.Context) error { return nil }
 
 func peersOf(all []domain.Member) []membership.Peer {
 	var peers []membership.Peer
--- a/places/allocator.go
+++ b/places/allocator.go
@@ -6,7 +6,7 @@
 // count; otherwise it waits in tier order, or is refused at once if it is predicted to start too late. Package routing
 // chooses the endpoint, package queue orders the waiting requests.
 //
-// Guarantees under failure: a peer whose reports stop no longer counts after gossip.FreshFor. Two nodes that do not
+// Guarantees under failure: a peer whose reports stop no longer counts after gossip.MinReportValidity. Two nodes that do not
 // receive each other's reports may together exceed an endpoint's slots by at most the number of its slots; the endpoint
 // then queues. A node can always use an equal share of the slots, whatever its peers report.
 package places
--- a/places/allocator_test.go
+++ b/places/allocator_test.go
@@ -219,7 +219,7 @@
 		got := f.acquireAsync(testRequest())
 		assert.Equal(t, f.Waiting(), 1)
 		// A peer whose reports stop no longer counts.
-		time.Sleep(gossip.FreshFor + time.Second)
+		time.Sleep(gossip.MinReportValidity + time.Second)
 		assert.Equal(t, len(got), 0, "the queue is not served without Run")
 		f.serveQueues()
 		assert.NilError(t, <-got)
--- a/places/peers.go
+++ b/places/peers.go
@@ -31,7 +31,7 @@
 	defer a.mu.Unlock()
 	for service, p := range a.pools {
 		if millis := p.demand.placeMillis(now); millis > 0 {
-			report.Asked = append(report.Asked, gossip.Asked{Service: service, PlaceMillis: millis})
+			report.Asked = append(report.Asked, gossip.ServiceDemand{Service: service, PlaceMillis: millis})
 		}
 		for id, ep := range p.endpoints {
 			if ep.reportsFailure(now) {
@@ -60,7 +60,7 @@
 	a.syncDirectory()
 	a.expirePeers(now)
 	next := &peerReport{
-		receivedAt: now, freshFor: report.FreshFor(),
+		receivedAt: now, freshFor: report.Validity(),
 		loads: make(map[domain.EndpointID]load, len(report.Loads)), demandMillis: make(map[string]int, len(report.Asked)),
 	}
 	for _, asked := range report.Asked {
--- a/places/share_test.go
+++ b/places/share_test.go
@@ -22,7 +22,7 @@
 			Loads: []gossip.Load{
 				{Endpoint: "e0", Requests: testSlots}, {Endpoint: "e1", Requests: testSlots}, {Endpoint: "e2", Requests: testSlots},
 			},
-			Asked: []gossip.Asked{{Service: "s", PlaceMillis: other}},
+			Asked: []gossip.ServiceDemand{{Service: "s", PlaceMillis: other}},
 		})
 		f.mu.Lock()
 		f.pool("s").demand.addTraffic(time.Now(), 0, own, own, time.Second)
--- a/tokenlimit/limiter.go
+++ b/tokenlimit/limiter.go
@@ -164,7 +164,7 @@
 		}
 		// Whole numbers take three to five bytes each instead of nine. The values that a restarted node adopts are rounded
 		// to the safe side; the total can't drift, since the receiver uses its difference from the last one reported.
-		report.Spent = append(report.Spent, gossip.Spent{
+		report.Spent = append(report.Spent, gossip.LimitUsage{
 			Organisation: id, Total: math.Round(a.totalAdmitted), Used: math.Ceil(used), Level: math.Floor(a.available),
 		})
 	}
@@ -183,7 +183,7 @@
 		l.peers[report.From] = p
 	}
 	p.reportedAt = now
-	reported := make(map[domain.OrganisationID]gossip.Spent, len(report.Spent))
+	reported := make(map[domain.OrganisationID]gossip.LimitUsage, len(report.Spent))
 	for _, s := range report.Spent {
 		reported[s.Organisation] = s
 		more := s.Total - p.admitted[s.Organisation]
@@ -203,7 +203,7 @@
 
 // adopt replaces the use assumed at the start of this process by the use that a peer reports. If the node has been alone for a
 // window, nothing is assumed any more: it was partitioned from the peer, whose use comes on top of its own.
-func (l *Limiter) adopt(now boottime.Instant, reported map[domain.OrganisationID]gossip.Spent) {
+func (l *Limiter) adopt(now boottime.Instant, reported map[domain.OrganisationID]gossip.LimitUsage) {
 	alone := now.Sub(l.started) >= l.config.Window
 	for id, a := range l.accounts {
 		if a.adopted {
