--- a/config/agreed/bench_test.go
+++ b/config/agreed/bench_test.go
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
 	for _, p := range view.Peers {
-		options := document.Options{Transport: f.network.Node(p.Member), Members: membership.NewStaticView(view), Store: f.store.NewClient(), Supervision: 10 * time.Millisecond}
+		options := document.Options{Transport: f.network.Node(p.Member), Members: membership.NewStaticView(view), Store: f.store.NewClient(), SupervisionInterval: 10 * time.Millisecond}
 		each(&options)
 		documents, err := document.New(options)
 		assert.NilError(b, err)
@@ -92,7 +92,7 @@
 // store. A first edit brings the whole table to every node, which is what each
 // change would cost without parts.
 func measureChange(b *testing.B, nodes, organisations int) {
-	f := newBenchFleet(b, nodes, func(o *document.Options) { o.AntiEntropy = time.Hour })
+	f := newBenchFleet(b, nodes, func(o *document.Options) { o.AntiEntropyInterval = time.Hour })
 	defer f.stop()
 	table := designTable(organisations)
 	time.Sleep(2 * time.Second) // The watchers have begun.
@@ -142,7 +142,7 @@
 func BenchmarkSlopeRest(b *testing.B) {
 	for _, nodes := range []int{7, 48, 200} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			f := newBenchFleet(b, nodes, func(o *document.Options) { o.AntiEntropy = 5 * time.Second / restCompress })
+			f := newBenchFleet(b, nodes, func(o *document.Options) { o.AntiEntropyInterval = 5 * time.Second / restCompress })
 			defer f.stop()
 			time.Sleep(100 * time.Millisecond)
 			f.edit(b, config.Table{}, designTable(29))
--- a/config/agreed/service.go
+++ b/config/agreed/service.go
@@ -126,7 +126,7 @@
 // Settle tells what became of an edit whose outcome was unknown; see
 // document.Service.Settle.
 func (s *Service) Settle(ctx context.Context, id document.EditID, base uint64) (document.Version, error) {
-	return s.documents.Settle(ctx, DocumentName, id, base)
+	return s.documents.ResolveEdit(ctx, DocumentName, id, base)
 }
 
 // History returns the versions that can still be read, the current one first.
--- a/document/condition.go
+++ b/document/condition.go
@@ -9,7 +9,7 @@
 	Held    Stamp `cbor:"2,keyasint" json:"held"`
 	InForce Stamp `cbor:"3,keyasint" json:"in_force"`
 	// Since is for how long InForce has been so.
-	Since time.Duration `cbor:"4,keyasint" json:"since_ns"`
+	InForceFor time.Duration `cbor:"4,keyasint" json:"since_ns"`
 	// Error says why Held could not be applied; empty if it was.
 	Error string `cbor:"5,keyasint,omitempty" json:"error,omitempty"`
 	// Watching is true if the node watches the store.
--- a/document/digest.go
+++ b/document/digest.go
@@ -43,9 +43,9 @@
 // nextComparison is the time to the next comparison, shorter while something is
 // missing altogether.
 func (s *Service) nextComparison() time.Duration {
-	mean := s.options.AntiEntropy
+	mean := s.options.AntiEntropyInterval
 	if s.Ready() != nil {
-		mean = min(mean, s.options.Supervision)
+		mean = min(mean, s.options.SupervisionInterval)
 	}
 	return mean/2 + jitter(mean/2)
 }
--- a/document/edit.go
+++ b/document/edit.go
@@ -82,7 +82,7 @@
 			return version, nil
 		}
 		if stored.isRefused(u.edit.ID) {
-			return Version{}, ErrRefused
+			return Version{}, ErrRejected
 		}
 		next, err := u.prepare(ctx, stored, revision)
 		if err != nil {
--- a/document/edit_test.go
+++ b/document/edit_test.go
@@ -128,7 +128,7 @@
 				assert.ErrorIs(t, err, ErrUnknownOutcome)
 				time.Sleep(time.Minute)
 				for _, n := range f.nodes[2:] {
-					version, err := n.service.Settle(t.Context(), docName, edit.ID, 1)
+					version, err := n.service.ResolveEdit(t.Context(), docName, edit.ID, 1)
 					assert.Assert(t, errors.Is(err, c.err), "%v", err)
 					if err == nil {
 						assert.Equal(t, version.Generation, uint64(2))
@@ -233,7 +233,7 @@
 
 func TestInlineDocument(t *testing.T) {
 	inBubble(t, 2, 3, func(t *testing.T, f *fleet) {
-		f.spec = Spec{Name: docName, WatchIn: []domain.DataCentre{"dc0"}}
+		f.spec = Spec{Name: docName, WatchDataCentres: []domain.DataCentre{"dc0"}}
 		f.start()
 		before := f.store.Counts().Writes
 		f.nodes[0].mustUpdate(set("one"))
--- a/document/errors.go
+++ b/document/errors.go
@@ -15,8 +15,8 @@
 	ErrNoVersion = errors.New("document: no such version")
 	// ErrNotReady means that a required document has no version in force.
 	ErrNotReady = errors.New("document: not ready")
-	// ErrRefused means that the edit was settled as not accepted while it ran.
-	ErrRefused = errors.New("document: edit was given up")
+	// ErrRejected means that the edit was settled as not accepted while it ran.
+	ErrRejected = errors.New("document: edit was given up")
 
 	errCorrupt  = errors.New("document: content does not match its hash")
 	errGone     = errors.New("document: peer no longer has the content")
--- a/document/example_test.go
+++ b/document/example_test.go
@@ -42,7 +42,7 @@
 	}
 	edit := document.Edit{ID: document.NewEditID(), Author: "example"}
 	_, err := nodes[0].Update(ctx, "greeting", edit, func(document.Version, []byte) (document.Value, error) {
-		return document.Single([]byte("buongiorno")), nil
+		return document.NewValue([]byte("buongiorno")), nil
 	})
 	if err != nil {
 		panic(err)
--- a/document/fixture_test.go
+++ b/document/fixture_test.go
@@ -181,13 +181,13 @@
 
 // set returns a change that replaces the value.
 func set(text string) ChangeFunc {
-	return func(Version, []byte) (Value, error) { return Single([]byte(text)), nil }
+	return func(Version, []byte) (Value, error) { return NewValue([]byte(text)), nil }
 }
 
 // add returns a change that appends to the value.
 func add(text string) ChangeFunc {
 	return func(_ Version, value []byte) (Value, error) {
-		return Single(append(slices.Clone(value), text...)), nil
+		return NewValue(append(slices.Clone(value), text...)), nil
 	}
 }
 
--- a/document/follow.go
+++ b/document/follow.go
@@ -71,7 +71,7 @@
 // announceRemote tells the heads of the other data centres, unless they watch the
 // store themselves.
 func (r *replica) announceRemote(ctx context.Context) {
-	if len(r.spec.WatchIn) == 0 {
+	if len(r.spec.WatchDataCentres) == 0 {
 		return
 	}
 	message := announcement{Name: r.spec.Name, Stamp: r.stamp()}
--- a/document/options.go
+++ b/document/options.go
@@ -27,12 +27,12 @@
 	Watchers int
 	// Fanout is to how many peers a node hands an announcement on (8).
 	Fanout int
-	// AntiEntropy is the mean time between comparisons with a random peer (5 s).
-	AntiEntropy time.Duration
+	// AntiEntropyInterval is the mean time between comparisons with a random peer (5 s).
+	AntiEntropyInterval time.Duration
 	// Supervision is the time between looks at the membership (1 s).
-	Supervision time.Duration
-	// WatchRenewal is how long one watch call waits (45 s).
-	WatchRenewal time.Duration
+	SupervisionInterval time.Duration
+	// WatchTimeout is how long one watch call waits (45 s).
+	WatchTimeout time.Duration
 	// StoreTimeout bounds any other call to the store (5 s).
 	StoreTimeout time.Duration
 	// CallTimeout bounds a call to a peer (2 s).
@@ -42,8 +42,8 @@
 	// RepairDelay is for how long the store must be behind before a watcher writes
 	// its own version back (10 s).
 	RepairDelay time.Duration
-	// RetryMax bounds the backoff after an error of the store (2 s).
-	RetryMax time.Duration
+	// MaxRetryDelay bounds the backoff after an error of the store (2 s).
+	MaxRetryDelay time.Duration
 	// CollectInterval is the time between collections of parts that nothing refers
 	// to (30 min); CollectAge is how long they must have been so (1 h).
 	CollectInterval time.Duration
@@ -55,14 +55,14 @@
 func (o Options) withDefaults() Options {
 	defaults.Set(&o.Watchers, 2)
 	defaults.Set(&o.Fanout, 8)
-	defaults.Set(&o.AntiEntropy, 5*time.Second)
-	defaults.Set(&o.Supervision, time.Second)
-	defaults.Set(&o.WatchRenewal, 45*time.Second)
+	defaults.Set(&o.AntiEntropyInterval, 5*time.Second)
+	defaults.Set(&o.SupervisionInterval, time.Second)
+	defaults.Set(&o.WatchTimeout, 45*time.Second)
 	defaults.Set(&o.StoreTimeout, 5*time.Second)
 	defaults.Set(&o.CallTimeout, 2*time.Second)
 	defaults.Set(&o.EditTimeout, 15*time.Second)
 	defaults.Set(&o.RepairDelay, 10*time.Second)
-	defaults.Set(&o.RetryMax, 2*time.Second)
+	defaults.Set(&o.MaxRetryDelay, 2*time.Second)
 	defaults.Set(&o.CollectInterval, 30*time.Minute)
 	defaults.Set(&o.CollectAge, time.Hour)
 	defaults.Set(&o.PageBytes, 128<<10)
--- a/document/replica.go
+++ b/document/replica.go
@@ -159,7 +159,7 @@
 	defer r.mu.Unlock()
 	c := r.condition
 	if c.InForce.Generation > 0 {
-		c.Since = time.Since(r.since)
+		c.InForceFor = time.Since(r.since)
 	}
 	return c
 }
--- a/document/service_test.go
+++ b/document/service_test.go
@@ -274,7 +274,7 @@
 					assert.Equal(t, node.Error != "", slices.Contains(c.away, i), "%s: %s", node.Member, node.Error)
 					if node.Error == "" {
 						assert.Equal(t, node.Conditions[0].InForce.Generation, uint64(1))
-						assert.Assert(t, node.Conditions[0].Since > 55*time.Second)
+						assert.Assert(t, node.Conditions[0].InForceFor > 55*time.Second)
 					}
 				}
 				sent := f.network.Counts(f.nodes[0].member.Node)
--- a/document/settle.go
+++ b/document/settle.go
@@ -13,7 +13,7 @@
 // node: the version that it became, or ErrNotAccepted, after which it will never
 // be accepted, or ErrUnknownOutcome while the store can't tell. The edit was made
 // when the document had at least the base generation.
-func (s *Service) Settle(ctx context.Context, name string, id EditID, base uint64) (Version, error) {
+func (s *Service) ResolveEdit(ctx context.Context, name string, id EditID, base uint64) (Version, error) {
 	r, err := s.replica(name)
 	if err != nil {
 		return Version{}, err
--- a/document/spec.go
+++ b/document/spec.go
@@ -15,9 +15,9 @@
 	Apply Apply
 	// KeepHistory is how many earlier values the store keeps.
 	KeepHistory int
-	// WatchIn names the data centres whose nodes watch the store; empty for all.
+	// WatchDataCentres names the data centres whose nodes watch the store; empty for all.
 	// The others are told by the editing node and by anti-entropy.
-	WatchIn []domain.DataCentre
+	WatchDataCentres []domain.DataCentre
 	// Optional documents do not hold up readiness.
 	Optional bool
 }
--- a/document/supervise.go
+++ b/document/supervise.go
@@ -17,7 +17,7 @@
 	close(done)
 	collectAt := time.Now().Add(r.nextCollection())
 	collector := newCollector(r)
-	for pacing.Sleep(ctx, r.service.options.Supervision) {
+	for pacing.Sleep(ctx, r.service.options.SupervisionInterval) {
 		if !r.service.bootstrapped.Load() {
 			continue
 		}
@@ -43,7 +43,7 @@
 // watches reports whether this node has to watch the store.
 func (r *replica) watches() bool {
 	p := r.service.peers()
-	in := r.spec.WatchIn
+	in := r.spec.WatchDataCentres
 	if len(in) > 0 && !slices.Contains(in, p.self.DataCentre) {
 		return false
 	}
--- a/document/value.go
+++ b/document/value.go
@@ -12,8 +12,8 @@
 	Parts [][]byte
 }
 
-// Single returns the value of the given bytes, cut only where it must be.
-func Single(data []byte) Value {
+// NewValue returns the value of the given bytes, cut only where it must be.
+func NewValue(data []byte) Value {
 	return Value{Parts: slices.Collect(slices.Chunk(data, MaxPartBytes))}
 }
 
--- a/document/watch.go
+++ b/document/watch.go
@@ -11,7 +11,7 @@
 
 const (
 	// firstRetry is the mean pause after a watcher's first error; it doubles up to
-	// Options.RetryMax.
+	// Options.MaxRetryDelay.
 	firstRetry = 250 * time.Millisecond
 	// behindRenewal is how often the store is read while it is behind.
 	behindRenewal = 2 * time.Second
@@ -49,7 +49,7 @@
 		default:
 			w.note(func(c *Condition) { c.StoreError = err.Error() })
 			pause(ctx, retry)
-			retry = min(2*retry, w.options().RetryMax)
+			retry = min(2*retry, w.options().MaxRetryDelay)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 
 // wait is one watch call.
 func (w *watcher) wait(ctx context.Context) (head, store.Revision, error) {
-	bounded, cancel := context.WithTimeout(ctx, w.options().WatchRenewal)
+	bounded, cancel := context.WithTimeout(ctx, w.options().WatchTimeout)
 	defer cancel()
 	entry, err := w.replica.storage.store.Watch(bounded, w.replica.storage.headKey(), w.revision)
 	switch {
--- a/examples/nightly/main.go
+++ b/examples/nightly/main.go
@@ -45,7 +45,7 @@
 	}
 	edit := document.Edit{ID: document.NewEditID(), Author: "operator"}
 	_, err := workers[1].documents.Update(ctx, jobName, edit, func(document.Version, []byte) (document.Value, error) {
-		return document.Single([]byte("count the tokens")), nil
+		return document.NewValue([]byte("count the tokens")), nil
 	})
 	if err != nil {
 		return fmt.Errorf("write the job: %w", err)
--- a/node/tables.go
+++ b/node/tables.go
@@ -120,7 +120,7 @@
 			return document.Value{}, err
 		}
 		encoded, err := ledger.EncodeTable(result)
-		return document.Single(encoded), err
+		return document.NewValue(encoded), err
 	})
 	if errors.Is(err, errUnchanged) {
 		return result, nil
--- a/operatorapi/status.go
+++ b/operatorapi/status.go
@@ -57,7 +57,7 @@
 		Name:         c.Name,
 		Held:         c.Held.Generation,
 		InForce:      c.InForce.Generation,
-		SinceSeconds: c.Since.Seconds(),
+		SinceSeconds: c.InForceFor.Seconds(),
 		Error:        c.Error,
 		Watching:     c.Watching,
 		StoreBehind:  c.StoreBehind,
--- a/sizing/config_bench_test.go
+++ b/sizing/config_bench_test.go
@@ -64,7 +64,7 @@
 	for i := range nodes {
 		documents, err := document.New(document.Options{
 			Transport: f.network.Node(limitsMember(i)), Members: membership.NewStaticView(&membership.Snapshot{Self: limitsMember(i), Peers: peers}),
-			Store: f.store.NewClient(), AntiEntropy: time.Hour, Supervision: 10 * time.Millisecond,
+			Store: f.store.NewClient(), AntiEntropyInterval: time.Hour, SupervisionInterval: 10 * time.Millisecond,
 		})
 		assert.NilError(b, err)
 		node, err := agreed.New(documents, agreed.Options{InForce: func(s *config.Snapshot) { f.inForce <- s.Revision }})
