--- a/config/agreed/service.go
+++ b/config/agreed/service.go
@@ -124,7 +124,7 @@
 }
 
 // Settle tells what became of an edit whose outcome was unknown; see
-// document.Service.Settle.
+// document.Service.ResolveEdit.
 func (s *Service) Settle(ctx context.Context, id document.EditID, base uint64) (document.Version, error) {
 	return s.documents.ResolveEdit(ctx, DocumentName, id, base)
 }
--- a/document/collect.go
+++ b/document/collect.go
@@ -9,33 +9,34 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// collector removes parts that nothing refers to: what interrupted edits left
-// behind, and what has fallen out of the history.
+// collector deletes unreferenced parts: those of interrupted edits, and those of
+// versions no longer in the history.
 //
-// Before it deletes, it writes the head again unchanged. An edit that read the
-// head before that fails and starts anew; an edit that reads it afterwards writes
-// the parts it needs again, which gives them a revision that the deletion does
-// not expect. So no accepted version ever lacks a part, however long an editor
-// or the collector is paused.
+// Before it deletes any, it rewrites the head unchanged as a fence. An edit that
+// read the head before the fence fails with a conflict and starts over. An edit that
+// reads it afterwards rewrites the parts that it needs, which gives them revisions
+// that the deletion does not expect. An accepted version therefore never lacks a
+// part, however long an editor or the collector is paused.
 type collector struct {
 	replica *replica
-	// seen has when a part at a revision was first seen without a reference.
-	seen map[string]sighting
+	// unreferenced records, by key, at which revision and when a part was first found
+	// to be unreferenced.
+	unreferenced map[string]firstSighting
 }
 
-type sighting struct {
+type firstSighting struct {
 	revision store.Revision
 	at       time.Time
 }
 
 func newCollector(r *replica) *collector {
-	return &collector{replica: r, seen: make(map[string]sighting)}
+	return &collector{replica: r, unreferenced: make(map[string]firstSighting)}
 }
 
-// forget drops what was seen, when another node collects.
-func (c *collector) forget() { clear(c.seen) }
+// reset clears the records. It is called while another node collects.
+func (c *collector) reset() { clear(c.unreferenced) }
 
-// collect deletes the parts that have been without a reference for long enough.
+// collect deletes the parts that have been unreferenced for Options.CollectAge.
 func (c *collector) collect(ctx context.Context) error {
 	s := c.replica.storage
 	stored, revision, err := s.readHead(ctx)
@@ -55,12 +56,12 @@
 		return nil
 	}
 	if err := s.writeHead(ctx, stored, revision); err != nil {
-		return fmt.Errorf("fence: %w", err)
+		return fmt.Errorf("rewrite head before deletion: %w", err)
 	}
 	return c.remove(ctx, due)
 }
 
-// referenced returns the keys that the head and its history need.
+// referenced returns the keys of the parts to which the head and its history refer.
 func (c *collector) referenced(stored head, entries []store.Entry) (map[string]bool, error) {
 	s := c.replica.storage
 	values := make(map[string][]byte, len(entries))
@@ -73,10 +74,10 @@
 		referenced[key] = true
 		manifest, ok := values[key]
 		if !ok && i == 0 && len(stored.Inline) == 0 && version.Size > 0 {
-			return nil, fmt.Errorf("%w: the current manifest is not listed", errCorrupt)
+			return nil, fmt.Errorf("%w: manifest of the current version is missing from the listing", errCorrupt)
 		}
 		if !ok {
-			continue // An inline value, or an old version whose content is lost.
+			continue // An inline value, or an earlier version whose content is lost.
 		}
 		hashes, err := decodeManifest(manifest, version.Root)
 		if err != nil {
@@ -89,26 +90,26 @@
 	return referenced, nil
 }
 
-// due returns the entries without a reference that are old enough, and notes the
-// others.
+// due updates the records of unreferenced entries and returns those that have been
+// unreferenced for long enough.
 func (c *collector) due(entries []store.Entry, referenced map[string]bool) []store.Entry {
 	var due []store.Entry
 	now := time.Now()
-	still := make(map[string]sighting)
+	unreferenced := make(map[string]firstSighting)
 	for _, entry := range entries {
 		if referenced[entry.Key] {
 			continue
 		}
-		first, ok := c.seen[entry.Key]
+		first, ok := c.unreferenced[entry.Key]
 		if !ok || first.revision != entry.Revision {
-			first = sighting{revision: entry.Revision, at: now}
+			first = firstSighting{revision: entry.Revision, at: now}
 		}
-		still[entry.Key] = first
+		unreferenced[entry.Key] = first
 		if now.Sub(first.at) >= c.replica.service.options.CollectAge {
 			due = append(due, entry)
 		}
 	}
-	c.seen = still
+	c.unreferenced = unreferenced
 	return due
 }
 
@@ -117,9 +118,9 @@
 		err := c.replica.storage.store.Delete(ctx, entry.Key, entry.Revision)
 		switch {
 		case err == nil:
-			c.replica.service.meters.collected.Inc()
+			c.replica.service.counters.partsCollected.Inc()
 		case errors.Is(err, store.ErrConflict), errors.Is(err, store.ErrNotFound):
-			// It is in use again, or gone.
+			// It was written again or is already deleted.
 		default:
 			return err
 		}
--- a/document/content.go
+++ b/document/content.go
@@ -6,11 +6,11 @@
 	"sync"
 )
 
-// content is a value with the hashes of its parts. It is immutable.
+// content is an immutable value with the hashes of its parts.
 type content struct {
 	parts  [][]byte
 	hashes []Hash
-	// root is the hash of the manifest, which names the whole content.
+	// root is the hash of the manifest and identifies the whole content.
 	root Hash
 	size int
 
@@ -18,7 +18,7 @@
 	indexMap  map[Hash]int
 }
 
-// newContent hashes a value. Empty parts are left out.
+// newContent hashes the parts of a value and drops empty ones.
 func newContent(v Value) *content {
 	var parts [][]byte
 	var hashes []Hash
@@ -29,11 +29,11 @@
 		parts = append(parts, part)
 		hashes = append(hashes, hashOf(part))
 	}
-	return contentOf(parts, hashes)
+	return newContentFromParts(parts, hashes)
 }
 
-// contentOf builds a content of parts whose hashes are known.
-func contentOf(parts [][]byte, hashes []Hash) *content {
+// newContentFromParts builds a content from parts whose hashes are already known.
+func newContentFromParts(parts [][]byte, hashes []Hash) *content {
 	c := &content{parts: parts, hashes: hashes, root: hashOf(encodeManifest(hashes))}
 	for _, part := range parts {
 		c.size += len(part)
@@ -41,10 +41,9 @@
 	return c
 }
 
-// value returns the parts.
 func (c *content) value() Value { return Value{Parts: c.parts} }
 
-// part returns the part of a hash.
+// part returns the part with the given hash.
 func (c *content) part(h Hash) ([]byte, bool) {
 	if c == nil {
 		return nil, false
@@ -64,7 +63,7 @@
 	}
 }
 
-// encodeManifest lists the hashes of a content's parts.
+// encodeManifest concatenates the hashes of a content's parts.
 func encodeManifest(hashes []Hash) []byte {
 	manifest := make([]byte, 0, len(hashes)*len(Hash{}))
 	for _, h := range hashes {
@@ -73,7 +72,7 @@
 	return manifest
 }
 
-// decodeManifest reads a manifest and checks it against its hash.
+// decodeManifest decodes a manifest after verifying it against its hash.
 func decodeManifest(manifest []byte, root Hash) ([]Hash, error) {
 	if len(manifest)%len(Hash{}) != 0 || hashOf(manifest) != root {
 		return nil, fmt.Errorf("%w: manifest", errCorrupt)
--- a/document/digest.go
+++ b/document/digest.go
@@ -17,32 +17,34 @@
 )
 
 const (
-	// soonAgain is the mean time to the next comparison after a difference.
-	soonAgain = 300 * time.Millisecond
-	// bootstrapParallel bounds the peers asked at a time by a node that starts.
-	bootstrapParallel = 16
-	// bootstrapRemote is how many nodes of each other data centre it asks.
-	bootstrapRemote = 2
+	// followUpDelay is the mean delay to the next comparison after one that found a
+	// difference.
+	followUpDelay = 300 * time.Millisecond
+	// maxConcurrentBootstrapCalls limits the peers that a starting node queries at once.
+	maxConcurrentBootstrapCalls = 16
+	// bootstrapPeersPerDataCentre is the number of nodes that a starting node queries in
+	// each other data centre.
+	bootstrapPeersPerDataCentre = 2
 )
 
-// antiEntropy compares with a random peer from time to time, and soon again
-// after a difference: where one was missed there may be more.
+// antiEntropy periodically compares stamps with a random peer. After a difference it
+// compares again soon, because a node that missed one version may lack others.
 func (s *Service) antiEntropy(ctx context.Context) error {
 	s.bootstrap(ctx)
-	wait := s.nextComparison()
+	wait := s.comparisonDelay()
 	for pacing.Sleep(ctx, wait) {
-		differed := s.compareWithSomeone(ctx)
-		wait = s.nextComparison()
+		differed := s.compareWithRandomPeer(ctx)
+		wait = s.comparisonDelay()
 		if differed {
-			wait = min(wait, jitter(soonAgain))
+			wait = min(wait, jitter(followUpDelay))
 		}
 	}
 	return nil
 }
 
-// nextComparison is the time to the next comparison, shorter while something is
-// missing altogether.
-func (s *Service) nextComparison() time.Duration {
+// comparisonDelay returns the delay to the next comparison. It is shorter while the
+// node is not ready.
+func (s *Service) comparisonDelay() time.Duration {
 	mean := s.options.AntiEntropyInterval
 	if s.Ready() != nil {
 		mean = min(mean, s.options.SupervisionInterval)
@@ -50,13 +52,13 @@
 	return mean/2 + jitter(mean/2)
 }
 
-// bootstrap asks the data centre's other nodes, and some of each other data
-// centre, for what they hold, and takes the highest of each document.
+// bootstrap queries the other nodes of the data centre, and some of each other data
+// centre, and fetches the highest version of each document.
 func (s *Service) bootstrap(ctx context.Context) {
-	best := s.askForBest(ctx, s.bootstrapPeers())
-	for name, h := range best {
+	highest := s.highestStamps(ctx, s.bootstrapPeers())
+	for name, h := range highest {
 		if r, err := s.replica(name); err == nil {
-			r.follow(ctx, h)
+			r.processHint(ctx, h)
 		}
 	}
 	s.bootstrapped.Store(true)
@@ -64,50 +66,51 @@
 
 func (s *Service) bootstrapPeers() []domain.Member {
 	p := s.peers()
-	asked := p.others()
+	queried := p.others()
 	for _, members := range p.remote {
 		members = slices.Clone(members)
 		rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-		asked = append(asked, firstOf(members, bootstrapRemote)...)
+		queried = append(queried, firstN(members, bootstrapPeersPerDataCentre)...)
 	}
-	return asked
+	return queried
 }
 
-// askForBest returns the highest version of each document and who has it.
-func (s *Service) askForBest(ctx context.Context, asked []domain.Member) map[string]hint {
+// highestStamps returns the highest stamp of each document among the queried peers,
+// with the peer that holds it.
+func (s *Service) highestStamps(ctx context.Context, queried []domain.Member) map[string]hint {
 	var mu sync.Mutex
-	best := make(map[string]hint)
+	highest := make(map[string]hint)
 	var group errgroup.Group
-	group.SetLimit(bootstrapParallel)
-	for _, to := range asked {
+	group.SetLimit(maxConcurrentBootstrapCalls)
+	for _, to := range queried {
 		group.Go(func() error {
 			reply, err := call[digestRequest, digestReply](ctx, s, to, methodDigest, digestRequest{})
 			if err != nil {
-				return nil // A peer that doesn't answer has nothing to offer.
+				return nil // Unreachable peers are skipped.
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			for name, stamp := range reply.Stamps {
-				if stamp.After(best[name].stamp) {
-					best[name] = hint{stamp: stamp, from: to}
+				if stamp.After(highest[name].stamp) {
+					highest[name] = hint{stamp: stamp, from: to}
 				}
 			}
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return best
+	return highest
 }
 
-// compareWithSomeone compares with a random peer and mends differences on
-// either side. It reports whether there were any.
-func (s *Service) compareWithSomeone(ctx context.Context) (differed bool) {
+// compareWithRandomPeer compares stamps with a random peer, reconciles differences on
+// either side and reports whether there were any.
+func (s *Service) compareWithRandomPeer(ctx context.Context) (differed bool) {
 	to, ok := s.choosePeer()
 	if !ok {
 		return false
 	}
-	mine := s.stamps()
-	request := digestRequest{Sum: sumOf(mine)}
+	local := s.stamps()
+	request := digestRequest{Sum: hashStamps(local)}
 	if !s.bootstrapped.Load() || s.Ready() != nil {
 		request.Sum = 0
 	}
@@ -115,59 +118,61 @@
 	if err != nil {
 		return false
 	}
-	for name, theirs := range reply.Stamps {
+	for name, remote := range reply.Stamps {
 		if r, err := s.replica(name); err == nil {
-			differed = r.mend(ctx, to, theirs) || differed
+			differed = r.reconcile(ctx, to, remote) || differed
 		}
 	}
 	return differed
 }
 
-// mend fetches what the peer has and this node lacks, or tells it the opposite.
-func (r *replica) mend(ctx context.Context, to domain.Member, theirs Stamp) (differed bool) {
-	mine := r.stamp()
+// reconcile enqueues a fetch if the peer has a later version, or notifies the peer
+// if this node does. It reports whether the stamps differ.
+func (r *replica) reconcile(ctx context.Context, to domain.Member, remote Stamp) (differed bool) {
+	local := r.stamp()
 	switch {
-	case theirs.After(mine), r.inForce.Load() == nil && theirs.Generation > 0:
-		r.offer(hint{stamp: theirs, from: to})
-	case mine.After(theirs):
-		r.service.send(ctx, to, methodOffer, announcement{Name: r.spec.Name, Stamp: mine})
+	case remote.After(local), r.inForce.Load() == nil && remote.Generation > 0:
+		r.enqueueHint(hint{stamp: remote, from: to})
+	case local.After(remote):
+		r.service.send(ctx, to, methodOffer, announcement{Name: r.spec.Name, Stamp: local})
 	}
-	return theirs != mine
+	return remote != local
 }
 
-// choosePeer returns a random peer of the data centre. A node that speaks for its
-// data centre about some document turns to another data centre every second time.
+// choosePeer returns a random peer of the data centre. On a node that represents its
+// data centre for any document, every second comparison is with another data centre.
 func (s *Service) choosePeer() (domain.Member, bool) {
-	s.rounds++
+	s.comparisons++
 	p := s.peers()
-	if s.rounds%2 == 0 && s.isHeadOfAny(p) {
-		if to, ok := p.anyPartner(s.options.Watchers); ok {
+	if s.comparisons%2 == 0 && s.representsAny(p) {
+		if to, ok := p.randomPartner(s.options.Watchers); ok {
 			return to, true
 		}
 	}
-	if to, ok := p.anyLocal(); ok {
+	if to, ok := p.randomLocal(); ok {
 		return to, true
 	}
-	return p.anyPartner(s.options.Watchers)
+	return p.randomPartner(s.options.Watchers)
 }
 
-func (s *Service) isHeadOfAny(p peers) bool {
-	return slices.ContainsFunc(s.all(), func(r *replica) bool {
-		return p.isHead(r.spec.Name, s.options.Watchers)
+func (s *Service) representsAny(p peers) bool {
+	return slices.ContainsFunc(s.sortedReplicas(), func(r *replica) bool {
+		return p.isRepresentative(r.spec.Name, s.options.Watchers)
 	})
 }
 
-// stamps returns the stamps of all documents held.
+// stamps returns the stamps of the latest versions held, by document name.
 func (s *Service) stamps() map[string]Stamp {
 	stamps := make(map[string]Stamp)
-	for _, r := range s.all() {
+	for _, r := range s.sortedReplicas() {
 		stamps[r.spec.Name] = r.stamp()
 	}
 	return stamps
 }
 
-// sumOf hashes the stamps; it is never zero.
-func sumOf(stamps map[string]Stamp) uint64 {
+// hashStamps returns a hash of the stamps. It is never zero, because a zero
+// digestRequest.Sum asks for all stamps.
+func hashStamps(stamps map[string]Stamp) uint64 {
 	digest := xxhash.New()
 	for _, name := range slices.Sorted(maps.Keys(stamps)) {
 		stamp := stamps[name]
--- a/document/doc.go
+++ b/document/doc.go
@@ -1,19 +1,20 @@
-// Package document distributes revisioned values from the platform's store to
-// every node: the operators' table, and the ledger tables of the data centres.
+// Package document replicates versioned values from the platform's store to every
+// node: the operators' table, and the ledger tables of the data centres.
 //
-// A document is one head key in the store, changed by compare-and-swap, and the
-// parts of its value, each written before the head under the SHA-256 of its
-// content. The document numbers its own generations, so that a store restored
-// from an old copy is noticed. Few nodes of a data centre watch the head; the
-// others are told by peers and fetch only the parts that they lack.
+// In the store, a document is one head key, changed by compare-and-swap, and the
+// parts of its value. Parts are content-addressed by SHA-256 and written before
+// the head that refers to them. A document numbers its own generations, so that
+// a store restored from an old backup is detected. Only a few nodes of each data
+// centre watch the head; the others receive announcements from peers and fetch
+// only the parts that they lack.
 //
 // Guarantees:
-//   - A node never goes from a version to an earlier one, whatever the store or
-//     its peers say. Versions are ordered by Stamp.
-//   - Update tells acceptance, certain refusal (ErrNotAccepted) and ignorance
-//     (ErrUnknownOutcome) apart, and never accepts an edit twice.
+//   - A node never moves from a version to an earlier one, whatever the store or
+//     its peers report. Versions are ordered by Stamp.
+//   - Update distinguishes acceptance, definite rejection (ErrNotAccepted) and an
+//     unknown outcome (ErrUnknownOutcome), and never accepts an edit twice.
 //   - A version that can't be applied leaves the last good one in force and is
 //     reported in the node's Condition.
-//   - A node that starts takes the highest version that a reachable peer has,
-//     also while the store is down; with neither it is not ready.
+//   - A starting node takes the highest version held by any reachable peer, even
+//     while the store is down. With neither peers nor store it is not ready.
 package document
--- a/document/edit.go
+++ b/document/edit.go
@@ -10,36 +10,37 @@
 	"hawthornrill.example/hawthornrill/store/budget"
 )
 
-// MaxValueBytes bounds a document's value.
+// MaxValueBytes is the maximum size of a document's value.
 const MaxValueBytes = 16 << 20
 
-// Edit describes who changes a document.
+// Edit identifies a change to a document and its author.
 type Edit struct {
-	// ID is the same for all attempts of one edit; an edit whose ID was accepted
-	// before is not accepted again.
+	// ID is the same for all attempts of one edit. An edit whose ID was already
+	// accepted is not accepted again.
 	ID     EditID
 	Author string
 	Note   string
 }
 
-// ChangeFunc returns the value that follows the current one, which has
-// generation 0 and no bytes before the first edit. It is called again for each
-// attempt; its error refuses the edit.
+// ChangeFunc returns the new value, given the current one. Before the first edit
+// the current version has generation 0 and an empty value. It is called again for
+// each attempt; if it returns an error, the edit is not accepted.
 type ChangeFunc func(current Version, value []byte) (Value, error)
 
-// Update changes a document. After a nil error the returned version is accepted:
-// it will be in force on every node, and this one holds it. An error
-// is ErrNotAccepted, which is certain, or ErrUnknownOutcome, which Settle
-// resolves. A change that returns the same bytes makes no new version.
+// Update changes a document. If the error is nil, the returned version has been
+// accepted: this node holds it, and it will come into force on every node.
+// Otherwise the error wraps ErrNotAccepted, if the edit definitely has no effect,
+// or ErrUnknownOutcome, which ResolveEdit resolves. A change that returns an
+// unchanged value creates no new version.
 //
-// Edits that race are applied one on top of the other.
+// Concurrent edits are serialized: each is applied to the result of the one before.
 func (s *Service) Update(ctx context.Context, name string, edit Edit, change ChangeFunc) (Version, error) {
 	r, err := s.replica(name)
 	if err != nil {
 		return Version{}, fmt.Errorf("%w: %w", ErrNotAccepted, err)
 	}
 	if edit.ID == (EditID{}) {
-		return Version{}, fmt.Errorf("%w: the edit has no identifier", ErrNotAccepted)
+		return Version{}, fmt.Errorf("%w: edit has no identifier", ErrNotAccepted)
 	}
 	ctx, cancel := context.WithTimeout(budget.WithPurpose(ctx, budget.PurposeEdit), s.options.EditTimeout)
 	defer cancel()
@@ -55,40 +56,40 @@
 	}
 }
 
-// update is one Update with its attempts. Every attempt either was accepted, was
-// certainly not, or ends the update with ErrUnknownOutcome.
+// update is a call of Update with its attempts. Each attempt is accepted, definitely
+// fails, or ends the update with ErrUnknownOutcome.
 type update struct {
 	replica *replica
 	edit    Edit
 	change  ChangeFunc
 }
 
-// attempt is a head that is to replace the one at the expected revision.
+// attempt is a new head that is to replace the one at the expected revision.
 type attempt struct {
 	expected store.Revision
 	head     head
-	held     *held
+	loaded   *loadedVersion
 }
 
 func (u *update) run(ctx context.Context) (Version, error) {
-	retry := storeRetry
+	retry := meanStoreRetryDelay
 	for {
 		stored, revision, err := u.replica.storage.readHead(ctx)
 		if err != nil {
 			return Version{}, err
 		}
 		if version, ok := stored.accepted(u.edit.ID); ok {
-			u.replica.catchUp(ctx, stored)
+			u.replica.adoptHead(ctx, stored)
 			return version, nil
 		}
-		if stored.isRefused(u.edit.ID) {
+		if stored.isRejected(u.edit.ID) {
 			return Version{}, ErrRejected
 		}
 		next, err := u.prepare(ctx, stored, revision)
 		if err != nil {
 			return Version{}, err
 		}
-		if next.held == nil {
+		if next.loaded == nil {
 			return next.head.Version, nil
 		}
 		version, err := u.commit(ctx, next)
@@ -100,8 +101,8 @@
 	}
 }
 
-// prepare has the change made and its parts stored. The attempt has no held
-// version if nothing changes.
+// prepare calls the change function and stores the parts of its result. The attempt
+// has no loaded version if the value is unchanged.
 func (u *update) prepare(ctx context.Context, stored head, revision store.Revision) (attempt, error) {
 	r := u.replica
 	current, err := u.current(ctx, stored)
@@ -114,7 +115,7 @@
 	}
 	c := newContent(value)
 	if c.size > MaxValueBytes {
-		return attempt{}, fmt.Errorf("document: value of %d bytes is over the limit of %d", c.size, MaxValueBytes)
+		return attempt{}, fmt.Errorf("document: value of %d bytes exceeds the limit of %d", c.size, MaxValueBytes)
 	}
 	if c.root == current.version.Root && current.version.Generation > 0 {
 		return attempt{head: head{Version: current.version}}, nil
@@ -126,24 +127,24 @@
 	version := u.version(c, max(stored.Version.Generation, r.stamp().Generation)+1)
 	next := stored.next(version, inline, r.spec.KeepHistory)
 	next.Delta = deltaOf(current, c)
-	return attempt{expected: revision, head: next, held: &held{version: version, content: c}}, nil
+	return attempt{expected: revision, head: next, loaded: &loadedVersion{version: version, content: c}}, nil
 }
 
-// current returns the later of what the store and this node have. A store that
-// was restored from an old copy must not bring an old value back.
-func (u *update) current(ctx context.Context, stored head) (*held, error) {
-	mine := u.replica.latest.Load()
-	if mine != nil && !stored.Version.After(mine.stamp()) {
-		return mine, nil
+// current returns the later of the versions in the store and on this node, so that
+// an edit never builds on the old value of a store restored from a backup.
+func (u *update) current(ctx context.Context, stored head) (*loadedVersion, error) {
+	local := u.replica.latest.Load()
+	if local != nil && !stored.Version.After(local.stamp()) {
+		return local, nil
 	}
 	if stored.Version.Generation == 0 {
-		return &held{content: newContent(Value{})}, nil
+		return &loadedVersion{content: newContent(Value{})}, nil
 	}
-	c, err := u.replica.storage.loadHead(ctx, stored, mine, u.replica.inForce.Load())
+	c, err := u.replica.storage.loadHead(ctx, stored, local, u.replica.inForce.Load())
 	if err != nil {
 		return nil, err
 	}
-	return &held{version: stored.Version, content: c}, nil
+	return &loadedVersion{version: stored.Version, content: c}, nil
 }
 
 func (u *update) version(c *content, generation uint64) Version {
@@ -156,70 +157,71 @@
 	}
 }
 
-// commit writes the head. errConflict means that this attempt certainly had no
-// effect because the head has changed.
+// commit writes the head. It returns errConflict if the head had changed and this
+// attempt definitely had no effect.
 func (u *update) commit(ctx context.Context, a attempt) (Version, error) {
 	err := u.replica.storage.writeHead(ctx, a.head, a.expected)
 	switch {
 	case err == nil:
-		return u.accept(a), nil
+		return u.complete(a), nil
 	case errors.Is(err, store.ErrConflict):
 		return Version{}, errConflict
 	case errors.Is(err, store.ErrUnavailable):
 		return Version{}, err
 	default:
-		return u.settle(ctx, a)
+		return u.resolveOutcome(ctx, a)
 	}
 }
 
-// settle finds out about a write whose answer was lost. Writing the same head
-// against the same revision again can't take effect twice; when either attempt
-// is refused, the other one or another edit has taken effect.
-func (u *update) settle(ctx context.Context, a attempt) (Version, error) {
+// resolveOutcome determines whether a head write with a lost reply took effect, by
+// repeating it. The same write against the same revision can't take effect twice.
+// If the repeated write fails with a conflict, either the first write or another
+// edit has succeeded.
+func (u *update) resolveOutcome(ctx context.Context, a attempt) (Version, error) {
 	for ctx.Err() == nil {
 		err := u.replica.storage.writeHead(ctx, a.head, a.expected)
 		if err == nil {
-			return u.accept(a), nil
+			return u.complete(a), nil
 		}
 		if errors.Is(err, store.ErrConflict) && u.superseded(ctx, a) {
 			return Version{}, errConflict
 		}
-		pause(ctx, 4*storeRetry)
+		pause(ctx, 4*meanStoreRetryDelay)
 	}
 	return Version{}, fmt.Errorf("%w: edit %s: %w", ErrUnknownOutcome, u.edit.ID, context.Cause(ctx))
 }
 
-// superseded reports whether the head is certainly a later one than expected, and
-// still remembers the edit if that was accepted.
+// superseded reports whether the head has definitely been replaced since the
+// attempt and still records the edit if it was accepted.
 func (u *update) superseded(ctx context.Context, a attempt) bool {
 	stored, revision, err := u.replica.storage.readHead(ctx)
 	if err != nil {
 		return false
 	}
 	_, accepted := stored.accepted(u.edit.ID)
-	return accepted || (revision > a.expected && stored.covers(a.head.Version.Generation-1))
+	return accepted || (revision > a.expected && stored.recordsEditsAfter(a.head.Version.Generation-1))
 }
 
-// accept puts the version in force here and tells the others.
-func (u *update) accept(a attempt) Version {
+// complete applies the accepted version on this node and announces it.
+func (u *update) complete(a attempt) Version {
 	r := u.replica
-	r.adopt(a.held)
+	r.adopt(a.loaded)
 	r.announce()
-	return a.held.version
+	return a.loaded.version
 }
 
-// catchUp takes the head's version if it is later than the one held; if it can't
-// be loaded now, the peers tell of it later.
-func (r *replica) catchUp(ctx context.Context, stored head) {
+// adoptHead loads and adopts the head's version if it is later than the one held. An
+// error is ignored: the node then learns of the version from its peers.
+func (r *replica) adoptHead(ctx context.Context, stored head) {
 	c, err := r.storage.loadHead(ctx, stored, r.latest.Load(), r.inForce.Load())
-	if err == nil && r.adopt(&held{version: stored.Version, content: c}) {
+	if err == nil && r.adopt(&loadedVersion{version: stored.Version, content: c}) {
 		r.announce()
 	}
 }
 
-// announce tells all data centres of the version held.
+// announce notifies all data centres of the version held.
 func (r *replica) announce() {
-	ctx := r.service.context()
+	ctx := r.service.runContext()
 	r.announceLocal(ctx)
 	r.announceRemote(ctx)
 }
--- a/document/edit_test.go
+++ b/document/edit_test.go
@@ -15,7 +15,7 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// headWrites applies the fault to writes of the head.
+// headWrites returns a function that injects the fault into writes of the head.
 func headWrites(fault memstore.Fault) memstore.FaultFunc {
 	return func(c memstore.Call) memstore.Fault {
 		if c.Operation == memstore.OperationCompareAndSwap && strings.HasSuffix(c.Key, "/head") {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestRacingEditsAreAllKept(t *testing.T) {
+func TestConcurrentEditsAreAllKept(t *testing.T) {
 	inBubble(t, 2, 4, func(t *testing.T, f *fleet) {
 		f.start()
 		time.Sleep(5 * time.Second)
@@ -46,20 +46,20 @@
 	})
 }
 
-func TestEditUnderFaultsOfTheStore(t *testing.T) {
+func TestEditUnderStoreFaults(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault func(f *fleet, editor *testNode)
 		err   error
 		value string
 	}{
-		{"answers lost", func(_ *fleet, n *testNode) { n.client.LoseNext(7) }, nil, "one+"},
+		{"replies lost", func(_ *fleet, n *testNode) { n.client.LoseNext(7) }, nil, "one+"},
 		{"slow", func(_ *fleet, n *testNode) { n.client.SetDelay(400 * time.Millisecond) }, nil, "one+"},
 		{"down", func(_ *fleet, n *testNode) { n.client.SetDown(true) }, ErrNotAccepted, "one"},
-		{"down for the head", func(_ *fleet, n *testNode) {
+		{"down for head writes", func(_ *fleet, n *testNode) {
 			n.client.SetFunc(headWrites(memstore.Fault{Down: true}))
 		}, ErrNotAccepted, "one"},
-		{"answer lost, then down", func(_ *fleet, n *testNode) {
+		{"reply lost, then down", func(_ *fleet, n *testNode) {
 			calls := 0
 			n.client.SetFunc(func(c memstore.Call) memstore.Fault {
 				if !strings.HasSuffix(c.Key, "/head") || c.Operation != memstore.OperationCompareAndSwap {
@@ -69,9 +69,9 @@
 				return memstore.Fault{LoseAnswer: calls == 1, Down: calls > 1}
 			})
 		}, ErrUnknownOutcome, "one+"},
-		{"answer lost, then edited by another", func(f *fleet, n *testNode) {
+		{"reply lost, then concurrent edit", func(f *fleet, n *testNode) {
 			var lost bool
-			watching, _ := f.splitHeads(f.nodes)
+			watching, _ := f.splitWatchers(f.nodes)
 			n.client.SetFunc(func(c memstore.Call) memstore.Fault {
 				if !lost && c.Operation == memstore.OperationCompareAndSwap && strings.HasSuffix(c.Key, "/head") {
 					lost = true
@@ -88,14 +88,14 @@
 				f.start()
 				f.nodes[0].mustUpdate(set("one"))
 				time.Sleep(time.Minute)
-				_, others := f.splitHeads(f.nodes)
+				_, others := f.splitWatchers(f.nodes)
 				editor := others[0]
-				f.network.Partition(names([]*testNode{editor}), names(slices.DeleteFunc(slices.Clone(f.nodes), editor.is)))
+				f.network.Partition(nodeIDs([]*testNode{editor}), nodeIDs(slices.DeleteFunc(slices.Clone(f.nodes), editor.is)))
 				c.fault(f, editor)
 				version, err := editor.update(add("+"))
 				assert.Assert(t, errors.Is(err, c.err), "%v", err)
-				// The editor has what was accepted, without being told.
-				assert.Assert(t, !version.After(editor.service.all()[0].stamp()))
+				// The editor holds the accepted version without an announcement.
+				assert.Assert(t, !version.After(editor.service.sortedReplicas()[0].stamp()))
 				editor.client.SetDown(false)
 				editor.client.SetFunc(nil)
 				f.network.HealAll()
@@ -106,15 +106,15 @@
 	}
 }
 
-func TestSettle(t *testing.T) {
+func TestResolveEdit(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault memstore.Fault
 		err   error
 		value string
 	}{
-		{"it had taken effect", memstore.Fault{LoseAnswer: true, Delay: 20 * time.Second}, nil, "one+"},
-		{"it is still on its way", memstore.Fault{Delay: time.Hour}, ErrNotAccepted, "one"},
+		{"taken effect", memstore.Fault{LoseAnswer: true, Delay: 20 * time.Second}, nil, "one+"},
+		{"still in flight", memstore.Fault{Delay: time.Hour}, ErrNotAccepted, "one"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -136,7 +136,7 @@
 				}
 				time.Sleep(2 * time.Hour)
 				f.expectAll(c.value)
-				// The same edit again has the same result.
+				// A retry of the same edit has the same result.
 				editor.client.SetFunc(nil)
 				_, err = editor.service.Update(t.Context(), docName, edit, add("+"))
 				assert.Assert(t, errors.Is(err, c.err), "%v", err)
@@ -146,14 +146,14 @@
 	}
 }
 
-// storedParts returns how many parts the store has.
+// storedParts returns the number of parts and manifests in the store.
 func (f *fleet) storedParts() int {
-	entries, err := f.store.NewClient().List(context.Background(), keyRoot+docName+"/part/")
+	entries, err := f.store.NewClient().List(context.Background(), keyPrefix+docName+"/part/")
 	assert.NilError(f.t, err)
 	return len(entries)
 }
 
-func TestInterruptedEditIsCollected(t *testing.T) {
+func TestPartsOfInterruptedEditAreCollected(t *testing.T) {
 	inBubble(t, 1, 4, func(t *testing.T, f *fleet) {
 		f.start()
 		f.nodes[0].mustUpdate(set("one"))
@@ -161,11 +161,11 @@
 		_, err := f.nodes[1].update(set("left behind"))
 		assert.ErrorIs(t, err, ErrNotAccepted)
 		assert.Equal(t, f.storedParts(), 4)
-		time.Sleep(50 * time.Minute) // There has been a collection, but they are too young.
+		time.Sleep(50 * time.Minute) // A collection has run, but the parts are younger than CollectAge.
 		assert.Equal(t, f.storedParts(), 4)
 		time.Sleep(3 * time.Hour)
 		assert.Equal(t, f.storedParts(), 2)
-		// What the history refers to is kept, and no more of it than is wanted.
+		// Parts to which the history refers are kept, up to KeepHistory versions.
 		for _, text := range strings.Split("abcdefghijk", "") {
 			f.nodes[2].mustUpdate(set(text))
 		}
@@ -179,9 +179,9 @@
 	})
 }
 
-// An editor that is paused between writing its parts and its head must not make
-// a version whose parts were collected meanwhile.
-func TestLateHeadAfterCollectionIsRefused(t *testing.T) {
+// Guards against an accepted version with missing parts: an editor is paused between
+// writing its parts and its head, and the parts are collected meanwhile.
+func TestDelayedHeadWriteAfterCollectionFails(t *testing.T) {
 	inBubble(t, 1, 4, func(t *testing.T, f *fleet) {
 		f.start()
 		f.nodes[0].mustUpdate(set("one"))
@@ -200,15 +200,16 @@
 	})
 }
 
-// A part that is about to be collected is kept when an edit needs it again.
-func TestPartInUseAgainIsKept(t *testing.T) {
+// Guards against the deletion of a part in use: an edit refers to a part again after
+// the collector has decided to delete it.
+func TestPartReferencedAgainIsNotCollected(t *testing.T) {
 	inBubble(t, 1, 4, func(t *testing.T, f *fleet) {
 		f.start()
 		f.nodes[0].mustUpdate(set("one"))
 		f.nodes[1].client.SetFunc(headWrites(memstore.Fault{Down: true}))
 		_, err := f.nodes[1].update(set("two"))
 		assert.ErrorIs(t, err, ErrNotAccepted)
-		// Each deletion is slow: the edit comes in between its decision and effect.
+		// Deletions are delayed so that the edit falls between decision and effect.
 		deleting := make(chan struct{}, 8)
 		for _, n := range f.nodes {
 			n.client.SetFunc(func(c memstore.Call) memstore.Fault {
@@ -241,7 +242,7 @@
 		assert.Equal(t, f.store.Counts().Writes-before, uint64(2))
 		time.Sleep(time.Second)
 		f.expectAll("two")
-		watching, _ := f.splitHeads(f.nodes)
+		watching, _ := f.splitWatchers(f.nodes)
 		assert.Equal(t, len(watching), 2)
 		assert.Equal(t, f.storedParts(), 0)
 	})
--- a/document/example_test.go
+++ b/document/example_test.go
@@ -11,7 +11,7 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// What one node writes is soon in force on the other.
+// An edit made on one node comes into force on the other.
 func Example() {
 	network := peertest.NewNetwork()
 	defer network.Close()
--- a/document/fixture_test.go
+++ b/document/fixture_test.go
@@ -21,9 +21,9 @@
 
 const docName = "config"
 
-var errBad = errors.New("this one can't be applied")
+var errInvalidValue = errors.New("value can't be applied in this test")
 
-// fleet is a number of light nodes with one store, in one synctest bubble.
+// fleet is a set of lightweight nodes that share one store, in one synctest bubble.
 type fleet struct {
 	t       testing.TB
 	network *peertest.Network
@@ -31,15 +31,15 @@
 	spec    Spec
 	options Options
 	nodes   []*testNode
-	// budgeted nodes use the store within a budget, as real ones do.
+	// budgeted gives the nodes a budget for store calls, as in production.
 	budgeted bool
-	// bad are values that no node can apply.
-	bad string
-	// applied is called when a node puts a value in force.
+	// invalidValue is a value that no node can apply; empty for none.
+	invalidValue string
+	// applied is called when a node applies a version.
 	applied func(n *testNode, version Version)
 }
 
-// testNode is one node, restarted in place.
+// testNode is a node that can be stopped and restarted.
 type testNode struct {
 	fleet   *fleet
 	member  domain.Member
@@ -48,13 +48,13 @@
 	view    atomic.Pointer[membership.Snapshot]
 	stop    context.CancelFunc
 	done    chan struct{}
-	// highest is the latest version ever put in force, over all lives.
+	// highest is the latest version ever applied, across restarts.
 	highest Stamp
 }
 
 func (n *testNode) Current() *membership.Snapshot { return n.view.Load() }
 
-// inBubble runs a test with a fleet that has not started.
+// inBubble runs a test in a synctest bubble, with a fleet that has not started.
 func inBubble(t *testing.T, centres, each int, test func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, centres, each)
@@ -87,7 +87,7 @@
 	return f
 }
 
-// linkDelay is the one-way delay of the brief's larger case.
+// linkDelay returns the one-way delays of the larger reference deployment.
 func linkDelay(from, to domain.Member) time.Duration {
 	if from.DataCentre == to.DataCentre {
 		return 200 * time.Microsecond
@@ -102,7 +102,7 @@
 	f.network.Close()
 }
 
-// start starts nodes that do not run, and tells everyone.
+// start starts the given nodes, or all, and updates the membership of every node.
 func (f *fleet) start(nodes ...*testNode) {
 	if len(nodes) == 0 {
 		nodes = f.nodes
@@ -110,14 +110,14 @@
 	for _, n := range nodes {
 		n.member.Incarnation++
 	}
-	f.share(nil)
+	f.setMembership(nil)
 	for _, n := range nodes {
 		n.launch()
 	}
 }
 
-// share gives every node the same view; the status function may be nil.
-func (f *fleet) share(status func(viewer, of *testNode) membership.Status) {
+// setMembership stores the same members in every node's view; status may be nil.
+func (f *fleet) setMembership(status func(viewer, of *testNode) membership.Status) {
 	for _, viewer := range f.nodes {
 		snapshot := &membership.Snapshot{Self: viewer.member}
 		for _, of := range f.nodes {
@@ -154,7 +154,7 @@
 	}()
 }
 
-// halt ends the node's life; its peers find out by themselves.
+// halt stops the node without informing its peers.
 func (n *testNode) halt() {
 	if n.stop == nil {
 		return
@@ -166,11 +166,11 @@
 }
 
 func (n *testNode) apply(version Version, value []byte) error {
-	if n.fleet.bad != "" && string(value) == n.fleet.bad {
-		return errBad
+	if n.fleet.invalidValue != "" && string(value) == n.fleet.invalidValue {
+		return errInvalidValue
 	}
 	if n.highest.After(version.Stamp) {
-		n.fleet.t.Errorf("%s went from %s to %s", n.member, n.highest, version.Stamp)
+		n.fleet.t.Errorf("%s went back from version %s to %s", n.member, n.highest, version.Stamp)
 	}
 	n.highest = version.Stamp
 	if n.fleet.applied != nil {
@@ -202,7 +202,7 @@
 	return version
 }
 
-// value is what the node has in force; empty for nothing.
+// value returns the value in force on the node; empty for none.
 func (n *testNode) value() string {
 	_, value, _ := n.service.Current(docName)
 	return string(value.Bytes())
@@ -212,7 +212,7 @@
 
 func (n *testNode) condition() Condition { return n.service.Conditions()[0] }
 
-// expectAll fails unless all nodes that run have the value in force.
+// expectAll fails unless all running nodes have the value in force.
 func (f *fleet) expectAll(want string, nodes ...*testNode) {
 	f.t.Helper()
 	if len(nodes) == 0 {
@@ -225,12 +225,12 @@
 	}
 }
 
-// centre returns the nodes of a data centre.
-func (f *fleet) centre(name domain.DataCentre) []*testNode {
+// dataCentre returns the nodes of the named data centre.
+func (f *fleet) dataCentre(name domain.DataCentre) []*testNode {
 	return slices.DeleteFunc(slices.Clone(f.nodes), func(n *testNode) bool { return n.member.DataCentre != name })
 }
 
-func names(nodes []*testNode) []domain.NodeID {
+func nodeIDs(nodes []*testNode) []domain.NodeID {
 	var all []domain.NodeID
 	for _, n := range nodes {
 		all = append(all, n.member.Node)
@@ -238,8 +238,8 @@
 	return all
 }
 
-// splitHead returns the watchers of a data centre and its other nodes.
-func (f *fleet) splitHeads(nodes []*testNode) (watching, others []*testNode) {
+// splitWatchers divides nodes into those that watch the store and the others.
+func (f *fleet) splitWatchers(nodes []*testNode) (watching, others []*testNode) {
 	for _, n := range nodes {
 		if n.condition().Watching {
 			watching = append(watching, n)
--- a/document/follow.go
+++ b/document/follow.go
@@ -7,96 +7,100 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// followHints fetches announced versions, one after another.
-func (r *replica) followHints(ctx context.Context) {
+// processHints processes queued hints sequentially until the context ends.
+func (r *replica) processHints(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case h := <-r.hints:
-			r.follow(ctx, h)
+			r.processHint(ctx, h)
 		}
 	}
 }
 
-// follow fetches an announced version and hands the announcement on.
-func (r *replica) follow(ctx context.Context, h hint) {
+// processHint fetches the version of a hint and forwards its announcement.
+func (r *replica) processHint(ctx context.Context, h hint) {
 	if h.stamp.After(r.stamp()) {
 		r.fetch(ctx, h)
 	}
 	if r.inForce.Load() == nil && r.latest.Load() != nil {
-		r.fetchGood(ctx, h.from)
+		r.fetchLastGood(ctx, h.from)
 	}
-	if h.root != "" && !h.stamp.After(r.stamp()) {
-		r.forward(ctx, h.root, h.stamp)
+	if h.treeRoot != "" && !h.stamp.After(r.stamp()) {
+		r.forward(ctx, h.treeRoot, h.stamp)
 	}
 }
 
-// fetch pulls from the announcer, or else from another node of the data centre.
+// fetch pulls from the peer named in the hint and, if that fails, from a random node
+// of the data centre.
 func (r *replica) fetch(ctx context.Context, h hint) {
-	got, err := r.pull(ctx, h.from, false)
+	pulled, err := r.pull(ctx, h.from, false)
 	if err != nil {
-		other, ok := r.service.peers().anyLocal()
+		other, ok := r.service.peers().randomLocal()
 		if !ok {
 			return
 		}
 		h.from = other
-		got, err = r.pull(ctx, other, false)
+		pulled, err = r.pull(ctx, other, false)
 	}
-	if err != nil || got == nil || !r.adopt(got) {
+	if err != nil || pulled == nil || !r.adopt(pulled) {
 		return
 	}
-	if h.root == "" {
-		r.service.meters.healed.Inc()
+	if h.treeRoot == "" {
+		r.service.counters.antiEntropyFetches.Inc()
 	}
 	if h.from.DataCentre != r.service.options.Transport.Self().DataCentre {
 		r.announceLocal(ctx)
 	}
 }
 
-// fetchGood takes the version that a peer has in force, for a node that has
-// started while the latest one can't be applied.
-func (r *replica) fetchGood(ctx context.Context, from domain.Member) {
+// fetchLastGood pulls and applies the version that a peer has in force. It is for a
+// node that started while the latest version can't be applied.
+func (r *replica) fetchLastGood(ctx context.Context, from domain.Member) {
 	good, err := r.pull(ctx, from, true)
 	if err == nil && good != nil {
-		r.adoptGood(good)
+		r.applyLastGood(good)
 	}
 }
 
-// announceLocal tells the data centre of the version held, as the root of a tree.
+// announceLocal announces the version held to the data centre, with this node as the
+// root of the broadcast tree.
 func (r *replica) announceLocal(ctx context.Context) {
 	r.forward(ctx, r.service.options.Transport.Self().Node, r.stamp())
 }
 
-// announceRemote tells the heads of the other data centres, unless they watch the
-// store themselves.
+// announceRemote announces the version held to the representatives of the other data
+// centres, unless every data centre watches the store.
 func (r *replica) announceRemote(ctx context.Context) {
 	if len(r.spec.WatchDataCentres) == 0 {
 		return
 	}
 	message := announcement{Name: r.spec.Name, Stamp: r.stamp()}
-	for _, to := range r.service.peers().remoteHeads(r.spec.Name, r.service.options.Watchers) {
+	for _, to := range r.service.peers().remoteRepresentatives(r.spec.Name, r.service.options.Watchers) {
 		r.service.send(ctx, to, methodAnnounce, message)
 	}
 }
 
-// forward hands an announcement on to this node's children in the root's tree.
+// forward sends an announcement to this node's children in the broadcast tree, unless
+// that has been done.
 func (r *replica) forward(ctx context.Context, root domain.NodeID, stamp Stamp) {
-	if !r.firstForward(root, stamp) {
+	if !r.markForwarded(root, stamp) {
 		return
 	}
 	p := r.service.peers()
-	message := announcement{Name: r.spec.Name, Stamp: stamp, Root: root}
+	message := announcement{Name: r.spec.Name, Stamp: stamp, TreeRoot: root}
 	for _, child := range treeChildren(root, p.self.Node, stamp.Generation, p.local, r.service.options.Fanout) {
 		r.service.send(ctx, child, methodAnnounce, message)
 	}
 }
 
-// send announces; a lost announcement is healed by anti-entropy.
+// send sends an announcement. Errors are only logged, because anti-entropy recovers
+// from lost announcements.
 func (s *Service) send(ctx context.Context, to domain.Member, method peer.Method, message announcement) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.CallTimeout)
 	defer cancel()
 	if err := peer.Send(ctx, s.options.Transport, to, method, message); err != nil {
-		s.options.Logger.Debug().Stringer("to", to).Err(err).Msg("announcement not sent")
+		s.options.Logger.Debug().Stringer("to", to).Err(err).Msg("sending announcement failed")
 	}
 }
--- a/document/hash.go
+++ b/document/hash.go
@@ -8,8 +8,7 @@
 // Hash is the SHA-256 of a part, or of a manifest.
 type Hash [sha256.Size]byte
 
-// String returns the hash in hexadecimal.
+// String returns the hash in hexadecimal notation.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// hashOf returns the hash of the data.
 func hashOf(data []byte) Hash { return sha256.Sum256(data) }
--- a/document/run.go
+++ b/document/hashrun.go
@@ -2,49 +2,50 @@
 
 import "fmt"
 
-// run is a piece of a manifest, told as a difference to another one: Count
-// hashes of the base from Start, or new ones.
-type run struct {
+// hashRun is an element of a manifest delta. It stands either for Count consecutive
+// hashes of the base manifest from index Start, or for the hashes in New.
+type hashRun struct {
 	Start int    `cbor:"1,keyasint,omitempty"`
 	Count int    `cbor:"2,keyasint,omitempty"`
 	New   []Hash `cbor:"3,keyasint,omitempty"`
 }
 
-// diffManifests tells next as runs of base.
-func diffManifests(base, next []Hash) []run {
+// diffManifests encodes next as a delta to base.
+func diffManifests(base, next []Hash) []hashRun {
 	position := make(map[Hash]int, len(base))
 	for i, h := range base {
 		position[h] = i
 	}
-	var runs []run
+	var runs []hashRun
 	for _, h := range next {
 		runs = appendRun(runs, h, position)
 	}
 	return runs
 }
 
-func appendRun(runs []run, h Hash, position map[Hash]int) []run {
+func appendRun(runs []hashRun, h Hash, position map[Hash]int) []hashRun {
 	at, known := position[h]
 	last := len(runs) - 1
 	switch {
 	case !known && last >= 0 && len(runs[last].New) > 0:
 		runs[last].New = append(runs[last].New, h)
 	case !known:
-		runs = append(runs, run{New: []Hash{h}})
+		runs = append(runs, hashRun{New: []Hash{h}})
 	case last >= 0 && runs[last].Count > 0 && runs[last].Start+runs[last].Count == at:
 		runs[last].Count++
 	default:
-		runs = append(runs, run{Start: at, Count: 1})
+		runs = append(runs, hashRun{Start: at, Count: 1})
 	}
 	return runs
 }
 
-// applyRuns returns the manifest that the runs tell.
-func applyRuns(base []Hash, runs []run) ([]Hash, error) {
+// applyRuns decodes a delta to the base manifest. Runs come from peers or the
+// store, so their bounds are checked.
+func applyRuns(base []Hash, runs []hashRun) ([]Hash, error) {
 	var next []Hash
 	for _, r := range runs {
 		if r.Start < 0 || r.Count < 0 || r.Start > len(base) || r.Count > len(base)-r.Start {
-			return nil, fmt.Errorf("%w: run outside its base", errCorrupt)
+			return nil, fmt.Errorf("%w: delta refers to hashes outside its base manifest", errCorrupt)
 		}
 		next = append(next, base[r.Start:r.Start+r.Count]...)
 		next = append(next, r.New...)
--- a/document/head.go
+++ b/document/head.go
@@ -3,65 +3,65 @@
 import "slices"
 
 const (
-	// editRecords is how many accepted edits a head remembers by identifier.
-	editRecords = 32
-	// refusedRecords is how many edits settled as not accepted it remembers.
-	refusedRecords = 16
+	// maxEditRecords is the number of accepted edits that a head records.
+	maxEditRecords = 32
+	// maxRejectedRecords is the number of rejected edits that a head records.
+	maxRejectedRecords = 16
 )
 
-// head is what the store holds under the head key.
+// head is the value of a document's head key in the store.
 type head struct {
 	Version Version `cbor:"1,keyasint"`
-	// Inline are the parts of a small value without history.
+	// Inline has the parts of a small value, if the document keeps no history.
 	Inline [][]byte `cbor:"2,keyasint,omitempty"`
-	// History are the earlier versions that can still be read, newest first.
+	// History lists the earlier versions that can still be read, newest first.
 	History []Version `cbor:"3,keyasint,omitempty"`
-	// Older are the accepted edits before those of History, newest first.
-	Older []Stamp `cbor:"4,keyasint,omitempty"`
-	// Delta tells the manifest as a difference to an earlier version's, if that is
-	// small: a watcher that has the earlier one need not read the manifest.
+	// OlderEdits lists accepted edits from before those of History, newest first.
+	OlderEdits []Stamp `cbor:"4,keyasint,omitempty"`
+	// Delta encodes the manifest relative to that of an earlier version, if the delta
+	// is small. A watcher that has the earlier version need not read the manifest.
 	Delta *delta `cbor:"6,keyasint,omitempty"`
-	// Refused are edits that were settled as not accepted.
-	Refused []EditID `cbor:"5,keyasint,omitempty"`
+	// Rejected lists edits that ResolveEdit marked as rejected, newest first.
+	Rejected []EditID `cbor:"5,keyasint,omitempty"`
 }
 
-// next returns the head of the version that follows.
+// next returns the head for the version that follows h.
 func (h head) next(version Version, inline [][]byte, keepHistory int) head {
-	next := head{Version: version, Inline: inline, Refused: h.Refused}
+	next := head{Version: version, Inline: inline, Rejected: h.Rejected}
 	if h.Version.Generation == 0 {
 		return next
 	}
-	next.History = firstOf(slices.Concat([]Version{h.Version}, h.History), keepHistory)
-	// The first stamps are this version's and those of the history.
+	next.History = firstN(slices.Concat([]Version{h.Version}, h.History), keepHistory)
+	// The first stamps of edits are those of h itself and of the kept history.
 	older := h.edits()[len(next.History):]
-	next.Older = firstOf(older, max(0, editRecords-1-len(next.History)))
+	next.OlderEdits = firstN(older, max(0, maxEditRecords-1-len(next.History)))
 	return next
 }
 
-// edits returns the accepted edits that are remembered, newest first.
+// edits returns the recorded accepted edits, newest first.
 func (h head) edits() []Stamp {
 	edits := []Stamp{h.Version.Stamp}
 	for _, version := range h.History {
 		edits = append(edits, version.Stamp)
 	}
-	return append(edits, h.Older...)
+	return append(edits, h.OlderEdits...)
 }
 
-// delta is a manifest as a difference to that of the content named by Base.
+// delta encodes a manifest relative to that of the content with root hash Base.
 type delta struct {
-	Base Hash  `cbor:"1,keyasint"`
-	Runs []run `cbor:"2,keyasint"`
+	Base Hash      `cbor:"1,keyasint"`
+	Runs []hashRun `cbor:"2,keyasint"`
 }
 
-// maxDeltaRuns and maxDeltaHashes bound a delta.
+// maxDeltaRuns and maxDeltaNewHashes limit the size of a delta.
 const (
-	maxDeltaRuns   = 32
-	maxDeltaHashes = 32
+	maxDeltaRuns      = 32
+	maxDeltaNewHashes = 32
 )
 
-// manifest returns the version's manifest, if the head's delta and the known
-// versions tell it.
-func (h head) manifest(known ...*held) ([]Hash, bool) {
+// manifest decodes the manifest from the head's delta, if one of the known versions
+// is its base.
+func (h head) manifest(known ...*loadedVersion) ([]Hash, bool) {
 	for _, k := range known {
 		if h.Delta == nil || k == nil || k.content.root != h.Delta.Base {
 			continue
@@ -74,36 +74,36 @@
 	return nil, false
 }
 
-// deltaOf returns the difference between two contents; nil if it isn't small.
-func deltaOf(base *held, next *content) *delta {
+// deltaOf returns the delta from base to next, or nil if it exceeds the limits.
+func deltaOf(base *loadedVersion, next *content) *delta {
 	if base == nil || base.content == nil {
 		return nil
 	}
 	runs := diffManifests(base.content.hashes, next.hashes)
-	fresh := 0
+	newHashes := 0
 	for _, r := range runs {
-		fresh += len(r.New)
+		newHashes += len(r.New)
 	}
-	if len(runs) > maxDeltaRuns || fresh > maxDeltaHashes {
+	if len(runs) > maxDeltaRuns || newHashes > maxDeltaNewHashes {
 		return nil
 	}
 	return &delta{Base: base.content.root, Runs: runs}
 }
 
-// refuse returns the same head with an edit marked as not accepted.
-func (h head) refuse(id EditID) head {
-	h.Refused = firstOf(slices.Concat([]EditID{id}, h.Refused), refusedRecords)
+// reject returns the head with the edit marked as rejected.
+func (h head) reject(id EditID) head {
+	h.Rejected = firstN(slices.Concat([]EditID{id}, h.Rejected), maxRejectedRecords)
 	return h
 }
 
-// accepted returns the version that an edit became.
+// accepted returns the version that the edit created, if the head records it.
 func (h head) accepted(id EditID) (Version, bool) {
 	for _, version := range slices.Concat([]Version{h.Version}, h.History) {
 		if version.Edit == id {
 			return version, true
 		}
 	}
-	for _, stamp := range h.Older {
+	for _, stamp := range h.OlderEdits {
 		if stamp.Edit == id {
 			return Version{Stamp: stamp}, true
 		}
@@ -111,12 +111,12 @@
 	return Version{}, false
 }
 
-// isRefused reports whether the edit was settled as not accepted.
-func (h head) isRefused(id EditID) bool { return slices.Contains(h.Refused, id) }
+// isRejected reports whether the edit is marked as rejected.
+func (h head) isRejected(id EditID) bool { return slices.Contains(h.Rejected, id) }
 
-// covers reports whether all edits after the given generation are remembered, so
-// that an edit which isn't among them certainly was not accepted since.
-func (h head) covers(generation uint64) bool {
+// recordsEditsAfter reports whether the head records all edits after the given
+// generation. An edit that is not among them then definitely was not accepted since.
+func (h head) recordsEditsAfter(generation uint64) bool {
 	next := h.Version.Generation
 	for _, stamp := range h.edits() {
 		if next <= generation || stamp.Generation != next {
@@ -127,7 +127,7 @@
 	return next <= generation
 }
 
-// version finds a version that can still be read.
+// version returns the version with the given generation, if it can still be read.
 func (h head) version(generation uint64) (Version, bool) {
 	for _, version := range slices.Concat([]Version{h.Version}, h.History) {
 		if version.Generation == generation {
@@ -137,4 +137,4 @@
 	return Version{}, false
 }
 
-func firstOf[T any](s []T, n int) []T { return s[:min(n, len(s))] }
+func firstN[T any](s []T, n int) []T { return s[:min(n, len(s))] }
--- a/document/head_test.go
+++ b/document/head_test.go
@@ -8,7 +8,7 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-func TestHeadCovers(t *testing.T) {
+func TestHeadRecordsEditsAfter(t *testing.T) {
 	stamps := func(generations ...uint64) (s []Stamp) {
 		for _, g := range generations {
 			s = append(s, Stamp{Generation: g})
@@ -28,12 +28,12 @@
 		{nil, 3, false},
 	}
 	for _, c := range cases {
-		h := head{Version: Version{Stamp: Stamp{Generation: 5}}, Older: c.older}
-		assert.Equal(t, h.covers(c.base), c.want, "%v since %d", c.older, c.base)
+		h := head{Version: Version{Stamp: Stamp{Generation: 5}}, OlderEdits: c.older}
+		assert.Equal(t, h.recordsEditsAfter(c.base), c.want, "%v since %d", c.older, c.base)
 	}
 }
 
-func TestHeadRemembersEdits(t *testing.T) {
+func TestHeadRecordsEdits(t *testing.T) {
 	for _, keep := range []int{0, 8, 100} {
 		var h head
 		var ids []EditID
@@ -41,18 +41,18 @@
 			ids = append(ids, NewEditID())
 			h = h.next(Version{Stamp: Stamp{Generation: g + 1, Edit: ids[g]}}, nil, keep)
 		}
-		remembered := max(editRecords, keep+1)
+		remembered := max(maxEditRecords, keep+1)
 		assert.Equal(t, len(h.History), keep)
 		assert.Equal(t, len(h.edits()), remembered)
 		for i, id := range ids {
 			_, ok := h.accepted(id)
 			assert.Equal(t, ok, i >= len(ids)-remembered)
 		}
-		assert.Assert(t, h.covers(uint64(200-remembered)) && !h.covers(uint64(199-remembered)))
+		assert.Assert(t, h.recordsEditsAfter(uint64(200-remembered)) && !h.recordsEditsAfter(uint64(199-remembered)))
 	}
 }
 
-func TestManifestDifference(t *testing.T) {
+func TestDiffManifests(t *testing.T) {
 	hashes := func(text string) (all []Hash) {
 		for _, c := range []byte(text) {
 			all = append(all, Hash{c})
@@ -79,7 +79,7 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, got, hashes(c.next))
 	}
-	_, err := applyRuns(hashes("abc"), []run{{Start: 2, Count: 2}})
+	_, err := applyRuns(hashes("abc"), []hashRun{{Start: 2, Count: 2}})
 	assert.ErrorIs(t, err, errCorrupt)
 }
 
--- a/document/history.go
+++ b/document/history.go
@@ -24,13 +24,14 @@
 	return append([]Version{stored.Version}, stored.History...), nil
 }
 
-// Load returns a version and its value: one this node has, or one of the history.
+// Load returns a version and its value, from this node or from the store's current
+// version and history.
 func (s *Service) Load(ctx context.Context, name string, generation uint64) (Version, Value, error) {
 	r, err := s.replica(name)
 	if err != nil {
 		return Version{}, Value{}, err
 	}
-	for _, h := range []*held{r.latest.Load(), r.inForce.Load()} {
+	for _, h := range []*loadedVersion{r.latest.Load(), r.inForce.Load()} {
 		if h != nil && h.version.Generation == generation {
 			return h.version, h.content.value(), nil
 		}
--- a/document/measure_test.go
+++ b/document/measure_test.go
@@ -14,12 +14,12 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// measureAll adds the largest fleet, which takes a minute under the race detector.
-var measureAll = flag.Bool("measure", false, "measure 200 nodes, too")
+// measureAll adds the largest fleet, which takes one minute under the race detector.
+var measureAll = flag.Bool("measure", false, "also measure a fleet of 200 nodes")
 
 type fleetSize struct{ nodes, centres int }
 
-// sizes are the fleets that are measured.
+// sizes returns the fleet sizes to measure.
 func sizes() []fleetSize {
 	all := []fleetSize{{7, 3}, {50, 5}, {200, 5}}
 	if *measureAll {
@@ -28,9 +28,9 @@
 	return all[:2]
 }
 
-// inMeasuredBubble runs a test with nodes spread over data centres, which use the
-// store within their budget.
-func inMeasuredBubble(t *testing.T, nodes, centres int, test func(t *testing.T, f *fleet)) {
+// inSizedBubble runs a test in a bubble with nodes spread over data centres, which
+// use the store within their budget.
+func inSizedBubble(t *testing.T, nodes, centres int, test func(t *testing.T, f *fleet)) {
 	inBubble(t, centres, (nodes+centres-1)/centres, func(t *testing.T, f *fleet) {
 		f.budgeted = true
 		f.nodes = f.nodes[:nodes]
@@ -38,19 +38,20 @@
 	})
 }
 
-// recorder notes when which version came into force.
+// recorder records when each node applied each version.
 type recorder struct {
 	mu sync.Mutex
 	at map[uint64][]time.Time
 }
 
-func (r *recorder) note(_ *testNode, version Version) {
+func (r *recorder) record(_ *testNode, version Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.at[version.Generation] = append(r.at[version.Generation], time.Now())
 }
 
-// sinceAccepted returns for each node how long after acceptance it had the version.
+// sinceAccepted returns the sorted times from acceptance until each node applied the
+// version.
 func (r *recorder) sinceAccepted(generation uint64, accepted time.Time) []time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,20 +69,20 @@
 	return len(r.at[generation])
 }
 
-// TestInForceEverywhere measures, in virtual time with the links' delays of the
-// brief and 2 ms a call of the store, the time from acceptance to in force on
-// every node, and what an edit costs the store.
-func TestInForceEverywhere(t *testing.T) {
+// TestPropagationToAllNodes measures the time from acceptance until a version is in
+// force on every node, and the load on the store, in virtual time. Links have the
+// delays of linkDelay and a call to the store takes 2 ms.
+func TestPropagationToAllNodes(t *testing.T) {
 	const edits = 20
 	for _, size := range sizes() {
 		t.Run(fmt.Sprintf("%d nodes in %d data centres", size.nodes, size.centres), func(t *testing.T) {
-			inMeasuredBubble(t, size.nodes, size.centres, func(t *testing.T, f *fleet) {
+			inSizedBubble(t, size.nodes, size.centres, func(t *testing.T, f *fleet) {
 				r := &recorder{at: make(map[uint64][]time.Time)}
-				f.applied = r.note
+				f.applied = r.record
 				f.start()
 				f.nodes[0].mustUpdate(set(strings.Repeat("x", 2000)))
 				time.Sleep(time.Minute)
-				before, sent := f.store.Counts(), f.sent()
+				before, sent := f.store.Counts(), f.sentBytes()
 				var all, worst []time.Duration
 				for i := range edits {
 					version := f.nodes[i*7%len(f.nodes)].mustUpdate(add("+"))
@@ -97,31 +98,31 @@
 				after := f.store.Counts()
 				nodes := uint64(len(f.nodes))
 				slices.Sort(all)
-				t.Logf("acceptance to in force: median %s, worst of %d edits %s; the store: %.1f writes, %.1f reads and %.1f watches an edit, %d B read an edit; peers: %d B sent a node and edit",
+				t.Logf("acceptance to in force: median %s, maximum of %d edits %s; store, per edit: %.1f writes, %.1f reads, %.1f watches, %d B read; peers: %d B sent per node and edit",
 					all[len(all)/2], edits, slices.Max(worst),
 					float64(after.Writes-before.Writes)/edits, float64(after.Reads-before.Reads)/edits, float64(after.Watches-before.Watches)/edits,
-					(after.BytesRead-before.BytesRead)/edits, uint64(f.sent()-sent)/nodes/edits)
-				quiet, quietSent := f.store.Counts(), f.sent()
+					(after.BytesRead-before.BytesRead)/edits, uint64(f.sentBytes()-sent)/nodes/edits)
+				idleStart, idleSent := f.store.Counts(), f.sentBytes()
 				time.Sleep(10 * time.Minute)
-				rest := f.store.Counts()
-				t.Logf("at rest: the store %.2f calls a second in all, %.1f B/s read; peers %.1f B/s sent a node",
-					float64(rest.Reads+rest.Watches-quiet.Reads-quiet.Watches)/600, float64(rest.BytesRead-quiet.BytesRead)/600,
-					float64(f.sent()-quietSent)/600/float64(nodes))
+				idleEnd := f.store.Counts()
+				t.Logf("idle: store %.2f calls/s in total, %.1f B/s read; peers %.1f B/s sent per node",
+					float64(idleEnd.Reads+idleEnd.Watches-idleStart.Reads-idleStart.Watches)/600, float64(idleEnd.BytesRead-idleStart.BytesRead)/600,
+					float64(f.sentBytes()-idleSent)/600/float64(nodes))
 			})
 		})
 	}
 }
 
-// sent is what the nodes have sent each other, in payload bytes.
-func (f *fleet) sent() int { return f.network.Total(peer.Method("")).Bytes }
+// sentBytes returns the payload bytes that the nodes have sent to each other.
+func (f *fleet) sentBytes() int { return f.network.Total(peer.Method("")).Bytes }
 
-// TestRecoveryAfterAnOutage has the store away for ten minutes, in which every node
-// is restarted, one after another or all at once.
-func TestRecoveryAfterAnOutage(t *testing.T) {
+// TestRecoveryAfterStoreOutage restarts every node during a store outage, one after
+// another within ten minutes or all at once, and measures the time until all are ready.
+func TestRecoveryAfterStoreOutage(t *testing.T) {
 	for _, atOnce := range []bool{false, true} {
 		for _, size := range sizes() {
 			t.Run(fmt.Sprintf("%d nodes, at once %t", size.nodes, atOnce), func(t *testing.T) {
-				inMeasuredBubble(t, size.nodes, size.centres, func(t *testing.T, f *fleet) {
+				inSizedBubble(t, size.nodes, size.centres, func(t *testing.T, f *fleet) {
 					f.start()
 					f.nodes[0].mustUpdate(set("one"))
 					time.Sleep(time.Minute)
@@ -143,7 +144,7 @@
 					f.store.SetDown(false)
 					calls, end := f.store.Counts(), time.Now()
 					peak := make(chan uint64, 1)
-					go func() { peak <- f.callsWithin(time.Second) }()
+					go func() { peak <- f.storeCallsWithin(time.Second) }()
 					assert.Assert(t, f.awaitReady(20*time.Second))
 					took := time.Since(end)
 					version := f.nodes[0].mustUpdate(set("two"))
@@ -152,7 +153,7 @@
 						time.Sleep(10 * time.Millisecond)
 					}
 					after := f.store.Counts()
-					t.Logf("all ready %s after the outage, next edit in force after %s; %d calls, %d in the first second",
+					t.Logf("all nodes ready %s after the outage, next edit in force after %s; %d store calls, %d in the first second",
 						took.Round(time.Millisecond), accepted.Round(time.Millisecond),
 						after.Reads+after.Watches+after.Writes-calls.Reads-calls.Watches-calls.Writes, <-peak)
 				})
@@ -161,15 +162,15 @@
 	}
 }
 
-// callsWithin returns the calls of the store within a time.
-func (f *fleet) callsWithin(d time.Duration) uint64 {
+// storeCallsWithin returns the number of store calls made during d.
+func (f *fleet) storeCallsWithin(d time.Duration) uint64 {
 	before := f.store.Counts()
 	time.Sleep(d)
 	after := f.store.Counts()
 	return after.Reads + after.Watches + after.Writes - before.Reads - before.Watches - before.Writes
 }
 
-// awaitReady waits until all nodes are ready, for so long at most.
+// awaitReady waits up to atMost until all nodes are ready and reports whether they are.
 func (f *fleet) awaitReady(atMost time.Duration) bool {
 	for end := time.Now().Add(atMost); ; time.Sleep(10 * time.Millisecond) {
 		ready := !slices.ContainsFunc(f.nodes, func(n *testNode) bool { return n.service.Ready() != nil })
--- a/document/options.go
+++ b/document/options.go
@@ -20,35 +20,39 @@
 	Members   membership.View
 	Store     store.Store
 	Logger    zerolog.Logger
-	// Metrics gets the package's metrics; nil for none.
+	// Metrics is the set in which the package registers its metrics; it may be nil.
 	Metrics *metrics.Set
 
-	// Watchers is how many nodes of a data centre watch a document's head (2).
+	// Watchers is the number of nodes per data centre that watch a document's head (2).
 	Watchers int
-	// Fanout is to how many peers a node hands an announcement on (8).
+	// Fanout is the number of peers to which a node forwards an announcement (8).
 	Fanout int
-	// AntiEntropyInterval is the mean time between comparisons with a random peer (5 s).
+	// AntiEntropyInterval is the mean time between comparisons with random peers (5 s).
 	AntiEntropyInterval time.Duration
-	// Supervision is the time between looks at the membership (1 s).
+	// SupervisionInterval is the time between checks of whether, under the current
+	// membership, this node has to watch the store. It is also the maximum mean time
+	// between comparisons with peers while the node is not ready (1 s).
 	SupervisionInterval time.Duration
-	// WatchTimeout is how long one watch call waits (45 s).
+	// WatchTimeout limits one watch call to the store (45 s).
 	WatchTimeout time.Duration
-	// StoreTimeout bounds any other call to the store (5 s).
+	// StoreTimeout limits any other call to the store (5 s).
 	StoreTimeout time.Duration
-	// CallTimeout bounds a call to a peer (2 s).
+	// CallTimeout limits a call to a peer (2 s).
 	CallTimeout time.Duration
-	// EditTimeout bounds an Update with all its attempts (15 s).
+	// EditTimeout limits an Update or ResolveEdit, including all attempts (15 s).
 	EditTimeout time.Duration
-	// RepairDelay is for how long the store must be behind before a watcher writes
-	// its own version back (10 s).
+	// RepairDelay is the minimum time for which the store must be behind before a
+	// watcher writes its own version back (10 s).
 	RepairDelay time.Duration
-	// MaxRetryDelay bounds the backoff after an error of the store (2 s).
+	// MaxRetryDelay limits the backoff of a watcher after store errors (2 s).
 	MaxRetryDelay time.Duration
-	// CollectInterval is the time between collections of parts that nothing refers
-	// to (30 min); CollectAge is how long they must have been so (1 h).
+	// CollectInterval is the mean time between garbage collections of unreferenced
+	// parts (30 min). CollectAge is how long a part must have been unreferenced
+	// before it is deleted (1 h).
 	CollectInterval time.Duration
 	CollectAge      time.Duration
-	// PageBytes bounds the parts in one reply to a peer (128 KiB).
+	// PageBytes limits the total size of the parts in one reply to a peer, except that
+	// the first part is always sent (128 KiB).
 	PageBytes int
 }
 
--- a/document/peers.go
+++ b/document/peers.go
@@ -10,7 +10,7 @@
 	"hawthornrill.example/hawthornrill/membership"
 )
 
-// peers is what the package needs to know of the other nodes, at one moment.
+// peers has the reachable members of a membership snapshot by data centre.
 type peers struct {
 	self  domain.Member
 	local []domain.Member
@@ -18,8 +18,8 @@
 	remote map[domain.DataCentre][]domain.Member
 }
 
-// peersOf sorts the reachable members by data centre. Leaving nodes count: they
-// serve until they end. local includes the node itself.
+// peersOf groups the reachable members by data centre. Leaving nodes are included
+// because they serve until they stop. local includes the node itself.
 func peersOf(snapshot *membership.Snapshot, self domain.Member) peers {
 	p := peers{self: self, remote: make(map[domain.DataCentre][]domain.Member)}
 	p.local = append(p.local, self)
@@ -39,55 +39,60 @@
 	return p
 }
 
-// others returns the local members but the node itself.
+// others returns the local members except the node itself.
 func (p peers) others() []domain.Member {
 	return slices.DeleteFunc(slices.Clone(p.local), p.isSelf)
 }
 
 func (p peers) isSelf(m domain.Member) bool { return m.Node == p.self.Node }
 
-// heads returns the members of a data centre that speak for it about a document.
-func heads(name string, members []domain.Member, count int) []domain.Member {
-	return firstOf(ranked(name, members), count)
+// representatives returns the first members in rendezvous order for the name, which
+// as a rule is a document's. They act for their data centre: they watch the store,
+// compare with other data centres and answer status queries.
+func representatives(name string, members []domain.Member, count int) []domain.Member {
+	return firstN(ranked(name, members), count)
 }
 
-// isHead reports whether the node is one of its data centre's heads.
-func (p peers) isHead(name string, count int) bool {
-	return slices.ContainsFunc(heads(name, p.local, count), p.isSelf)
+// isRepresentative reports whether the node is one of its data centre's
+// representatives for the document.
+func (p peers) isRepresentative(name string, count int) bool {
+	return slices.ContainsFunc(representatives(name, p.local, count), p.isSelf)
 }
 
-// remoteHeads returns the heads of all other data centres.
-func (p peers) remoteHeads(name string, count int) []domain.Member {
+// remoteRepresentatives returns the representatives of all other data centres.
+func (p peers) remoteRepresentatives(name string, count int) []domain.Member {
 	var all []domain.Member
 	for _, members := range p.remote {
-		all = append(all, heads(name, members, count)...)
+		all = append(all, representatives(name, members, count)...)
 	}
 	return all
 }
 
-// anyLocal returns a random other member of the data centre.
-func (p peers) anyLocal() (domain.Member, bool) { return anyOf(p.others()) }
+// randomLocal returns a random other member of the local data centre.
+func (p peers) randomLocal() (domain.Member, bool) { return randomMember(p.others()) }
 
-// partnerCentres is with how many other data centres one compares. They stay the
-// same, so that links to them stay open; over few steps they reach all.
-const partnerCentres = 3
+// maxPartnerDataCentres is the maximum number of other data centres that a data
+// centre compares with. They stay the same so that links to them stay open. Versions reach
+// all data centres over a few hops.
+const maxPartnerDataCentres = 3
 
-// anyPartner returns a random node of those that the data centre compares with.
-func (p peers) anyPartner(watchers int) (domain.Member, bool) {
+// randomPartner returns a random representative of the partner data centres.
+func (p peers) randomPartner(watchers int) (domain.Member, bool) {
 	centres := slices.Collect(maps.Keys(p.remote))
 	rank := func(centre domain.DataCentre) uint64 { return score(string(p.self.DataCentre), domain.NodeID(centre)) }
 	slices.SortFunc(centres, func(a, b domain.DataCentre) int { return cmp.Compare(rank(a), rank(b)) })
 	var partners []domain.Member
-	for _, centre := range firstOf(centres, partnerCentres) {
-		partners = append(partners, heads(partnerKey, p.remote[centre], watchers)...)
+	for _, centre := range firstN(centres, maxPartnerDataCentres) {
+		partners = append(partners, representatives(partnerRankKey, p.remote[centre], watchers)...)
 	}
-	return anyOf(partners)
+	return randomMember(partners)
 }
 
-// partnerKey chooses the nodes that other data centres compare with.
-const partnerKey = "partners"
+// partnerRankKey is the rendezvous key that selects the nodes with which other data
+// centres compare.
+const partnerRankKey = "partners"
 
-func anyOf(members []domain.Member) (domain.Member, bool) {
+func randomMember(members []domain.Member) (domain.Member, bool) {
 	if len(members) == 0 {
 		return domain.Member{}, false
 	}
--- a/document/rendezvous.go
+++ b/document/rendezvous.go
@@ -9,8 +9,8 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// ranked returns the members in rendezvous order for the key: every node with
-// the same members gets the same order.
+// ranked returns the members in rendezvous-hashing order for the key. Nodes with the
+// same set of members compute the same order.
 func ranked(key string, members []domain.Member) []domain.Member {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b domain.Member) int {
--- a/document/repair.go
+++ b/document/repair.go
@@ -9,56 +9,57 @@
 	"hawthornrill.example/hawthornrill/store/budget"
 )
 
-// mendStore writes this node's version back into a store that has been behind
-// for a while: it was restored from an old copy. An old value read by chance
-// does not last, and a write against its revision fails.
-func (w *watcher) mendStore(ctx context.Context, h head, revision store.Revision) error {
+// repairWhenDue writes this node's version back into the store once the store has been
+// behind for RepairDelay, which means that it was restored from an old backup. A
+// stale read does not persist that long, and a write against its revision fails.
+func (w *watcher) repairWhenDue(ctx context.Context, h head, revision store.Revision) error {
 	if w.behindSince.IsZero() {
 		w.behindSince = time.Now()
 		w.repairAt = w.behindSince.Add(w.options().RepairDelay + jitter(w.options().RepairDelay/2))
 		w.replica.service.options.Logger.Warn().Str("document", w.replica.spec.Name).
 			Uint64("store", h.Version.Generation).Uint64("held", w.replica.stamp().Generation).
-			Msg("the store is behind this node")
+			Msg("store has an earlier version than this node")
 	}
 	if time.Now().Before(w.repairAt) {
 		return nil
 	}
 	err := w.replica.repair(budget.WithPurpose(ctx, budget.PurposeRepair), h, revision)
 	if err != nil {
-		return fmt.Errorf("repair the store: %w", err)
+		return fmt.Errorf("repair store: %w", err)
 	}
 	w.behindSince = time.Time{}
 	return nil
 }
 
-// repair makes the version held the store's head again.
+// repair writes the version held to the store as its head.
 func (r *replica) repair(ctx context.Context, stored head, revision store.Revision) error {
-	mine := r.latest.Load()
-	inline, err := r.putValue(ctx, mine.content, stored)
+	local := r.latest.Load()
+	inline, err := r.putValue(ctx, local.content, stored)
 	if err != nil {
 		return err
 	}
-	next := stored.next(mine.version, inline, r.spec.KeepHistory)
+	next := stored.next(local.version, inline, r.spec.KeepHistory)
 	if err := r.storage.writeHead(ctx, next, revision); err != nil {
 		return err
 	}
-	r.service.meters.repairs.Inc()
+	r.service.counters.storeRepairs.Inc()
 	r.service.options.Logger.Warn().Str("document", r.spec.Name).
-		Uint64("generation", mine.version.Generation).Msg("wrote the version held back into the store")
+		Uint64("generation", local.version.Generation).Msg("restored the version held to the store")
 	return nil
 }
 
-// putValue stores a content: small ones without history go into the head, which
-// the result is for, others are written in parts.
+// putValue stores a content. If it is small and the document keeps no history, it
+// only returns the parts to be stored inline in the head. Otherwise it writes the
+// parts and returns nil.
 func (r *replica) putValue(ctx context.Context, c *content, stored head) (inline [][]byte, err error) {
-	if r.spec.KeepHistory == 0 && c.size <= inlineBytes {
+	if r.spec.KeepHistory == 0 && c.size <= maxInlineBytes {
 		return c.parts, nil
 	}
 	return nil, r.storage.putContent(ctx, c, r.storedHashes(ctx, stored))
 }
 
-// storedHashes returns the parts that the stored head refers to; none if they
-// can't be told, whereupon all are written.
+// storedHashes returns the hashes of the parts that the stored head refers to, or nil
+// if its manifest can't be loaded. All parts are then written.
 func (r *replica) storedHashes(ctx context.Context, stored head) []Hash {
 	if stored.Version.Generation == 0 || len(stored.Inline) > 0 {
 		return nil
--- a/document/replica.go
+++ b/document/replica.go
@@ -10,42 +10,44 @@
 )
 
 const (
-	// recentManifests is how many versions a node can tell differences to.
-	recentManifests = 8
-	// hintQueue bounds the announcements that wait; more are dropped and healed by
-	// anti-entropy.
-	hintQueue = 64
+	// maxRecentManifests is the number of recent versions that a node can use as bases
+	// of deltas.
+	maxRecentManifests = 8
+	// hintQueueSize limits the queued announcements. Further ones are dropped;
+	// anti-entropy finds those versions later.
+	hintQueueSize = 64
 )
 
-// replica is a document on this node.
+// replica is the local copy of a document.
 type replica struct {
 	service *Service
 	spec    Spec
 	storage storage
 	hints   chan hint
 
-	latest  atomic.Pointer[held]
-	inForce atomic.Pointer[held]
+	latest  atomic.Pointer[loadedVersion]
+	inForce atomic.Pointer[loadedVersion]
 
-	// applying makes adoptions follow one another.
-	applying sync.Mutex
+	// adoptMu serializes changes of latest and inForce.
+	adoptMu sync.Mutex
 
 	mu        sync.Mutex
-	recent    []manifestOf
+	recent    []stampedManifest
 	condition Condition
 	since     time.Time
 	forwarded map[domain.NodeID]Stamp
 }
 
-// hint tells where a version may be had.
+// hint names a peer that may have a version. treeRoot is the root of the broadcast
+// tree of an announcement; it is empty for other hints.
 type hint struct {
-	stamp Stamp
-	from  domain.Member
-	root  domain.NodeID
+	stamp    Stamp
+	from     domain.Member
+	treeRoot domain.NodeID
 }
 
-// manifestOf is a version's manifest.
-type manifestOf struct {
+// stampedManifest is a version's stamp and manifest.
+type stampedManifest struct {
 	stamp  Stamp
 	hashes []Hash
 }
@@ -55,39 +57,39 @@
 		service:   s,
 		spec:      spec,
 		storage:   storage{store: s.options.Store, name: spec.Name, timeout: s.options.StoreTimeout},
-		hints:     make(chan hint, hintQueue),
+		hints:     make(chan hint, hintQueueSize),
 		condition: Condition{Name: spec.Name},
 		forwarded: make(map[domain.NodeID]Stamp),
 	}
 }
 
-// adopt takes a version if it is later than the one held, and applies it. It
-// reports whether it took it; an error of Apply goes into the condition.
-func (r *replica) adopt(h *held) bool {
-	r.applying.Lock()
-	defer r.applying.Unlock()
+// adopt stores and applies a version if it is later than the one held. It reports
+// whether it was; an error of Apply is recorded in the condition.
+func (r *replica) adopt(h *loadedVersion) bool {
+	r.adoptMu.Lock()
+	defer r.adoptMu.Unlock()
 	before := r.latest.Load()
 	if !h.version.After(before.stamp()) {
 		return false
 	}
 	r.latest.Store(h)
-	r.noteHeld(h, before)
+	r.recordHeld(h, before)
 	r.apply(h)
 	return true
 }
 
-// adoptGood puts an earlier version in force on a node that has just started and
-// can't apply the latest one.
-func (r *replica) adoptGood(h *held) {
-	r.applying.Lock()
-	defer r.applying.Unlock()
+// applyLastGood puts an earlier version in force on a node that started while the
+// latest version can't be applied.
+func (r *replica) applyLastGood(h *loadedVersion) {
+	r.adoptMu.Lock()
+	defer r.adoptMu.Unlock()
 	if h.version.After(r.inForce.Load().stamp()) {
 		r.apply(h)
 	}
 }
 
-// apply puts a version in force, or notes why it can't be.
-func (r *replica) apply(h *held) {
+// apply puts a version in force, or records why it can't be applied.
+func (r *replica) apply(h *loadedVersion) {
 	var err error
 	if r.spec.Apply != nil {
 		err = r.spec.Apply(h.version, h.content.value().Bytes())
@@ -95,10 +97,10 @@
 	if err == nil {
 		r.inForce.Store(h)
 	}
-	r.noteApplied(h, err)
+	r.recordApplied(h, err)
 }
 
-func (r *replica) noteHeld(h, before *held) {
+func (r *replica) recordHeld(h, before *loadedVersion) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.condition.Held = h.version.Stamp
@@ -106,19 +108,19 @@
 		r.condition.Displaced = before.stamp()
 		r.service.options.Logger.Error().Str("document", r.spec.Name).
 			Stringer("displaced", before.stamp()).Stringer("by", h.version.Stamp).
-			Msg("two accepted versions have the same generation")
+			Msg("version displaced by another one with the same generation")
 	}
-	r.recent = firstOf(slices.Concat([]manifestOf{{h.version.Stamp, h.content.hashes}}, r.recent), recentManifests)
+	r.recent = firstN(slices.Concat([]stampedManifest{{h.version.Stamp, h.content.hashes}}, r.recent), maxRecentManifests)
 }
 
-func (r *replica) noteApplied(h *held, err error) {
+func (r *replica) recordApplied(h *loadedVersion, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
 		r.condition.Error = err.Error()
-		r.service.meters.applyErrors.Inc()
+		r.service.counters.applyErrors.Inc()
 		r.service.options.Logger.Error().Str("document", r.spec.Name).
-			Uint64("generation", h.version.Generation).Err(err).Msg("version can't be applied")
+			Uint64("generation", h.version.Generation).Err(err).Msg("version could not be applied")
 		return
 	}
 	r.condition.InForce = h.version.Stamp
@@ -127,10 +129,10 @@
 		r.condition.Error = ""
 	}
 	r.service.options.Logger.Info().Str("document", r.spec.Name).
-		Uint64("generation", h.version.Generation).Msg("version in force")
+		Uint64("generation", h.version.Generation).Msg("version applied")
 }
 
-// manifest returns the hashes of a version held not long ago.
+// manifest returns the part hashes of a recently held version.
 func (r *replica) manifest(stamp Stamp) ([]Hash, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,19 +144,19 @@
 	return nil, false
 }
 
-// stamp is that of the latest version held.
+// stamp returns the stamp of the latest version held.
 func (r *replica) stamp() Stamp { return r.latest.Load().stamp() }
 
-// offer queues a hint, or drops it if too many wait.
-func (r *replica) offer(h hint) {
+// enqueueHint queues a hint, or drops it if the queue is full.
+func (r *replica) enqueueHint(h hint) {
 	select {
 	case r.hints <- h:
 	default:
 	}
 }
 
-// status returns the condition as it is now.
-func (r *replica) status() Condition {
+// currentCondition returns the condition with InForceFor filled in.
+func (r *replica) currentCondition() Condition {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.condition
@@ -164,22 +166,22 @@
 	return c
 }
 
-// setCondition changes the condition under its lock.
-func (r *replica) setCondition(change func(c *Condition)) {
+// updateCondition changes the condition while holding r.mu.
+func (r *replica) updateCondition(change func(c *Condition)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.condition)
 }
 
-// firstForward reports whether the announcement has not been handed on yet in
-// the tree of that root, and notes that it has.
-func (r *replica) firstForward(root domain.NodeID, stamp Stamp) bool {
+// markForwarded records that the announcement is forwarded in the broadcast tree with
+// that root. It returns false if this or a later one already was.
+func (r *replica) markForwarded(root domain.NodeID, stamp Stamp) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !stamp.After(r.forwarded[root]) {
 		return false
 	}
-	if len(r.forwarded) > hintQueue {
+	if len(r.forwarded) > hintQueueSize {
 		clear(r.forwarded)
 	}
 	r.forwarded[root] = stamp
--- a/document/settle.go
+++ b/document/resolve.go
@@ -9,10 +9,11 @@
 	"hawthornrill.example/hawthornrill/store/budget"
 )
 
-// Settle tells what became of an edit that ended with ErrUnknownOutcome, on any
-// node: the version that it became, or ErrNotAccepted, after which it will never
-// be accepted, or ErrUnknownOutcome while the store can't tell. The edit was made
-// when the document had at least the base generation.
+// ResolveEdit determines the outcome of an edit that ended with ErrUnknownOutcome. It
+// may be called on any node. It returns the version that the edit created, or
+// ErrNotAccepted, after which the edit will never be accepted, or ErrUnknownOutcome
+// if the store does not answer or no longer records all edits since base. base is a
+// generation that the document had reached when the edit was made.
 func (s *Service) ResolveEdit(ctx context.Context, name string, id EditID, base uint64) (Version, error) {
 	r, err := s.replica(name)
 	if err != nil {
@@ -21,19 +22,19 @@
 	ctx, cancel := context.WithTimeout(budget.WithPurpose(ctx, budget.PurposeEdit), s.options.EditTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		version, err := r.trySettle(ctx, id, base)
+		version, err := r.tryResolveEdit(ctx, id, base)
 		if !errors.Is(err, errConflict) {
 			return version, err
 		}
-		pause(ctx, storeRetry)
+		pause(ctx, meanStoreRetryDelay)
 	}
 	return Version{}, fmt.Errorf("%w: edit %s: %w", ErrUnknownOutcome, id, context.Cause(ctx))
 }
 
-// trySettle looks for the edit. If it isn't there, the head is written again with
-// the edit marked as refused: a write that is still on its way then meets
-// another revision, and an attempt that starts later meets the mark.
-func (r *replica) trySettle(ctx context.Context, id EditID, base uint64) (Version, error) {
+// tryResolveEdit looks the edit up in the head. If it is not recorded, the head is
+// rewritten with the edit marked as rejected: a write still in flight then fails
+// because the revision has changed, and a later attempt finds the mark.
+func (r *replica) tryResolveEdit(ctx context.Context, id EditID, base uint64) (Version, error) {
 	stored, revision, err := r.storage.readHead(ctx)
 	if err != nil {
 		return Version{}, fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
@@ -41,13 +42,13 @@
 	if version, ok := stored.accepted(id); ok {
 		return version, nil
 	}
-	if stored.isRefused(id) {
+	if stored.isRejected(id) {
 		return Version{}, ErrNotAccepted
 	}
-	if !stored.covers(base) {
-		return Version{}, fmt.Errorf("%w: too many edits since generation %d", ErrUnknownOutcome, base)
+	if !stored.recordsEditsAfter(base) {
+		return Version{}, fmt.Errorf("%w: edits since generation %d are no longer all recorded", ErrUnknownOutcome, base)
 	}
-	err = r.storage.writeHead(ctx, stored.refuse(id), revision)
+	err = r.storage.writeHead(ctx, stored.reject(id), revision)
 	switch {
 	case err == nil:
 		return Version{}, ErrNotAccepted
--- a/document/service.go
+++ b/document/service.go
@@ -13,45 +13,45 @@
 	"hawthornrill.example/hawthornrill/membership"
 )
 
-// Service keeps a node's documents.
+// Service replicates documents on a node.
 type Service struct {
-	options Options
-	meters  meters
-	started time.Time
+	options  Options
+	counters counters
+	started  time.Time
 
 	mu       sync.RWMutex
 	replicas map[string]*replica
-	// group runs the replicas' goroutines while the service runs.
+	// group runs the replicas' goroutines; it is nil before Run.
 	group *errgroup.Group
 	ctx   context.Context
 
 	bootstrapped atomic.Bool
 	cached       atomic.Pointer[peersCache]
-	rounds       uint64
+	comparisons  uint64
 }
 
-// New returns a service without documents and registers its peer methods. The
-// transport must not have started.
+// New returns a service without documents and registers its peer methods. It must
+// be called before the transport starts.
 func New(options Options) (*Service, error) {
 	if err := options.check(); err != nil {
 		return nil, err
 	}
 	s := &Service{
 		options:  options.withDefaults(),
-		meters:   newMeters(options.Metrics),
+		counters: newCounters(options.Metrics),
 		started:  time.Now(),
 		replicas: make(map[string]*replica),
 	}
-	s.handlePeers()
+	s.registerHandlers()
 	return s, nil
 }
 
-// Register adds a document, before Run or while it runs.
+// Register adds a document. It may be called before or during Run.
 func (s *Service) Register(spec Spec) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.replicas[spec.Name]; ok || spec.Name == "" {
-		return fmt.Errorf("document: name %q is empty or registered twice", spec.Name)
+		return fmt.Errorf("document: name %q is empty or already registered", spec.Name)
 	}
 	r := newReplica(s, spec)
 	s.replicas[spec.Name] = r
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Run keeps the documents up to date until the context ends. It may be called
+// Run keeps the documents up to date until the context ends. It may be called only
 // once.
 func (s *Service) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
@@ -76,15 +76,15 @@
 	return group.Wait()
 }
 
-// start runs a replica's goroutines; the lock is held.
+// start starts a replica's goroutines. The caller must hold s.mu.
 func (s *Service) start(r *replica) {
 	ctx := s.ctx
-	s.group.Go(func() error { r.followHints(ctx); return nil })
+	s.group.Go(func() error { r.processHints(ctx); return nil })
 	s.group.Go(func() error { r.supervise(ctx); return nil })
 }
 
-// context is the running service's, or one that never ends before Run.
-func (s *Service) context() context.Context {
+// runContext returns the context of Run, or a background context before Run.
+func (s *Service) runContext() context.Context {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if s.ctx == nil {
@@ -93,13 +93,13 @@
 	return s.ctx
 }
 
-// Ready returns nil once every document that isn't optional has a version in
-// force and the peers have been asked, else an error that names what is missing.
+// Ready returns nil once the initial query of the peers is complete and every
+// required document has a version in force. Otherwise the error says what is missing.
 func (s *Service) Ready() error {
 	if !s.bootstrapped.Load() {
-		return fmt.Errorf("%w: peers not asked yet", ErrNotReady)
+		return fmt.Errorf("%w: initial query of the peers is not complete", ErrNotReady)
 	}
-	for _, r := range s.all() {
+	for _, r := range s.sortedReplicas() {
 		if !r.spec.Optional && r.inForce.Load() == nil {
 			return fmt.Errorf("%w: %s", ErrNotReady, r.spec.Name)
 		}
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// Current returns the version in force and its value, which must not be
-// changed; ok is false if there is none.
+// Current returns the version in force and its value, which the caller must not
+// modify. ok is false if no version is in force.
 func (s *Service) Current(name string) (version Version, value Value, ok bool) {
 	r, err := s.replica(name)
 	if err != nil {
@@ -121,11 +121,11 @@
 	return h.version, h.content.value(), true
 }
 
-// Conditions returns how the documents stand on this node, by name.
+// Conditions returns the conditions of the documents on this node, sorted by name.
 func (s *Service) Conditions() []Condition {
 	var conditions []Condition
-	for _, r := range s.all() {
-		conditions = append(conditions, r.status())
+	for _, r := range s.sortedReplicas() {
+		conditions = append(conditions, r.currentCondition())
 	}
 	return conditions
 }
@@ -140,8 +140,8 @@
 	return r, nil
 }
 
-// all returns the replicas by name.
-func (s *Service) all() []*replica {
+// sortedReplicas returns the replicas sorted by document name.
+func (s *Service) sortedReplicas() []*replica {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	all := make([]*replica, 0, len(s.replicas))
@@ -157,13 +157,13 @@
 	return all
 }
 
-// peersCache is what was made of a membership snapshot.
+// peersCache has the peers derived from a membership snapshot.
 type peersCache struct {
 	snapshot *membership.Snapshot
 	peers    peers
 }
 
-// peers returns the reachable nodes at this moment. They must not be changed.
+// peers returns the currently reachable nodes. The caller must not modify them.
 func (s *Service) peers() peers {
 	snapshot := s.options.Members.Current()
 	if cached := s.cached.Load(); cached != nil && cached.snapshot == snapshot {
--- a/document/service_test.go
+++ b/document/service_test.go
@@ -28,16 +28,16 @@
 		time.Sleep(100 * time.Millisecond)
 		f.expectAll("two")
 		assert.NilError(t, f.nodes[14].service.Ready())
-		watching, _ := f.splitHeads(f.nodes)
+		watching, _ := f.splitWatchers(f.nodes)
 		assert.Equal(t, len(watching), 6)
-		// 1 part, 1 manifest, 1 head; nobody but the editor and the watchers reads.
+		// 1 part, 1 manifest and 1 head are written; only the editor and the watchers read.
 		assert.Equal(t, f.store.Counts().Writes-before.Writes, uint64(3))
 		again := f.nodes[1].mustUpdate(set("two"))
 		assert.Equal(t, again.Generation, uint64(2))
 	})
 }
 
-func TestLostAnnouncementsAreHealed(t *testing.T) {
+func TestLostAnnouncementsAreRecovered(t *testing.T) {
 	inBubble(t, 2, 12, func(t *testing.T, f *fleet) {
 		f.start()
 		f.nodes[0].mustUpdate(set("one"))
@@ -52,22 +52,22 @@
 	})
 }
 
-func TestDataCentreWithoutStoreIsToldByPeers(t *testing.T) {
+func TestDataCentreWithoutStoreLearnsFromPeers(t *testing.T) {
 	inBubble(t, 2, 8, func(t *testing.T, f *fleet) {
 		f.start()
 		f.nodes[0].mustUpdate(set("one"))
 		time.Sleep(time.Minute)
-		for _, n := range f.centre("dc1") {
+		for _, n := range f.dataCentre("dc1") {
 			n.client.SetDown(true)
 		}
-		// The editor's own announcements are lost, too.
+		// The editor's own announcements are lost as well.
 		f.network.Intercept(func(from, _ domain.NodeID, method peer.Method, _ bool) peertest.Action {
 			return peertest.Action{Drop: method == methodAnnounce && from == f.nodes[0].member.Node}
 		})
 		f.nodes[0].mustUpdate(set("two"))
 		time.Sleep(20 * time.Second)
 		f.expectAll("two")
-		watching, _ := f.splitHeads(f.centre("dc1"))
+		watching, _ := f.splitWatchers(f.dataCentre("dc1"))
 		assert.Assert(t, watching[0].condition().StoreError != "")
 	})
 }
@@ -77,21 +77,21 @@
 		f.start()
 		f.nodes[0].mustUpdate(set("one"))
 		time.Sleep(time.Minute)
-		f.network.Partition(names(f.centre("dc0")), names(f.centre("dc1")))
-		for _, n := range f.centre("dc1") {
+		f.network.Partition(nodeIDs(f.dataCentre("dc0")), nodeIDs(f.dataCentre("dc1")))
+		for _, n := range f.dataCentre("dc1") {
 			n.client.SetDown(true)
 		}
 		f.nodes[0].mustUpdate(set("two"))
 		time.Sleep(10 * time.Minute)
-		f.expectAll("two", f.centre("dc0")...)
-		f.expectAll("one", f.centre("dc1")...)
+		f.expectAll("two", f.dataCentre("dc0")...)
+		f.expectAll("one", f.dataCentre("dc1")...)
 		f.network.HealAll()
 		time.Sleep(20 * time.Second)
 		f.expectAll("two")
 	})
 }
 
-func TestOldValueReadChangesNothing(t *testing.T) {
+func TestStaleStoreReadIsIgnored(t *testing.T) {
 	inBubble(t, 1, 5, func(t *testing.T, f *fleet) {
 		f.start()
 		f.nodes[0].mustUpdate(set("one"))
@@ -111,31 +111,31 @@
 	})
 }
 
-func TestStoreRestoredFromAnOldCopy(t *testing.T) {
-	for name, copyOf := range map[string]func(f *fleet) memstore.Copy{
-		"old copy": func(f *fleet) memstore.Copy { return f.store.Save() },
-		"emptied":  func(*fleet) memstore.Copy { return memstore.New(memstore.Options{}).Save() },
+func TestStoreRestoredFromOldBackup(t *testing.T) {
+	for name, backupOf := range map[string]func(f *fleet) memstore.Copy{
+		"old backup": func(f *fleet) memstore.Copy { return f.store.Save() },
+		"emptied":    func(*fleet) memstore.Copy { return memstore.New(memstore.Options{}).Save() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, 2, 4, func(t *testing.T, f *fleet) {
 				f.start()
 				f.nodes[0].mustUpdate(set("one"))
-				old := copyOf(f)
+				backup := backupOf(f)
 				f.nodes[0].mustUpdate(set("two"))
 				f.nodes[0].mustUpdate(set("three"))
 				time.Sleep(time.Minute)
-				f.store.Restore(old)
-				// An edit goes on from what was accepted, not from the copy.
+				f.store.Restore(backup)
+				// An edit builds on the last accepted version, not on the restored one.
 				version := f.nodes[5].mustUpdate(add("+"))
 				assert.Equal(t, version.Generation, uint64(4))
 				time.Sleep(time.Minute)
 				f.expectAll("three+")
 
-				f.store.Restore(old)
+				f.store.Restore(backup)
 				var reported bool
 				for range 120 {
 					time.Sleep(time.Second)
-					watching, _ := f.splitHeads(f.nodes)
+					watching, _ := f.splitWatchers(f.nodes)
 					reported = reported || watching[0].condition().StoreBehind
 				}
 				assert.Assert(t, reported)
@@ -145,7 +145,7 @@
 				history, err := f.nodes[0].service.History(t.Context(), docName)
 				assert.NilError(t, err)
 				assert.Equal(t, history[0].Generation, uint64(4))
-				// A node that knows nothing but the store has the same.
+				// Nodes restarted without running peers load the same version from the store.
 				for _, n := range f.nodes {
 					n.halt()
 				}
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestRestartDuringAnOutage(t *testing.T) {
+func TestRestartDuringStoreOutage(t *testing.T) {
 	inBubble(t, 2, 5, func(t *testing.T, f *fleet) {
 		f.start()
 		f.nodes[0].mustUpdate(set("one"))
@@ -184,13 +184,13 @@
 	})
 }
 
-func TestStartTakesTheHighestOfItsPeers(t *testing.T) {
+func TestBootstrapTakesHighestPeerVersion(t *testing.T) {
 	inBubble(t, 1, 6, func(t *testing.T, f *fleet) {
 		f.start()
 		f.nodes[0].mustUpdate(set("one"))
 		time.Sleep(time.Minute)
 		f.store.SetDown(true)
-		// Only one node knows the latest version.
+		// Only one node has the latest version.
 		last := f.nodes[4]
 		f.network.Intercept(func(from, to domain.NodeID, method peer.Method, _ bool) peertest.Action {
 			touches := from == last.member.Node || to == last.member.Node
@@ -206,9 +206,9 @@
 	})
 }
 
-func TestVersionThatCannotBeApplied(t *testing.T) {
+func TestVersionThatFailsToApply(t *testing.T) {
 	inBubble(t, 1, 6, func(t *testing.T, f *fleet) {
-		f.bad = "bad"
+		f.invalidValue = "bad"
 		f.start()
 		f.nodes[0].mustUpdate(set("good"))
 		time.Sleep(time.Minute)
@@ -217,11 +217,11 @@
 		f.expectAll("good")
 		for _, n := range f.nodes {
 			c := n.condition()
-			assert.Equal(t, c.Error, errBad.Error())
+			assert.Equal(t, c.Error, errInvalidValue.Error())
 			assert.Equal(t, c.Held.Generation, uint64(2))
 			assert.Equal(t, c.InForce.Generation, uint64(1))
 		}
-		// Nodes restarted meanwhile take the last good one of their peers.
+		// Restarted nodes take the last good version from their peers.
 		for _, n := range f.nodes {
 			n.halt()
 			f.start(n)
@@ -229,7 +229,7 @@
 			assert.NilError(t, n.service.Ready())
 		}
 		f.expectAll("good")
-		// All at once: the store's history has it.
+		// Nodes restarted all at once take it from the store's history.
 		for _, n := range f.nodes {
 			n.halt()
 		}
@@ -243,21 +243,21 @@
 	})
 }
 
-func TestStatusNamesUnreachableNodes(t *testing.T) {
+func TestStatusReportsUnreachableNodes(t *testing.T) {
 	cut := func(f *fleet, asked, away int) { f.network.Cut(f.nodes[asked].member.Node, f.nodes[away].member.Node) }
 	cases := []struct {
 		name  string
 		fault func(f *fleet)
 		away  []int
-		// calls is how many the asked node makes at most.
+		// calls is the maximum number of calls that the queried node makes.
 		calls int
 	}{
 		{"none", func(*fleet) {}, nil, 9 + 2},
-		{"a node of its own data centre", func(f *fleet) { f.nodes[3].halt() }, []int{3}, 9 + 2},
-		{"a node elsewhere", func(f *fleet) { f.nodes[13].halt() }, []int{13}, 9 + 4},
-		{"cut off from some, whom their neighbours reach", func(f *fleet) { cut(f, 0, 11); cut(f, 0, 12) }, nil, 9 + 4},
-		{"a data centre", func(f *fleet) {
-			f.network.Partition(names(f.centre("dc1")), names(slices.Concat(f.centre("dc0"), f.centre("dc2"))))
+		{"one node of the same data centre", func(f *fleet) { f.nodes[3].halt() }, []int{3}, 9 + 2},
+		{"one node of another data centre", func(f *fleet) { f.nodes[13].halt() }, []int{13}, 9 + 4},
+		{"links cut to two nodes that their neighbours reach", func(f *fleet) { cut(f, 0, 11); cut(f, 0, 12) }, nil, 9 + 4},
+		{"one data centre", func(f *fleet) {
+			f.network.Partition(nodeIDs(f.dataCentre("dc1")), nodeIDs(slices.Concat(f.dataCentre("dc0"), f.dataCentre("dc2"))))
 		}, []int{10, 11, 12, 13, 14, 15, 16, 17, 18, 19}, 9 + 13},
 	}
 	for _, c := range cases {
@@ -278,14 +278,14 @@
 					}
 				}
 				sent := f.network.Counts(f.nodes[0].member.Node)
-				calls := sent[methodStatus].Messages + sent[methodCentre].Messages
+				calls := sent[methodStatus].Messages + sent[methodDataCentreStatus].Messages
 				assert.Assert(t, calls <= c.calls, "%d calls", calls)
 			})
 		})
 	}
 }
 
-func TestLargeValueIsSentAsADifference(t *testing.T) {
+func TestLargeValueIsSentAsDelta(t *testing.T) {
 	inBubble(t, 1, 10, func(t *testing.T, f *fleet) {
 		parts := make([][]byte, 300)
 		for i := range parts {
@@ -303,7 +303,7 @@
 		f.expectAll(string(value.Bytes()))
 		after := f.network.Total(methodPull).Bytes + f.network.Total(methodParts).Bytes
 		assert.Assert(t, after-full < full/100, "%d then %d bytes", full, after-full)
-		// A node that starts needs many pages, from the store in one listing.
+		// A starting node needs many pages, or one listing of the store.
 		f.nodes[9].halt()
 		f.start(f.nodes[9])
 		time.Sleep(5 * time.Second)
--- a/document/stamp.go
+++ b/document/stamp.go
@@ -8,24 +8,26 @@
 	"github.com/google/uuid"
 )
 
-// EditID names an edit. Its author makes it once, for all attempts.
+// EditID identifies an edit. Its author generates it once and reuses it for retries.
 type EditID = uuid.UUID
 
-// NewEditID returns a random identifier.
+// NewEditID returns a random edit identifier.
 func NewEditID() EditID { return uuid.New() }
 
-// Stamp orders the versions of a document. The zero value stands for none.
+// Stamp identifies and orders the versions of a document. The zero value means no
+// version.
 //
-// Generations are consecutive as long as the store keeps what it acknowledged.
-// Two versions can have the same generation only after the store was restored
-// from an old copy and edited before any node could tell; then the greater edit
-// identifier counts as the later one, on every node alike.
+// Generations are consecutive as long as the store keeps acknowledged writes. Two
+// versions can have the same generation only if the store was restored from an
+// old backup and then edited before any node detected it. The version with the
+// greater edit identifier then counts as the later one on every node.
 type Stamp struct {
 	Generation uint64 `cbor:"1,keyasint" json:"generation"`
 	Edit       EditID `cbor:"2,keyasint" json:"edit"`
 }
 
-// Compare is negative if s is earlier than o, positive if it is later.
+// Compare returns a negative number if s is earlier than o, a positive one if it is
+// later, and zero if they are equal.
 func (s Stamp) Compare(o Stamp) int {
 	if c := cmp.Compare(s.Generation, o.Generation); c != 0 {
 		return c
--- a/document/storage.go
+++ b/document/storage.go
@@ -16,36 +16,37 @@
 )
 
 const (
-	keyRoot = "documents/"
-	// inlineBytes is up to where a value without history is kept in the head.
-	inlineBytes = 64 << 10
-	// listFrom is from how many missing parts on they are listed in one call
-	// instead of being read one by one.
-	listFrom = 64
-	// storeParallel bounds the calls at a time for one version's parts.
-	storeParallel = 8
-	// storeRetry is the mean pause before a write is tried again.
-	storeRetry = 50 * time.Millisecond
+	keyPrefix = "documents/"
+	// maxInlineBytes is the maximum size of a value that is stored in the head itself,
+	// if the document keeps no history.
+	maxInlineBytes = 64 << 10
+	// listThreshold is the number of missing parts from which on they are read by one
+	// listing instead of one by one.
+	listThreshold = 64
+	// maxConcurrentStoreCalls limits concurrent reads or writes of a version's parts.
+	maxConcurrentStoreCalls = 8
+	// meanStoreRetryDelay is the mean delay before a write is retried.
+	meanStoreRetryDelay = 50 * time.Millisecond
 )
 
-// storage is one document's place in the store.
+// storage reads and writes one document in the store.
 type storage struct {
 	store   store.Store
 	name    string
 	timeout time.Duration
 }
 
-func (s storage) prefix() string        { return keyRoot + url.PathEscape(s.name) + "/" }
+func (s storage) prefix() string        { return keyPrefix + url.PathEscape(s.name) + "/" }
 func (s storage) headKey() string       { return s.prefix() + "head" }
 func (s storage) partPrefix() string    { return s.prefix() + "part/" }
 func (s storage) partKey(h Hash) string { return s.partPrefix() + h.String() }
-func (s storage) short(ctx context.Context) (context.Context, context.CancelFunc) {
+func (s storage) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, s.timeout)
 }
 
-// readHead returns the head with its revision; zero revision if there is none.
+// readHead returns the head and its revision, which is zero if there is no head.
 func (s storage) readHead(ctx context.Context) (head, store.Revision, error) {
-	ctx, cancel := s.short(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	entry, err := s.store.Get(ctx, s.headKey())
 	if errors.Is(err, store.ErrNotFound) {
@@ -65,20 +66,20 @@
 	return h, entry.Revision, nil
 }
 
-// writeHead replaces the head if its revision is the expected one.
+// writeHead replaces the head if the stored one has the expected revision.
 func (s storage) writeHead(ctx context.Context, h head, expected store.Revision) error {
 	encoded, err := cbor.Marshal(h)
 	if err != nil {
 		return fmt.Errorf("%w: encode head: %w", store.ErrUnavailable, err)
 	}
-	ctx, cancel := s.short(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	_, err = s.store.CompareAndSwap(ctx, s.headKey(), expected, encoded, 0)
 	return err
 }
 
-// loadHead reads the content of a head's version.
-func (s storage) loadHead(ctx context.Context, h head, known ...*held) (*content, error) {
+// loadHead loads the content of the head's version.
+func (s storage) loadHead(ctx context.Context, h head, known ...*loadedVersion) (*content, error) {
 	if len(h.Inline) > 0 || h.Version.Size == 0 {
 		return checkRoot(newContent(Value{Parts: h.Inline}), h.Version)
 	}
@@ -88,9 +89,9 @@
 	return s.load(ctx, h.Version, known...)
 }
 
-// load reads the content of a version. Parts that the known versions have are
-// not read again.
-func (s storage) load(ctx context.Context, version Version, known ...*held) (*content, error) {
+// load reads the content of a version, except for parts that the known versions
+// already contain.
+func (s storage) load(ctx context.Context, version Version, known ...*loadedVersion) (*content, error) {
 	hashes, err := s.loadManifest(ctx, version, known...)
 	if err != nil {
 		return nil, err
@@ -98,12 +99,12 @@
 	return s.loadContent(ctx, hashes, known...)
 }
 
-func (s storage) loadContent(ctx context.Context, hashes []Hash, known ...*held) (*content, error) {
-	parts, missing := collectParts(hashes, known...)
+func (s storage) loadContent(ctx context.Context, hashes []Hash, known ...*loadedVersion) (*content, error) {
+	parts, missing := findKnownParts(hashes, known...)
 	if err := s.loadParts(ctx, hashes, parts, missing); err != nil {
 		return nil, err
 	}
-	return contentOf(parts, hashes), nil
+	return newContentFromParts(parts, hashes), nil
 }
 
 func checkRoot(c *content, version Version) (*content, error) {
@@ -113,7 +114,7 @@
 	return c, nil
 }
 
-func (s storage) loadManifest(ctx context.Context, version Version, known ...*held) ([]Hash, error) {
+func (s storage) loadManifest(ctx context.Context, version Version, known ...*loadedVersion) ([]Hash, error) {
 	for _, k := range known {
 		if k != nil && k.content.root == version.Root {
 			return k.content.hashes, nil
@@ -126,9 +127,9 @@
 	return decodeManifest(manifest, version.Root)
 }
 
-// collectParts takes what is known of the parts and returns the indexes of the
-// others.
-func collectParts(hashes []Hash, known ...*held) (parts [][]byte, missing []int) {
+// findKnownParts returns the parts that the known versions contain, and the indexes
+// of the missing ones.
+func findKnownParts(hashes []Hash, known ...*loadedVersion) (parts [][]byte, missing []int) {
 	parts = make([][]byte, len(hashes))
 	for i, h := range hashes {
 		parts[i] = findPart(h, known...)
@@ -139,7 +140,7 @@
 	return parts, missing
 }
 
-func findPart(h Hash, known ...*held) []byte {
+func findPart(h Hash, known ...*loadedVersion) []byte {
 	for _, k := range known {
 		if part, ok := k.part(h); ok {
 			return part
@@ -149,11 +150,11 @@
 }
 
 func (s storage) loadParts(ctx context.Context, hashes []Hash, parts [][]byte, missing []int) error {
-	if len(missing) >= listFrom {
+	if len(missing) >= listThreshold {
 		missing = s.listParts(ctx, hashes, parts, missing)
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(storeParallel)
+	group.SetLimit(maxConcurrentStoreCalls)
 	for _, i := range missing {
 		group.Go(func() (err error) {
 			parts[i], err = s.getPart(ctx, hashes[i])
@@ -163,10 +164,10 @@
 	return group.Wait()
 }
 
-// listParts fills in what one listing has and returns what is still missing; an
-// error only means that the parts are read one by one.
+// listParts fills in parts from one listing and returns the indexes of those still
+// missing. After an error all are missing and are read one by one.
 func (s storage) listParts(ctx context.Context, hashes []Hash, parts [][]byte, missing []int) []int {
-	ctx, cancel := s.short(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	entries, err := s.store.List(ctx, s.partPrefix())
 	if err != nil {
@@ -176,18 +177,18 @@
 	for _, entry := range entries {
 		listed[hashOf(entry.Value)] = entry.Value
 	}
-	var still []int
+	var remaining []int
 	for _, i := range missing {
 		parts[i] = listed[hashes[i]]
 		if parts[i] == nil {
-			still = append(still, i)
+			remaining = append(remaining, i)
 		}
 	}
-	return still
+	return remaining
 }
 
 func (s storage) getPart(ctx context.Context, h Hash) ([]byte, error) {
-	ctx, cancel := s.short(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	entry, err := s.store.Get(ctx, s.partKey(h))
 	if err != nil {
@@ -199,15 +200,15 @@
 	return entry.Value, nil
 }
 
-// putContent writes the manifest and all parts but those that the stored head
-// refers to, which can't be collected while it does.
+// putContent writes the manifest and all parts, except for those that the stored head
+// refers to, which are not garbage collected while it does.
 func (s storage) putContent(ctx context.Context, c *content, stored []Hash) error {
 	present := make(map[Hash]bool, len(stored))
 	for _, h := range stored {
 		present[h] = true
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(storeParallel)
+	group.SetLimit(maxConcurrentStoreCalls)
 	for i, h := range c.hashes {
 		if present[h] {
 			continue
@@ -219,12 +220,12 @@
 	return group.Wait()
 }
 
-// putPart makes sure that a part is there. One that is there already is written
-// again, so that a collector that had its eye on it loses the race.
+// putPart ensures that a part is stored. An existing part is written again to give
+// it a new revision, so that a concurrent deletion by the collector fails.
 func (s storage) putPart(ctx context.Context, h Hash, data []byte) error {
 	var expected store.Revision
 	for ctx.Err() == nil {
-		err := s.swapPart(ctx, h, expected, data)
+		err := s.tryPutPart(ctx, h, expected, data)
 		switch {
 		case err == nil:
 			return nil
@@ -235,10 +236,10 @@
 				return err
 			}
 			if expected == before {
-				pause(ctx, storeRetry) // An old value was read.
+				pause(ctx, meanStoreRetryDelay) // The read was stale.
 			}
 		case errors.Is(err, store.ErrUnknownOutcome):
-			pause(ctx, storeRetry)
+			pause(ctx, meanStoreRetryDelay)
 		default:
 			return err
 		}
@@ -246,16 +247,16 @@
 	return fmt.Errorf("%w: part %s: %w", store.ErrUnavailable, h, context.Cause(ctx))
 }
 
-func (s storage) swapPart(ctx context.Context, h Hash, expected store.Revision, data []byte) error {
-	ctx, cancel := s.short(ctx)
+func (s storage) tryPutPart(ctx context.Context, h Hash, expected store.Revision, data []byte) error {
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	_, err := s.store.CompareAndSwap(ctx, s.partKey(h), expected, data, 0)
 	return err
 }
 
-// partRevision returns the revision of a part; zero if it is not there.
+// partRevision returns the revision of a part, or zero if it is not stored.
 func (s storage) partRevision(ctx context.Context, h Hash) (store.Revision, error) {
-	ctx, cancel := s.short(ctx)
+	ctx, cancel := s.withTimeout(ctx)
 	defer cancel()
 	entry, err := s.store.Get(ctx, s.partKey(h))
 	if errors.Is(err, store.ErrNotFound) {
@@ -264,10 +265,10 @@
 	return entry.Revision, err
 }
 
-// pause waits for a random time around the mean, or until the context ends.
+// pause waits for jitter(mean), or until the context ends.
 func pause(ctx context.Context, mean time.Duration) { pacing.Sleep(ctx, jitter(mean)) }
 
-// jitter returns a random duration between zero and twice the mean.
+// jitter returns a random duration, uniform between zero and twice the mean.
 func jitter(mean time.Duration) time.Duration {
 	return time.Duration(rand.Int64N(2*int64(mean) + 1))
 }
--- a/document/supervise.go
+++ b/document/supervise.go
@@ -9,19 +9,19 @@
 	"hawthornrill.example/hawthornrill/store/budget"
 )
 
-// supervise starts and stops this node's watch of the store as the membership
-// changes, and has the collector run where it is due.
+// supervise starts and stops this node's watcher as the membership changes, and runs
+// the collector at its interval.
 func (r *replica) supervise(ctx context.Context) {
 	var stop context.CancelFunc
 	done := make(chan struct{})
 	close(done)
-	collectAt := time.Now().Add(r.nextCollection())
+	collectAt := time.Now().Add(r.collectionDelay())
 	collector := newCollector(r)
 	for pacing.Sleep(ctx, r.service.options.SupervisionInterval) {
 		if !r.service.bootstrapped.Load() {
 			continue
 		}
-		switch watch := r.watches(); {
+		switch watch := r.shouldWatch(); {
 		case watch && stop == nil:
 			<-done
 			stop, done = r.startWatch(ctx)
@@ -30,8 +30,8 @@
 			stop = nil
 		}
 		if !time.Now().Before(collectAt) {
-			collectAt = time.Now().Add(r.nextCollection())
-			r.collectIfFirst(ctx, collector)
+			collectAt = time.Now().Add(r.collectionDelay())
+			r.collectIfResponsible(ctx, collector)
 		}
 	}
 	if stop != nil {
@@ -40,17 +40,18 @@
 	<-done
 }
 
-// watches reports whether this node has to watch the store.
-func (r *replica) watches() bool {
+// shouldWatch reports whether this node has to watch the store.
+func (r *replica) shouldWatch() bool {
 	p := r.service.peers()
-	in := r.spec.WatchDataCentres
-	if len(in) > 0 && !slices.Contains(in, p.self.DataCentre) {
+	dataCentres := r.spec.WatchDataCentres
+	if len(dataCentres) > 0 && !slices.Contains(dataCentres, p.self.DataCentre) {
 		return false
 	}
-	return p.isHead(r.spec.Name, r.service.options.Watchers)
+	return p.isRepresentative(r.spec.Name, r.service.options.Watchers)
 }
 
-// startWatch runs a watcher until it is stopped; done is closed when it has ended.
+// startWatch starts a watcher that runs until stop is called. done is closed when the
+// watcher has ended.
 func (r *replica) startWatch(ctx context.Context) (stop context.CancelFunc, done chan struct{}) {
 	ctx, stop = context.WithCancel(budget.WithPurpose(ctx, budget.PurposeWatch))
 	done = make(chan struct{})
@@ -62,23 +63,23 @@
 	return stop, done
 }
 
-func (r *replica) nextCollection() time.Duration {
+func (r *replica) collectionDelay() time.Duration {
 	return r.service.options.CollectInterval/2 + jitter(r.service.options.CollectInterval/2)
 }
 
-// collectIfFirst collects if this node comes first among all that it sees, so
-// that as a rule one node of the fleet does it.
-func (r *replica) collectIfFirst(ctx context.Context, c *collector) {
+// collectIfResponsible collects if this node ranks first among all reachable nodes, so
+// that normally a single node collects.
+func (r *replica) collectIfResponsible(ctx context.Context, c *collector) {
 	p := r.service.peers()
 	all := slices.Clone(p.local)
 	for _, members := range p.remote {
 		all = append(all, members...)
 	}
 	if !p.isSelf(ranked(r.spec.Name, all)[0]) {
-		c.forget()
+		c.reset()
 		return
 	}
 	if err := c.collect(budget.WithPurpose(ctx, budget.PurposeCollect)); err != nil {
-		r.service.options.Logger.Warn().Str("document", r.spec.Name).Err(err).Msg("collection failed")
+		r.service.options.Logger.Warn().Str("document", r.spec.Name).Err(err).Msg("garbage collection of parts failed")
 	}
 }
--- a/document/tree.go
+++ b/document/tree.go
@@ -7,9 +7,10 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// treeChildren returns to whom a member of a data centre hands an announcement
-// on. The tree has the root's node first and the others in an order that differs
-// by generation and root, so that no node is always in the middle.
+// treeChildren returns the members to which self forwards an announcement in the
+// broadcast tree of its data centre. The order of the members below the root
+// depends on the root and the generation, so that no node is an inner node of
+// every tree.
 func treeChildren(root, self domain.NodeID, generation uint64, members []domain.Member, fanout int) []domain.Member {
 	others := slices.DeleteFunc(slices.Clone(members), func(m domain.Member) bool { return m.Node == root })
 	order := ranked(fmt.Sprintf("%s/%d", root, generation), others)
--- a/document/value.go
+++ b/document/value.go
@@ -2,20 +2,21 @@
 
 import "slices"
 
-// MaxPartBytes bounds a part of a value.
+// MaxPartBytes is the maximum size of a part made by NewValue.
 const MaxPartBytes = 256 << 10
 
-// Value is what a document holds: bytes, in parts. Parts are what is stored and
-// sent; a change that touches one part costs one part, so an author with a large
-// value cuts it where changes stay local. The cuts mean nothing else.
+// Value is the content of a document: a byte string divided into parts. Parts are
+// the unit of storage and transfer, so a change within one part transfers only
+// that part. Authors of large values should place the boundaries so that changes
+// stay local; the boundaries have no other meaning.
 type Value struct {
 	Parts [][]byte
 }
 
-// NewValue returns the value of the given bytes, cut only where it must be.
+// NewValue divides data into parts of at most MaxPartBytes.
 func NewValue(data []byte) Value {
 	return Value{Parts: slices.Collect(slices.Chunk(data, MaxPartBytes))}
 }
 
-// Bytes returns the value's bytes.
+// Bytes returns the parts joined together.
 func (v Value) Bytes() []byte { return slices.Concat(v.Parts...) }
--- a/document/version.go
+++ b/document/version.go
@@ -1,43 +1,43 @@
 package document
 
-// Version describes one accepted value.
+// Version describes one accepted version of a document, without its content.
 type Version struct {
 	Stamp
-	// Author and Note are what the edit said of itself.
+	// Author and Note are copied from the Edit.
 	Author string `cbor:"3,keyasint,omitempty" json:"author,omitempty"`
 	Note   string `cbor:"4,keyasint,omitempty" json:"note,omitempty"`
 	// Size is the value's size in bytes.
 	Size int `cbor:"5,keyasint" json:"size"`
-	// Root names the value's content.
+	// Root is the hash of the manifest and identifies the content.
 	Root Hash `cbor:"6,keyasint" json:"-"`
 }
 
-// held is a version with its content.
-type held struct {
+// loadedVersion is a version together with its content.
+type loadedVersion struct {
 	version Version
 	content *content
 }
 
-// stamp returns the version's stamp; the zero stamp for none.
-func (h *held) stamp() Stamp {
+// stamp returns the version's stamp, or the zero Stamp if h is nil.
+func (h *loadedVersion) stamp() Stamp {
 	if h == nil {
 		return Stamp{}
 	}
 	return h.version.Stamp
 }
 
-// hashes returns the content's manifest.
-func (h *held) hashes() []Hash {
+// hashes returns the hashes of the content's parts, or nil if h is nil.
+func (h *loadedVersion) hashes() []Hash {
 	if h == nil {
 		return nil
 	}
 	return h.content.hashes
 }
 
-// part returns a part of the content.
-func (h *held) part(name Hash) ([]byte, bool) {
+// part returns the part with the given hash.
+func (h *loadedVersion) part(hash Hash) ([]byte, bool) {
 	if h == nil {
 		return nil, false
 	}
-	return h.content.part(name)
+	return h.content.part(hash)
 }
--- a/document/watch.go
+++ b/document/watch.go
@@ -10,63 +10,63 @@
 )
 
 const (
-	// firstRetry is the mean pause after a watcher's first error; it doubles up to
-	// Options.MaxRetryDelay.
-	firstRetry = 250 * time.Millisecond
-	// behindRenewal is how often the store is read while it is behind.
-	behindRenewal = 2 * time.Second
+	// initialRetryDelay is the mean delay after a watcher's first store error. It doubles
+	// with each further error, up to Options.MaxRetryDelay.
+	initialRetryDelay = 250 * time.Millisecond
+	// behindPollInterval is the mean time between reads while the store is behind.
+	behindPollInterval = 2 * time.Second
 )
 
-// watcher follows the head in the store for one data centre.
+// watcher watches the document's head in the store on behalf of its data centre.
 type watcher struct {
 	replica  *replica
 	revision store.Revision
 	started  bool
-	// behindSince is when the store was first seen behind; zero if it isn't.
+	// behindSince is when the store was first found to be behind; zero if it is not.
 	behindSince time.Time
-	// repairAt is when it is mended if it is still behind.
+	// repairAt is when the store is repaired if it is still behind.
 	repairAt time.Time
 }
 
-// run follows the head until the context ends.
+// run watches the head until the context ends.
 func (w *watcher) run(ctx context.Context) {
-	w.note(func(c *Condition) { c.Watching = true })
-	defer w.note(func(c *Condition) { c.Watching, c.StoreBehind, c.StoreError = false, false, "" })
-	retry := firstRetry
+	w.updateCondition(func(c *Condition) { c.Watching = true })
+	defer w.updateCondition(func(c *Condition) { c.Watching, c.StoreBehind, c.StoreError = false, false, "" })
+	retry := initialRetryDelay
 	read := true
 	for ctx.Err() == nil {
 		err := w.step(ctx, read)
 		read = true
 		switch {
 		case err == nil:
-			retry = firstRetry
-			w.note(func(c *Condition) { c.StoreError = "" })
+			retry = initialRetryDelay
+			w.updateCondition(func(c *Condition) { c.StoreError = "" })
 			read = !w.behindSince.IsZero()
 		case ctx.Err() != nil:
 			return
-		case errors.Is(err, errRenew):
-			w.note(func(c *Condition) { c.StoreError = "" })
+		case errors.Is(err, errWatchExpired):
+			w.updateCondition(func(c *Condition) { c.StoreError = "" })
 		default:
-			w.note(func(c *Condition) { c.StoreError = err.Error() })
+			w.updateCondition(func(c *Condition) { c.StoreError = err.Error() })
 			pause(ctx, retry)
 			retry = min(2*retry, w.options().MaxRetryDelay)
 		}
 	}
 }
 
-// errRenew means that a watch ended without news; the head is then read, because
-// a restored store can have lower revisions than the one waited for.
-var errRenew = errors.New("document: watch renewed")
+// errWatchExpired means that a watch call ended without a change. The head is then
+// read, because a restored store can have lower revisions than the one watched for.
+var errWatchExpired = errors.New("document: watch expired without a change")
 
-// step waits for a head, or reads it, and takes it.
+// step reads the head, or waits for it to change, and handles it.
 func (w *watcher) step(ctx context.Context, read bool) error {
 	h, revision, err := w.next(ctx, read)
 	if err != nil {
 		return err
 	}
 	w.revision = revision
-	w.note(func(c *Condition) { c.StoreGeneration = h.Version.Generation })
-	return w.observe(ctx, h, revision)
+	w.updateCondition(func(c *Condition) { c.StoreGeneration = h.Version.Generation })
+	return w.handleHead(ctx, h, revision)
 }
 
 func (w *watcher) next(ctx context.Context, read bool) (head, store.Revision, error) {
@@ -76,14 +76,14 @@
 	switch {
 	case !w.started:
 		w.started = true
-		pause(ctx, firstRetry)
+		pause(ctx, initialRetryDelay)
 	case !w.behindSince.IsZero():
-		pause(ctx, behindRenewal)
+		pause(ctx, behindPollInterval)
 	}
 	return w.replica.storage.readHead(ctx)
 }
 
-// wait is one watch call.
+// wait makes one watch call to the store.
 func (w *watcher) wait(ctx context.Context) (head, store.Revision, error) {
 	bounded, cancel := context.WithTimeout(ctx, w.options().WatchTimeout)
 	defer cancel()
@@ -92,50 +92,50 @@
 	case err == nil:
 		return decodeHead(entry)
 	case errors.Is(err, store.ErrNotFound):
-		pause(ctx, behindRenewal)
-		return head{}, 0, errRenew
+		pause(ctx, behindPollInterval)
+		return head{}, 0, errWatchExpired
 	case bounded.Err() != nil:
-		return head{}, 0, errRenew
+		return head{}, 0, errWatchExpired
 	default:
 		return head{}, 0, err
 	}
 }
 
-// observe takes a later head than the one held, and mends a store that stays
-// behind.
-func (w *watcher) observe(ctx context.Context, h head, revision store.Revision) error {
+// handleHead adopts the head's version if it is later than the one held, and repairs
+// the store if it stays behind.
+func (w *watcher) handleHead(ctx context.Context, h head, revision store.Revision) error {
 	r := w.replica
-	mine := r.stamp()
-	behind := mine.After(h.Version.Stamp)
-	w.note(func(c *Condition) { c.StoreBehind = behind })
+	local := r.stamp()
+	behind := local.After(h.Version.Stamp)
+	w.updateCondition(func(c *Condition) { c.StoreBehind = behind })
 	if !behind {
 		w.behindSince = time.Time{}
 	}
 	switch {
-	case h.Version.After(mine):
-		return w.take(ctx, h)
+	case h.Version.After(local):
+		return w.loadAndAdopt(ctx, h)
 	case behind:
-		return w.mendStore(ctx, h, revision)
+		return w.repairWhenDue(ctx, h, revision)
 	}
-	return w.recoverGood(ctx, h)
+	return w.recoverLastGood(ctx, h)
 }
 
-// take loads a version and tells the data centre.
-func (w *watcher) take(ctx context.Context, h head) error {
+// loadAndAdopt loads and adopts the head's version and announces it locally.
+func (w *watcher) loadAndAdopt(ctx context.Context, h head) error {
 	r := w.replica
 	c, err := r.storage.loadHead(ctx, h, r.latest.Load(), r.inForce.Load())
 	if err != nil {
 		return fmt.Errorf("load generation %d: %w", h.Version.Generation, err)
 	}
-	if r.adopt(&held{version: h.Version, content: c}) {
+	if r.adopt(&loadedVersion{version: h.Version, content: c}) {
 		r.announceLocal(ctx)
 	}
-	return w.recoverGood(ctx, h)
+	return w.recoverLastGood(ctx, h)
 }
 
-// recoverGood puts the latest earlier version in force that can be, on a node
-// that has none.
-func (w *watcher) recoverGood(ctx context.Context, h head) error {
+// recoverLastGood tries the versions of the history, newest first, on a node that has
+// no version in force because the latest one can't be applied.
+func (w *watcher) recoverLastGood(ctx context.Context, h head) error {
 	r := w.replica
 	for _, version := range h.History {
 		if r.latest.Load() == nil || r.inForce.Load() != nil {
@@ -145,11 +145,11 @@
 		if err != nil {
 			return fmt.Errorf("load generation %d: %w", version.Generation, err)
 		}
-		r.adoptGood(&held{version: version, content: c})
+		r.applyLastGood(&loadedVersion{version: version, content: c})
 	}
 	return nil
 }
 
-func (w *watcher) note(change func(*Condition)) { w.replica.setCondition(change) }
+func (w *watcher) updateCondition(change func(*Condition)) { w.replica.updateCondition(change) }
 
 func (w *watcher) options() Options { return w.replica.service.options }
