--- a/ledger/agecounter.go
+++ b/ledger/agecounter.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// AgeCounter counts the ages of a table's departures on from when this process
+// DepartureAges counts the ages of a table's departures on from when this process
 // first saw each, so that they grow without a clock that processes share. The
 // zero value is ready. It is not safe for concurrent use.
-type AgeCounter struct {
+type DepartureAges struct {
 	// since tells when a departure was first seen, less its age then.
 	since map[departureKey]time.Time
 }
@@ -13,7 +13,7 @@
 // Count sets the ages of the table's departures to what they are at now, and
 // forgets departures that the table does not have any more. It writes to the
 // table, which must not be in use yet.
-func (c *AgeCounter) Count(t *Table, now time.Time) {
+func (c *DepartureAges) Apply(t *Table, now time.Time) {
 	c.note(t, now)
 	for i, d := range t.Departed {
 		t.Departed[i].Age = c.age(d, now)
@@ -22,7 +22,7 @@
 
 // note takes the table's ages in: each departure counts on from now, or from an
 // earlier word of it.
-func (c *AgeCounter) note(t *Table, now time.Time) {
+func (c *DepartureAges) note(t *Table, now time.Time) {
 	seen := make(map[departureKey]time.Time, len(t.Departed))
 	for _, d := range t.Departed {
 		since := now.Add(-d.Age)
@@ -35,7 +35,7 @@
 }
 
 // age returns how long ago a departure was, or less.
-func (c *AgeCounter) age(d Departure, now time.Time) time.Duration {
+func (c *DepartureAges) age(d Departure, now time.Time) time.Duration {
 	if since, ok := c.since[d.key()]; ok {
 		return now.Sub(since)
 	}
--- a/ledger/api.go
+++ b/ledger/api.go
@@ -13,8 +13,8 @@
 	// ErrUnknown means that the home can't be reached or can't tell whether the key
 	// has been dispatched before. The caller must be told domain.OutcomeUnknown.
 	ErrUnknown = errors.New("ledger: history of the key is unknown")
-	// ErrFingerprint means that the key was used before with another request.
-	ErrFingerprint = errors.New("ledger: key reused with another request")
+	// ErrFingerprintMismatch means that the key was used before with another request.
+	ErrFingerprintMismatch = errors.New("ledger: key reused with another request")
 	// ErrFull means that the home holds as many keys as it may. The key is new and
 	// was not run.
 	ErrFull = errors.New("ledger: too many keys held")
@@ -77,7 +77,7 @@
 // Ledger is what the scheduler uses. Implementations are safe for concurrent use.
 type Ledger interface {
 	// Claim asks the key's home for the right to run the request. It returns
-	// ErrUnknown, ErrFingerprint or ErrFull instead of a claim.
+	// ErrUnknown, ErrFingerprintMismatch or ErrFull instead of a claim.
 	Claim(ctx context.Context, key domain.RequestKey, fingerprint Fingerprint) (Claim, error)
 	// Commit records that the request is about to be dispatched to the endpoint.
 	// After a nil error, and only then, the holder of the claim may dispatch, once.
--- a/ledger/basic_test.go
+++ b/ledger/basic_test.go
@@ -40,7 +40,7 @@
 				assert.Equal(t, again.Verdict, VerdictFinished)
 
 				_, err = other.Claim(t.Context(), k, Fingerprint{2})
-				assert.ErrorIs(t, err, ErrFingerprint)
+				assert.ErrorIs(t, err, ErrFingerprintMismatch)
 			}
 		}
 	})
--- a/ledger/doubt.go
+++ b/ledger/doubt.go
@@ -23,7 +23,7 @@
 // its own holder asks for anew; else nil. The lock is held.
 func (r *Replica) doubtOf(d desk, from domain.Member, key KeyHash, rec record) *doubt {
 	age := time.Duration(r.book.clock(d.now) - rec.since)
-	if age < r.options.HoldsAfter && !r.book.members.value(rec.holder).SameLife(from) {
+	if age < r.options.HolderCheckAge && !r.book.members.value(rec.holder).SameLife(from) {
 		return nil
 	}
 	return r.doubtAbout(key, rec)
--- a/ledger/exchange.go
+++ b/ledger/exchange.go
@@ -87,7 +87,7 @@
 // statusErrors are what callers are told.
 var statusErrors = map[status]error{
 	statusUnknown:     ErrUnknown,
-	statusFingerprint: ErrFingerprint,
+	statusFingerprint: ErrFingerprintMismatch,
 	statusFull:        ErrFull,
 	statusRevoked:     ErrRevoked,
 	statusNotFound:    ErrNotFound,
--- a/ledger/home_test.go
+++ b/ledger/home_test.go
@@ -62,7 +62,7 @@
 			again, err := c.nodes[nodeName(2)].Claim(t.Context(), k, Fingerprint{1})
 			assert.NilError(t, err)
 			if again.Verdict == VerdictAttached {
-				time.Sleep(DefaultHoldsAfter)
+				time.Sleep(DefaultHolderCheckAge)
 				again = c.nodes[nodeName(2)].grant(t, k)
 			}
 			assert.NilError(t, c.nodes[nodeName(2)].Release(t.Context(), again))
@@ -103,10 +103,10 @@
 func TestAgesAreOfDepartures(t *testing.T) {
 	start, life := time.Now(), TableMember{}
 	table := &Table{Departed: []Departure{{TableMember: life, Removed: 2, Lost: true}}}
-	var counter AgeCounter
-	counter.Count(table, start)
+	var counter DepartureAges
+	counter.Apply(table, start)
 	table.Departed = append(table.Departed, Departure{TableMember: life, Removed: 4, Lost: true})
-	counter.Count(table, start.Add(time.Hour))
+	counter.Apply(table, start.Add(time.Hour))
 	assert.Equal(t, table.Departed[0].Age, time.Hour)
 	assert.Equal(t, table.Departed[1].Age, time.Duration(0))
 	assert.Equal(t, Options{}.LossWindow(), DefaultRetention+2*DefaultFenceTimeout)
--- a/ledger/meters.go
+++ b/ledger/meters.go
@@ -29,11 +29,11 @@
 
 // errorNames are the values of the label reason.
 var errorNames = map[error]string{
-	ErrUnknown:     "unknown",
-	ErrFingerprint: "fingerprint",
-	ErrFull:        "full",
-	ErrRevoked:     "revoked",
-	ErrNotFound:    "not_found",
+	ErrUnknown:             "unknown",
+	ErrFingerprintMismatch: "fingerprint",
+	ErrFull:                "full",
+	ErrRevoked:             "revoked",
+	ErrNotFound:            "not_found",
 }
 
 // newMeters registers the metrics in the set.
--- a/ledger/options.go
+++ b/ledger/options.go
@@ -56,9 +56,9 @@
 	// FenceTimeout is how long a home may go on without having heard of its epoch
 	// from half of the table's other members.
 	FenceTimeout time.Duration
-	// HoldsAfter is the age from which a claim met by another attempt is checked
+	// HolderCheckAge is the age from which a claim met by another attempt is checked
 	// with its holder.
-	HoldsAfter time.Duration
+	HolderCheckAge time.Duration
 	// AuditInterval is how often records that have not ended are checked.
 	AuditInterval time.Duration
 	// PageRecords bounds the records of one message.
@@ -67,15 +67,15 @@
 
 // Defaults of Options.
 const (
-	DefaultCallTimeout   = 500 * time.Millisecond
-	DefaultTryTimeout    = 150 * time.Millisecond
-	DefaultRetryDelay    = 10 * time.Millisecond
-	DefaultRetention     = 10 * time.Minute
-	DefaultMaxRecords    = 100_000
-	DefaultFenceTimeout  = time.Minute
-	DefaultHoldsAfter    = time.Second
-	DefaultAuditInterval = time.Minute
-	DefaultPageRecords   = 256
+	DefaultCallTimeout    = 500 * time.Millisecond
+	DefaultTryTimeout     = 150 * time.Millisecond
+	DefaultRetryDelay     = 10 * time.Millisecond
+	DefaultRetention      = 10 * time.Minute
+	DefaultMaxRecords     = 100_000
+	DefaultFenceTimeout   = time.Minute
+	DefaultHolderCheckAge = time.Second
+	DefaultAuditInterval  = time.Minute
+	DefaultPageRecords    = 256
 )
 
 // withDefaults fills what is zero.
@@ -86,7 +86,7 @@
 	defaults.Set(&o.Retention, DefaultRetention)
 	defaults.Set(&o.MaxRecords, DefaultMaxRecords)
 	defaults.Set(&o.FenceTimeout, DefaultFenceTimeout)
-	defaults.Set(&o.HoldsAfter, DefaultHoldsAfter)
+	defaults.Set(&o.HolderCheckAge, DefaultHolderCheckAge)
 	defaults.Set(&o.AuditInterval, DefaultAuditInterval)
 	defaults.Set(&o.PageRecords, DefaultPageRecords)
 	if o.Metrics == nil {
--- a/ledger/replica.go
+++ b/ledger/replica.go
@@ -32,7 +32,7 @@
 	// open holds this life's attempts that have not ended.
 	open map[openAttempt]struct{}
 	// lost counts the ages of the table's departures.
-	lost AgeCounter
+	lost DepartureAges
 	// ready is the epoch up to which this member knows all records of its keys; zero
 	// for none.
 	ready    uint64
--- a/ledger/table_change.go
+++ b/ledger/table_change.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// Forget drops departures that are older than keep, once the table has been
+// PruneDepartures drops departures that are older than keep, once the table has been
 // settled since, and the settlements that only concern them.
-func Forget(keep time.Duration) TableChange {
+func PruneDepartures(keep time.Duration) TableChange {
 	return func(t *Table) (*Table, error) {
 		settled := t.Settled()
 		old := func(d Departure) bool { return d.Age > keep && settled >= d.Removed }
--- a/ledger/tablestore.go
+++ b/ledger/tablestore.go
@@ -13,8 +13,8 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// ErrTable means that the stored table can't be read.
-var ErrTable = errors.New("ledger: stored table is not valid")
+// ErrInvalidTable means that the stored table can't be read.
+var ErrInvalidTable = errors.New("ledger: stored table is not valid")
 
 // TableKey is the store's key of a data centre's table.
 func TableKey(dataCentre domain.DataCentre) string { return "ledger/" + string(dataCentre) }
@@ -22,11 +22,11 @@
 // EncodeTable and DecodeTable are the stored form.
 func EncodeTable(t *Table) ([]byte, error) { return cbor.Marshal(t) }
 
-// DecodeTable reads the stored form, or returns ErrTable.
+// DecodeTable reads the stored form, or returns ErrInvalidTable.
 func DecodeTable(value []byte) (*Table, error) {
 	var t Table
 	if err := cbor.Unmarshal(value, &t); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrTable, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidTable, err)
 	}
 	return &t, nil
 }
@@ -41,7 +41,7 @@
 	mu sync.Mutex
 	// latest is the latest table that this process has met.
 	latest *Table
-	ages   AgeCounter
+	ages   DepartureAges
 }
 
 // NewTableStore returns a TableStore that keeps departures for the loss window of
@@ -86,7 +86,7 @@
 	if err != nil || next == current {
 		return next, err
 	}
-	if next, err = Forget(s.keep)(next); err != nil {
+	if next, err = PruneDepartures(s.keep)(next); err != nil {
 		return nil, err
 	}
 	value, err := EncodeTable(next)
@@ -126,6 +126,6 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ages.Count(t, time.Now())
+	s.ages.Apply(t, time.Now())
 	return t, entry.Revision, nil
 }
--- a/node/tables.go
+++ b/node/tables.go
@@ -28,7 +28,7 @@
 	subscribers map[int]func(domain.DataCentre)
 	nextID      int
 	// ages counts the departures' ages on between edits.
-	ages ledger.AgeCounter
+	ages ledger.DepartureAges
 }
 
 var (
@@ -68,7 +68,7 @@
 func (t *tables) adopt(table *ledger.Table) []func(domain.DataCentre) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ages.Count(table, time.Now())
+	t.ages.Apply(table, time.Now())
 	t.current.Store(table)
 	return slices.Collect(maps.Values(t.subscribers))
 }
@@ -116,7 +116,7 @@
 		if result == current {
 			return document.Value{}, errUnchanged
 		}
-		if result, err = ledger.Forget(t.keep)(result); err != nil {
+		if result, err = ledger.PruneDepartures(t.keep)(result); err != nil {
 			return document.Value{}, err
 		}
 		encoded, err := ledger.EncodeTable(result)
@@ -143,6 +143,6 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ages.Count(table, time.Now())
+	t.ages.Apply(table, time.Now())
 	return table, nil
 }
--- a/scheduler/outcome.go
+++ b/scheduler/outcome.go
@@ -26,7 +26,7 @@
 // claimEnd translates an error of ledger.Claim.
 func claimEnd(request Request, err error) answer.End {
 	switch {
-	case errors.Is(err, ledger.ErrFingerprint):
+	case errors.Is(err, ledger.ErrFingerprintMismatch):
 		return notRun(answer.CodeKeyReused, "the key was used before with another request", 0)
 	case errors.Is(err, ledger.ErrFull):
 		return notRun(answer.CodeLedgerFull, "too many request keys are held", retryLater)
--- a/scheduler/outcome_test.go
+++ b/scheduler/outcome_test.go
@@ -66,7 +66,7 @@
 		{name: "claim: reply lost", fault: fault("claim", errLost, true, 0), outcome: unknown, code: answer.CodeHistoryUnknown, state: ledger.StateClaimed},
 		{name: "claim: home away, new key", fault: fault("claim", ledger.ErrUnknown, false, 0), minted: true, outcome: notRun, code: answer.CodeHistoryUnknown},
 		{name: "claim: full", fault: fault("claim", ledger.ErrFull, false, 0), outcome: notRun, code: answer.CodeLedgerFull},
-		{name: "claim: key reused", fault: fault("claim", ledger.ErrFingerprint, false, 0), outcome: notRun, code: answer.CodeKeyReused},
+		{name: "claim: key reused", fault: fault("claim", ledger.ErrFingerprintMismatch, false, 0), outcome: notRun, code: answer.CodeKeyReused},
 		{name: "limits", fault: limited, outcome: notRun, code: answer.CodeLimited},
 		{name: "limits, release lost", fault: both(limited, fault("release", errLost, false, 1)), outcome: unknown, code: answer.CodeUnsettled},
 		{name: "acquire: shed", fault: refused(capacity.ErrShed), outcome: notRun, code: answer.CodeShed},
--- a/scheduler/schedulertest/ledger.go
+++ b/scheduler/schedulertest/ledger.go
@@ -156,7 +156,7 @@
 	h := c.home
 	r, known := h.records[key]
 	if known && r.fingerprint != fingerprint {
-		return ledger.Claim{}, ledger.ErrFingerprint
+		return ledger.Claim{}, ledger.ErrFingerprintMismatch
 	}
 	lost := known && (h.gone[r.claim.Holder] || r.state == ledger.StateClaimed && r.claim.Holder == c.self)
 	switch {
--- a/scheduler/task.go
+++ b/scheduler/task.go
@@ -70,7 +70,7 @@
 // join gives another attempt of the same request the same answer.
 func (t *task) join(request Request) *Handle {
 	if request.Fingerprint != t.request.Fingerprint {
-		return endedHandle(claimEnd(request, ledger.ErrFingerprint))
+		return endedHandle(claimEnd(request, ledger.ErrFingerprintMismatch))
 	}
 	return t.handle()
 }
@@ -207,7 +207,7 @@
 // claimFailed is the end after a failed claim. Part of an answer that came from
 // another node says that the request ran.
 func (t *task) claimFailed(err error) answer.End {
-	if t.buffer.Next() > 0 && !errors.Is(err, ledger.ErrFingerprint) {
+	if t.buffer.Next() > 0 && !errors.Is(err, ledger.ErrFingerprintMismatch) {
 		return unknown(answer.CodeHolderUnreachable, "the node that holds the answer can't be reached", retryLater)
 	}
 	return claimEnd(t.request, err)
