--- a/ledger/adopt.go
+++ b/ledger/adopt.go
@@ -8,8 +8,8 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// adopt takes a later table of the own data centre into use. From then on this
-// member takes part in no commit of an earlier epoch. An earlier table is ignored.
+// adopt puts a later table of the local data centre into use. From then on this member
+// takes part in no commit of an earlier epoch. Earlier tables are ignored.
 func (r *Replica) adopt(t *Table) {
 	if t == nil || t.DataCentre != r.self.DataCentre {
 		return
@@ -21,7 +21,7 @@
 		return
 	}
 	now := time.Now()
-	r.lost.note(t, now)
+	r.departureAges.observe(t, now)
 	next := newHistory(t)
 	r.history.Store(next)
 	if old == nil || t.Epoch > old.table.Epoch {
@@ -30,61 +30,62 @@
 	r.signal()
 }
 
-// enterEpoch does what a change of members asks for. The lock is held.
+// enterEpoch applies a change of members to the local state. The lock is held.
 func (r *Replica) enterEpoch(old, next *history) {
 	if r.removedSince(old, next) {
-		r.forgetTabled()
+		r.dropTableRecords()
 	}
 	r.dropStaleClaims(old, next)
 	clear(r.exports)
 	r.startRecovery(next)
-	r.forgetUnheard(next)
+	r.dropFormerMembers(next)
 	r.meters.epochs.Inc()
 }
 
-// removedSince reports whether this life was a member and is not the same member
-// any more. The others count its memory as lost.
+// removedSince reports whether this incarnation was a member and has since been
+// removed, even if it has joined again. The other members count its records as lost.
 func (r *Replica) removedSince(old, next *history) bool {
 	if old == nil {
 		return false
 	}
-	was, ok := old.table.life(r.self)
+	was, ok := old.table.entryOf(r.self)
 	if !ok {
 		return false
 	}
-	is, ok := next.table.life(r.self)
+	is, ok := next.table.entryOf(r.self)
 	return !ok || is.Joined != was.Joined
 }
 
-// forgetTabled drops all that this life knew as a member. Its open claims end with
-// it: a commit finds no record. The lock is held.
-func (r *Replica) forgetTabled() {
-	r.book.dropWhere(func(_ KeyHash, rec record) bool { return rec.tabled() })
+// dropTableRecords drops all records that this incarnation held as a member. Its open
+// claims end with them, since a commit finds no record. The lock is held.
+func (r *Replica) dropTableRecords() {
+	r.records.dropWhere(func(_ KeyHash, rec record) bool { return rec.tableScoped() })
 	r.ready = 0
 }
 
-// dropStaleClaims drops other holders' claims that this member gave, unless it
-// was the key's home up to the new epoch: a home in between may have revoked them.
+// dropStaleClaims drops the claims that this member granted to other holders, unless it
+// stayed the key's home up to the new epoch: a home in between may have revoked them.
 // The lock is held.
 func (r *Replica) dropStaleClaims(old, next *history) {
 	if old == nil {
 		return
 	}
-	self := r.book.members.number(r.self)
-	r.book.dropWhere(func(key KeyHash, rec record) bool {
-		if !rec.tabled() || rec.state != StateClaimed || rec.holder == self {
+	self := r.records.members.intern(r.self)
+	r.records.dropWhere(func(key KeyHash, rec record) bool {
+		if !rec.tableScoped() || rec.state != StateClaimed || rec.holder == self {
 			return false
 		}
 		return !next.homeDuring(r.self, key, old.table.Epoch, next.table.Epoch)
 	})
 }
 
-// lossAge returns how long ago a life was lost, or less. The lock is held.
+// lossAge returns a function that gives a lower bound on the time since an incarnation
+// was lost. The lock is held.
 func (r *Replica) lossAge(now time.Time) func(Departure) time.Duration {
-	return func(d Departure) time.Duration { return r.lost.age(d, now) }
+	return func(d Departure) time.Duration { return r.departureAges.age(d, now) }
 }
 
-// snapshot returns the adopted table with the ages of its departures as of now.
+// snapshot returns the adopted table with the current ages of its departures.
 func (r *Replica) snapshot() *Table {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,8 +101,8 @@
 	return t
 }
 
-// catchUp adopts a table of at least the epoch that a peer has named, from the
-// node's own copy or from the peer.
+// catchUp adopts a table of at least the epoch that a peer has named, from the node's
+// own copy or else from the peer.
 func (r *Replica) catchUp(ctx context.Context, from domain.Member, epoch uint64) {
 	if epoch <= r.epoch() {
 		return
@@ -115,7 +116,7 @@
 	}
 }
 
-// fetchTable asks a peer for a data centre's table.
+// fetchTable requests a data centre's table from a peer.
 func (r *Replica) fetchTable(ctx context.Context, from domain.Member, dataCentre domain.DataCentre) (*Table, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.TryTimeout)
 	defer cancel()
@@ -126,7 +127,8 @@
 	return reply.Table, nil
 }
 
-// serveTable gives the table of this node's data centre.
+// serveTable returns the table of the requested data centre, as far as this node knows
+// it.
 func (r *Replica) serveTable(_ context.Context, _ domain.Member, request tableRequest) tableReply {
 	if request.DataCentre != r.self.DataCentre {
 		return tableReply{r.options.Tables.Table(request.DataCentre)}
--- a/ledger/audit.go
+++ b/ledger/audit.go
@@ -5,98 +5,99 @@
 	"time"
 )
 
-// auditWork is an old record that has not ended.
-type auditWork struct {
-	doubt doubt
-	// home tells that this life decides about the key; otherwise it holds a copy.
-	home bool
-	// gone tells that the holder's life has ended.
-	gone bool
+// auditItem is an old record whose request has not ended.
+type auditItem struct {
+	query holderQuery
+	// isHome is set if this incarnation is the key's home; otherwise it holds a copy.
+	isHome bool
+	// holderGone is set if the holder's incarnation has ended.
+	holderGone bool
 }
 
-// audit checks records that have stood unfinished for the whole retention, a page
-// of them at a time: a message that ended them may have been lost.
+// audit checks records that have been unfinished for the whole retention period, one
+// page at a time: a message that ended them may have been lost.
 func (r *Replica) audit(ctx context.Context) {
-	for _, work := range r.oldRecords() {
+	for _, item := range r.overdueRecords() {
 		switch {
-		case !work.home:
-			r.auditCopy(ctx, work.doubt)
-		case work.gone:
-			r.closeOfGone(work.doubt)
+		case !item.isHome:
+			r.auditCopy(ctx, item.query)
+		case item.holderGone:
+			r.closeAbandoned(item.query)
 		default:
-			r.settleDoubt(ctx, work.doubt)
+			r.resolveWithHolder(ctx, item.query)
 		}
 	}
 }
 
-// oldRecords expires what has ended and returns a page of what should have.
-func (r *Replica) oldRecords() []auditWork {
+// overdueRecords expires ended records and returns a page of those that should have
+// ended.
+func (r *Replica) overdueRecords() []auditItem {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	r.book.expire(now)
-	limit := r.book.clock(now) - int64(r.options.Retention)
-	var list []auditWork
-	for key, rec := range r.book.records {
+	r.records.expire(now)
+	limit := r.records.timestamp(now) - int64(r.options.Retention)
+	var list []auditItem
+	for key, rec := range r.records.byKey {
 		if len(list) == r.options.PageRecords {
 			break
 		}
 		if rec.state.ended() || rec.since > limit || r.inUse(key, rec) {
 			continue
 		}
-		list = append(list, r.auditOf(key, rec))
+		list = append(list, r.newAuditItem(key, rec))
 	}
 	return list
 }
 
-// inUse reports whether this life itself still works on the record's request. The
+// inUse reports whether this incarnation is still working on the record's request. The
 // lock is held.
 func (r *Replica) inUse(key KeyHash, rec record) bool {
 	_, open := r.open[openAttempt{key, rec.attempt}]
-	return open && r.book.members.value(rec.holder).SameLife(r.self)
+	return open && r.records.members.value(rec.holder).SameLife(r.self)
 }
 
-// auditOf describes an old record. The lock is held.
-func (r *Replica) auditOf(key KeyHash, rec record) auditWork {
+// newAuditItem describes an old record. The lock is held.
+func (r *Replica) newAuditItem(key KeyHash, rec record) auditItem {
 	home := rec.has(flagNodeScope)
-	if h := r.history.Load(); rec.tabled() && h != nil {
+	if h := r.history.Load(); rec.tableScoped() && h != nil {
 		m, ok := h.home(key)
 		home = ok && m.SameLife(r.self)
 	}
-	return auditWork{
-		doubt: *r.doubtAbout(key, rec),
-		home:  home,
-		gone:  r.holderGone(rec),
+	return auditItem{
+		query:      *r.newHolderQuery(key, rec),
+		isHome:     home,
+		holderGone: r.holderGone(rec),
 	}
 }
 
-// closeOfGone ends a record whose holder is gone and that nobody has asked for.
-func (r *Replica) closeOfGone(q doubt) {
+// closeAbandoned ends a record whose holder is gone and that no attempt has claimed.
+func (r *Replica) closeAbandoned(q holderQuery) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec, ok := r.book.get(q.key)
+	rec, ok := r.records.get(q.key)
 	if !ok || rec.claim != q.claim || rec.state != q.state {
 		return
 	}
 	if rec.state == StateClaimed {
-		r.book.drop(q.key)
+		r.records.drop(q.key)
 		return
 	}
-	r.book.set(q.key, rec, StateFailed, time.Now())
+	r.records.set(q.key, rec, StateFailed, time.Now())
 }
 
-// auditCopy asks the key's home what became of a copy.
-func (r *Replica) auditCopy(ctx context.Context, q doubt) {
+// auditCopy asks the key's home for the state of the record that a copy was made of.
+func (r *Replica) auditCopy(ctx context.Context, q holderQuery) {
 	h := r.history.Load()
-	if q.scoped || h == nil {
-		r.closeOfGone(q)
+	if q.outsideTable || h == nil {
+		r.closeAbandoned(q)
 		return
 	}
 	home, ok := h.home(q.key)
 	if !ok {
 		return
 	}
-	reply, err := try(ctx, r, route{home, h.table.Epoch}, exchange[lookupRequest, lookupReply]{
+	reply, err := callOnce(ctx, r, route{home, h.table.Epoch}, homeCall[lookupRequest, lookupReply]{
 		method:  methodLookup,
 		request: func(at route) lookupRequest { return lookupRequest{q.key, at.epoch} },
 		serve:   r.serveLookup,
@@ -106,22 +107,22 @@
 	case reply.Status == statusNotFound:
 		r.dropCopy(q)
 	case reply.Status == statusOK:
-		r.takeWord(*reply.Entry)
+		r.mergeFromHome(*reply.Entry)
 	}
 }
 
-// dropCopy forgets a copy of a record that its home has dropped.
-func (r *Replica) dropCopy(q doubt) {
+// dropCopy deletes the copy of a record that its home has dropped.
+func (r *Replica) dropCopy(q holderQuery) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if rec, ok := r.book.get(q.key); ok && rec.claim == q.claim {
-		r.book.drop(q.key)
+	if rec, ok := r.records.get(q.key); ok && rec.claim == q.claim {
+		r.records.drop(q.key)
 	}
 }
 
-// takeWord brings a copy up to its home's record.
-func (r *Replica) takeWord(e entry) {
+// mergeFromHome updates a copy to its home's record.
+func (r *Replica) mergeFromHome(e entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.book.merge(e, time.Now())
+	r.records.merge(e, time.Now())
 }
--- a/ledger/basic_test.go
+++ b/ledger/basic_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// inCluster runs a test in virtual time.
+// inCluster runs a test on a cluster in virtual time.
 func inCluster(t *testing.T, size int, test func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -19,7 +19,7 @@
 	})
 }
 
-func TestWayOfOneRequest(t *testing.T) {
+func TestRequestLifecycle(t *testing.T) {
 	inCluster(t, 7, func(t *testing.T, c *cluster) {
 		for home := range 7 {
 			for entry := range 7 {
@@ -46,15 +46,16 @@
 	})
 }
 
-// A claim is given up before its commit, or after one that was not followed by a
-// dispatch, at the home itself, at another member and outside.
-func TestReleasedKeyIsAsNew(t *testing.T) {
+// A released claim leaves the key free, whether it is released before its commit or
+// after one without a dispatch, and whether the holder is the home, another member or
+// outside the table.
+func TestReleasedKeyCanBeClaimedAgain(t *testing.T) {
 	inCluster(t, 7, func(t *testing.T, c *cluster) {
 		far := c.startOutside("far", "catania")
 		for _, n := range []*testNode{c.nodes[nodeName(0)], c.nodes[nodeName(1)], far} {
 			for _, committed := range []bool{false, true} {
 				k := c.keyAt(nodeName(0))
-				claim := n.grant(t, k)
+				claim := n.mustClaim(t, k)
 				if committed {
 					assert.NilError(t, n.Commit(t.Context(), claim, "runner-1"))
 				}
@@ -62,7 +63,7 @@
 				assert.ErrorIs(t, n.commit(claim), ErrRevoked)
 				_, _, err := c.nodes[nodeName(2)].Lookup(t.Context(), k)
 				assert.ErrorIs(t, err, ErrNotFound)
-				assert.NilError(t, c.nodes[nodeName(2)].commit(c.nodes[nodeName(2)].grant(t, k)))
+				assert.NilError(t, c.nodes[nodeName(2)].commit(c.nodes[nodeName(2)].mustClaim(t, k)))
 			}
 		}
 	})
@@ -85,7 +86,7 @@
 	})
 }
 
-func TestCommitIsHeldTwice(t *testing.T) {
+func TestCommitIsStoredOnTwoMembers(t *testing.T) {
 	inCluster(t, 7, func(t *testing.T, c *cluster) {
 		for entry := range 7 {
 			k := c.keyAt(nodeName(0))
@@ -93,7 +94,7 @@
 			assert.NilError(t, err)
 			copies := 0
 			for _, n := range c.nodes {
-				if rec, ok := n.book.get(hashKey(k)); ok && rec.state == StateCommitted {
+				if rec, ok := n.records.get(hashKey(k)); ok && rec.state == StateCommitted {
 					copies++
 				}
 			}
@@ -102,7 +103,7 @@
 	})
 }
 
-func TestHomeCrashes(t *testing.T) {
+func TestHomeCrash(t *testing.T) {
 	inCluster(t, 7, func(t *testing.T, c *cluster) {
 		home, entry, other := nodeName(0), c.nodes[nodeName(1)], c.nodes[nodeName(2)]
 		committed, claimed, outside := c.keyAt(home), c.keyAt(home), c.keyAt(home)
@@ -118,13 +119,13 @@
 		_, err = other.dispatch(committed)
 		assert.ErrorIs(t, err, ErrUnknown)
 		c.remove(home)
-		c.settle()
-		for _, k := range []int{0, 1} {
-			kk := committed
-			if k == 1 {
-				kk = claimed
+		c.waitSettled()
+		for _, i := range []int{0, 1} {
+			k := committed
+			if i == 1 {
+				k = claimed
 			}
-			again, err := other.dispatch(kk)
+			again, err := other.dispatch(k)
 			assert.NilError(t, err)
 			assert.Equal(t, again.Verdict, VerdictAttached)
 			assert.Equal(t, again.Holder, entry.member)
--- a/ledger/client.go
+++ b/ledger/client.go
@@ -13,8 +13,8 @@
 // Claim implements Ledger.
 func (r *Replica) Claim(ctx context.Context, key domain.RequestKey, fingerprint Fingerprint) (Claim, error) {
 	t := r.targetOf(key)
-	attempt := r.openAttempt(t)
-	reply, err := run(ctx, r, t, exchange[claimRequest, claimReply]{
+	attempt := r.beginAttempt(t)
+	reply, err := callHome(ctx, r, t, homeCall[claimRequest, claimReply]{
 		method: methodClaim,
 		request: func(at route) claimRequest {
 			return claimRequest{Key: t.hash, Fingerprint: fingerprint, Attempt: attempt, Epoch: at.epoch}
@@ -25,25 +25,24 @@
 		err = statusError(reply.Status)
 	}
 	if err != nil {
-		r.closeAttempt(t, attempt)
+		r.endAttempt(t, attempt)
 		r.meters.countError(err)
-		r.logUndecided(t, err)
+		r.logUnknownHistory(t, err)
 		return Claim{}, err
 	}
-	return r.takeClaim(t, attempt, fingerprint, reply), nil
+	return r.acceptClaim(t, attempt, fingerprint, reply), nil
 }
 
-// logUndecided says why a key's history is unknown: its caller is only told that
-// it is.
-func (r *Replica) logUndecided(t target, err error) {
+// logUnknownHistory logs the cause of ErrUnknown, since the caller is not told it.
+func (r *Replica) logUnknownHistory(t target, err error) {
 	if !errors.Is(err, ErrUnknown) {
 		return
 	}
-	r.options.Logger.Warn().Err(err).Stringer("key", t.key).Uint64("epoch", r.epoch()).Msg("claim not decided")
+	r.options.Logger.Warn().Err(err).Stringer("key", t.key).Uint64("epoch", r.epoch()).Msg("claim failed: key history unknown")
 }
 
-// openAttempt begins a new attempt for a key.
-func (r *Replica) openAttempt(t target) uint64 {
+// beginAttempt registers a new attempt for a key.
+func (r *Replica) beginAttempt(t target) uint64 {
 	attempt := r.attempts.Add(1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,16 +50,16 @@
 	return attempt
 }
 
-// closeAttempt ends an attempt: a claim that the home still has for it is over.
-func (r *Replica) closeAttempt(t target, attempt uint64) {
+// endAttempt ends an attempt: if the home still has a claim for it, the claim is void.
+func (r *Replica) endAttempt(t target, attempt uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.open, openAttempt{t.hash, attempt})
 }
 
-// takeClaim keeps a copy of a claim that is now this life's, and ends the attempt
-// if it is not.
-func (r *Replica) takeClaim(t target, attempt uint64, fingerprint Fingerprint, reply claimReply) Claim {
+// acceptClaim stores a copy of a claim granted to this incarnation, and ends the
+// attempt if none was granted.
+func (r *Replica) acceptClaim(t target, attempt uint64, fingerprint Fingerprint, reply claimReply) Claim {
 	claim := Claim{Key: t.key, ID: reply.Claim, Verdict: reply.Verdict, Holder: r.self, Endpoint: reply.Endpoint}
 	if reply.Holder != nil {
 		claim.Holder = *reply.Holder
@@ -71,14 +70,14 @@
 		delete(r.open, openAttempt{t.hash, attempt})
 		return claim
 	}
-	r.keepCopy(t, attempt, fingerprint, reply)
+	r.storeCopy(t, attempt, fingerprint, reply)
 	return claim
 }
 
-// keepCopy records a claim of this life, unless it is recorded here as the home
-// or a later claim of the key is. The lock is held.
-func (r *Replica) keepCopy(t target, attempt uint64, fingerprint Fingerprint, reply claimReply) {
-	rec, ok := r.book.get(t.hash)
+// storeCopy records a claim of this incarnation, unless this claim, as on the home
+// itself, or a later one of the key is already recorded here. The lock is held.
+func (r *Replica) storeCopy(t target, attempt uint64, fingerprint Fingerprint, reply claimReply) {
+	rec, ok := r.records.get(t.hash)
 	if ok && rec.claim >= reply.Claim {
 		return
 	}
@@ -93,22 +92,22 @@
 		fingerprint: fingerprint,
 		claim:       reply.Claim,
 		attempt:     attempt,
-		holder:      r.book.members.number(r.self),
-		endpoint:    r.book.endpoints.number(reply.Endpoint),
+		holder:      r.records.members.intern(r.self),
+		endpoint:    r.records.endpoints.intern(reply.Endpoint),
 		flags:       flags,
 	}
-	r.book.set(t.hash, rec, state, time.Now())
+	r.records.set(t.hash, rec, state, time.Now())
 }
 
-// Commit implements Ledger. If the commit can't be had but the claim can be
-// withdrawn at the home, the error is ErrRevoked.
+// Commit implements Ledger. If the commit fails but the claim can be withdrawn at the
+// home, the error is ErrRevoked.
 func (r *Replica) Commit(ctx context.Context, claim Claim, endpoint domain.EndpointID) error {
 	t := r.targetOf(claim.Key)
 	copied, ok := r.markCommitted(t, claim.ID, endpoint)
 	if !ok {
-		return r.revoked(t, claim.ID)
+		return r.handleRevoked(t, claim.ID)
 	}
-	reply, err := run(ctx, r, t, exchange[commitRequest, statusReply]{
+	reply, err := callHome(ctx, r, t, homeCall[commitRequest, statusReply]{
 		method: methodCommit,
 		request: func(at route) commitRequest {
 			return commitRequest{Key: t.hash, Claim: claim.ID, Endpoint: endpoint, Epoch: at.epoch, Copied: copied}
@@ -122,33 +121,33 @@
 	case err == nil && r.mayDispatch(t, claim.ID):
 		return nil
 	case errors.Is(err, ErrRevoked):
-		return r.revoked(t, claim.ID)
+		return r.handleRevoked(t, claim.ID)
 	case err == nil:
-		err = errCopyLost
+		err = errCopyDropped
 	}
 	return r.withdraw(ctx, t, claim, err)
 }
 
-// markCommitted writes the commit into this life's copy before the home is asked,
-// so that the copy counts as the second one. It reports whether it may count, and
-// false if the claim is not this life's any more.
+// markCommitted writes the commit into the local copy before the home is asked, so that
+// the copy counts as the second one. copied reports whether it may count; ok is false
+// if this incarnation no longer has the claim.
 func (r *Replica) markCommitted(t target, claim ClaimID, endpoint domain.EndpointID) (copied, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec, found := r.book.get(t.hash)
+	rec, found := r.records.get(t.hash)
 	if !found || rec.claim != claim || rec.state != StateClaimed && rec.state != StateCommitted || rec.has(flagTakenOver) {
 		return false, false
 	}
-	if r.decidesAlone(t) {
+	if r.isHome(t) {
 		return false, true
 	}
-	rec.endpoint = r.book.endpoints.number(endpoint)
-	r.book.set(t.hash, rec, StateCommitted, time.Now())
-	return rec.tabled(), true
+	rec.endpoint = r.records.endpoints.intern(endpoint)
+	r.records.set(t.hash, rec, StateCommitted, time.Now())
+	return rec.tableScoped(), true
 }
 
-// decidesAlone reports whether this life is the key's home. The lock is held.
-func (r *Replica) decidesAlone(t target) bool {
+// isHome reports whether this incarnation is the key's home. The lock is held.
+func (r *Replica) isHome(t target) bool {
 	if t.flags == flagNodeScope {
 		return true
 	}
@@ -160,34 +159,34 @@
 	return ok && home.SameLife(r.self)
 }
 
-// mayDispatch marks this life's copy as committed, and reports false if it no
-// longer stands.
+// mayDispatch marks the local copy as committed. It reports false if the copy is gone
+// or has ended.
 func (r *Replica) mayDispatch(t target, claim ClaimID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec, ok := r.book.get(t.hash)
+	rec, ok := r.records.get(t.hash)
 	if !ok || rec.claim != claim || rec.state > StateCommitted {
 		return false
 	}
 	if rec.state == StateClaimed {
-		r.book.set(t.hash, rec, StateCommitted, time.Now())
+		r.records.set(t.hash, rec, StateCommitted, time.Now())
 	}
 	return true
 }
 
-// revoked ends this life's part in a claim that the home no longer has.
-func (r *Replica) revoked(t target, claim ClaimID) error {
-	r.giveUp(t, claim)
+// handleRevoked ends the local part of a claim that the home no longer has.
+func (r *Replica) handleRevoked(t target, claim ClaimID) error {
+	r.markWithdrawn(t, claim)
 	r.meters.countError(ErrRevoked)
 	return ErrRevoked
 }
 
-// giveUp records that this life will not dispatch the claim, whatever became of
-// it at the home.
-func (r *Replica) giveUp(t target, claim ClaimID) {
+// markWithdrawn records that this incarnation will not dispatch the claim, whatever
+// state the home has for it.
+func (r *Replica) markWithdrawn(t target, claim ClaimID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec, ok := r.book.get(t.hash)
+	rec, ok := r.records.get(t.hash)
 	if !ok || rec.claim != claim {
 		return
 	}
@@ -195,10 +194,10 @@
 	if rec.has(flagTakenOver) || rec.state.ended() {
 		return
 	}
-	r.book.set(t.hash, rec, stateWithdrawn, time.Now())
+	r.records.set(t.hash, rec, stateWithdrawn, time.Now())
 }
 
-// withdraw takes back a commit whose outcome is not known. This life has not
+// withdraw takes back a commit with an unknown outcome. This incarnation has not
 // dispatched it and never will.
 func (r *Replica) withdraw(ctx context.Context, t target, claim Claim, cause error) error {
 	if err := r.Release(ctx, claim); err == nil || errors.Is(err, ErrRevoked) {
@@ -211,22 +210,22 @@
 // Release implements Ledger.
 func (r *Replica) Release(ctx context.Context, claim Claim) error {
 	t := r.targetOf(claim.Key)
-	r.giveUp(t, claim.ID)
-	err := r.end(ctx, t, methodRelease, r.serveRelease, endRequest{Key: t.hash, Claim: claim.ID})
+	r.markWithdrawn(t, claim.ID)
+	err := r.sendEnd(ctx, t, methodRelease, r.serveRelease, endRequest{Key: t.hash, Claim: claim.ID})
 	if err == nil {
 		r.dropUncommitted(t, claim.ID)
 	}
 	return err
 }
 
-// dropUncommitted forgets a released claim that was never sent as a commit, so
-// that no member can hold a commit of it.
+// dropUncommitted deletes a released claim that was never sent as a commit, so that no
+// member can hold a commit of it.
 func (r *Replica) dropUncommitted(t target, claim ClaimID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec, ok := r.book.get(t.hash)
+	rec, ok := r.records.get(t.hash)
 	if ok && rec.claim == claim && rec.state == stateWithdrawn && rec.endpoint == 0 {
-		r.book.drop(t.hash)
+		r.records.drop(t.hash)
 	}
 }
 
@@ -235,18 +234,18 @@
 	t := r.targetOf(claim.Key)
 	r.finishCopy(t, claim.ID, complete)
 	request := endRequest{Key: t.hash, Claim: claim.ID, Complete: complete}
-	err := r.end(ctx, t, methodFinish, r.serveFinish, request)
-	if errors.Is(err, ErrNotFound) && r.restore(ctx, t, claim.ID) {
+	err := r.sendEnd(ctx, t, methodFinish, r.serveFinish, request)
+	if errors.Is(err, ErrNotFound) && r.restoreAtHome(ctx, t, claim.ID) {
 		return nil
 	}
 	return err
 }
 
-// restore gives the home a record that it has lost, from the holder's copy.
-func (r *Replica) restore(ctx context.Context, t target, claim ClaimID) bool {
+// restoreAtHome sends the home a record that it has lost, from the holder's copy.
+func (r *Replica) restoreAtHome(ctx context.Context, t target, claim ClaimID) bool {
 	r.mu.Lock()
-	rec, ok := r.book.get(t.hash)
-	e := r.book.export(t.hash, rec, time.Now())
+	rec, ok := r.records.get(t.hash)
+	e := r.records.toEntry(t.hash, rec, time.Now())
 	r.mu.Unlock()
 	at, err := r.route(ctx, t)
 	if !ok || rec.claim != claim || err != nil || at.home.SameLife(r.self) {
@@ -258,23 +257,23 @@
 	return err == nil && reply.Status == statusOK
 }
 
-// finishCopy ends this life's own copy, if another member decides about the key.
+// finishCopy ends the local copy, if another member is the key's home.
 func (r *Replica) finishCopy(t target, claim ClaimID, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rec, ok := r.book.get(t.hash)
+	rec, ok := r.records.get(t.hash)
 	if !ok || rec.claim != claim {
 		return
 	}
 	delete(r.open, openAttempt{t.hash, rec.attempt})
-	if rec.state == StateCommitted && !r.decidesAlone(t) {
-		r.book.set(t.hash, rec, endState(complete), time.Now())
+	if rec.state == StateCommitted && !r.isHome(t) {
+		r.records.set(t.hash, rec, endState(complete), time.Now())
 	}
 }
 
-// end sends a finish or a release.
-func (r *Replica) end(ctx context.Context, t target, method peer.Method, serve func(context.Context, domain.Member, endRequest) statusReply, request endRequest) error {
-	reply, err := run(ctx, r, t, exchange[endRequest, statusReply]{
+// sendEnd sends a finish or a release.
+func (r *Replica) sendEnd(ctx context.Context, t target, method peer.Method, serve func(context.Context, domain.Member, endRequest) statusReply, request endRequest) error {
+	reply, err := callHome(ctx, r, t, homeCall[endRequest, statusReply]{
 		method: method,
 		request: func(at route) endRequest {
 			request.Epoch = at.epoch
@@ -294,7 +293,7 @@
 // Lookup implements Ledger.
 func (r *Replica) Lookup(ctx context.Context, key domain.RequestKey) (State, Claim, error) {
 	t := r.targetOf(key)
-	reply, err := run(ctx, r, t, exchange[lookupRequest, lookupReply]{
+	reply, err := callHome(ctx, r, t, homeCall[lookupRequest, lookupReply]{
 		method:  methodLookup,
 		request: func(at route) lookupRequest { return lookupRequest{t.hash, at.epoch} },
 		serve:   r.serveLookup,
--- a/ledger/cluster_test.go
+++ b/ledger/cluster_test.go
@@ -17,25 +17,26 @@
 
 const testDataCentre = domain.DataCentre("palermo")
 
-// cluster is a data centre of replicas over an in-memory network and store.
+// cluster is a data centre of replicas on an in-memory network and store.
 type cluster struct {
 	t       reporter
 	network *peertest.Network
 	store   *memstore.Store
 	options Options
 
-	mu       sync.Mutex
-	nodes    map[domain.NodeID]*testNode
-	gone     map[domain.Member]bool
-	table    *Table
-	watchers map[int]func(domain.DataCentre)
-	// held are nodes that do not see new tables until released.
-	held     map[domain.NodeID]*Table
-	serial   int
-	promises *promises
+	mu         sync.Mutex
+	nodes      map[domain.NodeID]*testNode
+	markedGone map[domain.Member]bool
+	table      *Table
+	watchers   map[int]func(domain.DataCentre)
+	// heldTables are the nodes that do not see new tables until released, with the
+	// table that they keep.
+	heldTables map[domain.NodeID]*Table
+	serial     int
+	invariants *invariants
 }
 
-// reporter is what *testing.T and *rapid.T have in common.
+// reporter is the common interface of *testing.T and *rapid.T.
 type reporter interface {
 	Helper()
 	Fail()
@@ -45,7 +46,7 @@
 	Errorf(format string, args ...any)
 }
 
-// testNode is one life.
+// testNode is one incarnation of a node.
 type testNode struct {
 	*Replica
 	cluster *cluster
@@ -53,35 +54,35 @@
 	editor  *TableStore
 	stop    context.CancelFunc
 	done    chan struct{}
-	ended   atomic.Bool
+	crashed atomic.Bool
 }
 
-// init makes an empty cluster.
-func (c *cluster) init(t reporter) {
+// setUp initialises an empty cluster.
+func (c *cluster) setUp(t reporter) {
 	c.t = t
 	c.network = peertest.NewNetwork()
 	c.store = memstore.New(memstore.Options{})
 	c.nodes = make(map[domain.NodeID]*testNode)
-	c.gone = make(map[domain.Member]bool)
+	c.markedGone = make(map[domain.Member]bool)
 	c.watchers = make(map[int]func(domain.DataCentre))
-	c.held = make(map[domain.NodeID]*Table)
-	c.promises = newPromises()
+	c.heldTables = make(map[domain.NodeID]*Table)
+	c.invariants = newInvariants()
 }
 
 func newCluster(t reporter, size int) *cluster {
 	c := &cluster{}
-	c.init(t)
+	c.setUp(t)
 	c.network.SetDelay(func(_, _ domain.Member) time.Duration { return time.Millisecond })
 	for i := range size {
 		c.start(nodeName(i), testDataCentre)
 	}
-	c.settle()
+	c.waitSettled()
 	return c
 }
 
 func nodeName(i int) domain.NodeID { return domain.NodeID(fmt.Sprintf("host-%02d", i)) }
 
-// start begins a new life of a node, which joins the table of its data centre.
+// start begins a new incarnation of a node, which joins the table of its data centre.
 func (c *cluster) start(id domain.NodeID, dataCentre domain.DataCentre) *testNode {
 	n := c.startOutside(id, dataCentre)
 	if dataCentre == testDataCentre {
@@ -90,7 +91,7 @@
 	return n
 }
 
-// startOutside begins a new life of a node that does not join.
+// startOutside begins a new incarnation of a node that does not join.
 func (c *cluster) startOutside(id domain.NodeID, dataCentre domain.DataCentre) *testNode {
 	c.serial++
 	member := domain.Member{Node: id, Incarnation: domain.Incarnation(c.serial), DataCentre: dataCentre, Address: "10.0.0.1:7000"}
@@ -125,7 +126,7 @@
 	if dataCentre != testDataCentre {
 		return nil
 	}
-	if old, ok := n.cluster.held[n.member.Node]; ok {
+	if old, ok := n.cluster.heldTables[n.member.Node]; ok {
 		return old
 	}
 	return n.cluster.table
@@ -153,7 +154,7 @@
 	s := &membership.Snapshot{Self: n.member}
 	for _, other := range c.nodes {
 		p := membership.Peer{Member: other.member}
-		if c.gone[other.member] {
+		if c.markedGone[other.member] {
 			p.Status = membership.StatusGone
 		}
 		s.Peers = append(s.Peers, p)
@@ -161,17 +162,17 @@
 	return s
 }
 
-// Edit implements TableEditor and spreads the new table.
+// Edit implements TableEditor and publishes the new table.
 func (n *testNode) Edit(ctx context.Context, change TableChange) (*Table, error) {
 	t, err := n.editor.Edit(ctx, change)
-	n.cluster.promises.note("table %+v %v", t, err)
+	n.cluster.invariants.trace("table %+v %v", t, err)
 	if err == nil {
-		n.cluster.spread(t)
+		n.cluster.publish(t)
 	}
 	return t, err
 }
 
-func (c *cluster) spread(t *Table) {
+func (c *cluster) publish(t *Table) {
 	c.mu.Lock()
 	if c.table == nil || t.Revision > c.table.Revision {
 		c.table = t
@@ -192,12 +193,12 @@
 	assert.NilError(c.t, err)
 }
 
-// hold keeps a node from seeing new tables by the store.
-func (c *cluster) hold(ids ...domain.NodeID) {
+// holdTables keeps nodes from seeing new tables through the store.
+func (c *cluster) holdTables(ids ...domain.NodeID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
-		c.held[id] = c.table
+		c.heldTables[id] = c.table
 	}
 }
 
@@ -208,56 +209,56 @@
 	return c.table
 }
 
-func (c *cluster) release(ids ...domain.NodeID) {
+func (c *cluster) releaseTables(ids ...domain.NodeID) {
 	c.mu.Lock()
 	for _, id := range ids {
-		delete(c.held, id)
+		delete(c.heldTables, id)
 	}
 	t := c.table
 	c.mu.Unlock()
-	c.spread(t)
+	c.publish(t)
 }
 
-// settle lets the replicas work for a while.
-func (c *cluster) settle() { time.Sleep(2 * time.Second) }
+// waitSettled gives the replicas time to settle the table.
+func (c *cluster) waitSettled() { time.Sleep(2 * time.Second) }
 
-// crash ends a node's life without a word.
+// crash ends a node's incarnation without notice.
 func (c *cluster) crash(id domain.NodeID) {
 	n := c.nodes[id]
-	n.ended.Store(true)
-	c.promises.died(n.member)
+	n.crashed.Store(true)
+	c.invariants.crashed(n.member)
 	c.network.Crash(id)
 	n.stop()
 	<-n.done
 }
 
-// remove takes a node's life out of the table, by the word of another.
+// remove has another node take a node's incarnation out of the table.
 func (c *cluster) remove(id domain.NodeID) {
 	member := c.nodes[id].member
-	c.callGone(member)
-	c.edit(c.anyBut(id), Remove(member))
+	c.markGone(member)
+	c.edit(c.anyExcept(id), Remove(member))
 }
 
-// callGone lets all nodes believe that a life has ended.
-func (c *cluster) callGone(member domain.Member) {
+// markGone makes every node's membership view show an incarnation as gone.
+func (c *cluster) markGone(member domain.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone[member] = true
+	c.markedGone[member] = true
 }
 
 // leave takes a node out gracefully.
 func (c *cluster) leave(id domain.NodeID) {
 	n := c.nodes[id]
 	c.edit(n, Leave(n.member))
-	c.settle()
+	c.waitSettled()
 	c.edit(n, Remove(n.member))
 	c.crash(id)
 }
 
-func (c *cluster) anyBut(ids ...domain.NodeID) *testNode {
+func (c *cluster) anyExcept(ids ...domain.NodeID) *testNode {
 	for i := range len(c.nodes) {
 		n := c.nodes[nodeName(i)]
-		if n == nil || c.gone[n.member] || n.member.DataCentre != testDataCentre {
+		if n == nil || c.markedGone[n.member] || n.member.DataCentre != testDataCentre {
 			continue
 		}
 		found := false
@@ -268,11 +269,11 @@
 			return n
 		}
 	}
-	c.t.Fatalf("no node left")
+	c.t.Fatalf("no running member left")
 	return nil
 }
 
-// close ends everything and checks the promises. It must be called before a
+// close stops the cluster and checks the invariants. It must be called before a
 // synctest bubble ends.
 func (c *cluster) close() {
 	c.network.Close()
@@ -280,8 +281,8 @@
 		n.stop()
 		<-n.done
 	}
-	for _, broken := range c.promises.violations() {
-		c.t.Errorf("%s", broken)
+	for _, violation := range c.invariants.violations() {
+		c.t.Errorf("%s", violation)
 	}
 }
 
@@ -294,7 +295,7 @@
 	}
 }
 
-// keyAt returns a key whose home is the node, and that no earlier call returned.
+// keyAt returns a key whose home is the node and that no earlier call returned.
 func (c *cluster) keyAt(id domain.NodeID) domain.RequestKey {
 	for {
 		c.serial++
@@ -305,7 +306,7 @@
 	}
 }
 
-// dispatch claims, commits and, if it may, dispatches at a node.
+// dispatch claims and commits at a node and, if allowed, dispatches.
 func (n *testNode) dispatch(k domain.RequestKey) (Claim, error) {
 	claim, err := n.Claim(context.Background(), k, Fingerprint{1})
 	if err != nil || claim.Verdict != VerdictGranted {
@@ -314,20 +315,20 @@
 	return claim, n.commit(claim)
 }
 
-// commit commits and, if it may, dispatches, once the node is not paused.
+// commit commits and, if allowed, dispatches once the node is not paused.
 func (n *testNode) commit(claim Claim) error {
 	granted := time.Now()
 	if err := n.Commit(context.Background(), claim, "runner-1"); err != nil {
 		return err
 	}
-	n.send(claim, granted)
+	n.execute(claim, granted)
 	return nil
 }
 
-// send dispatches what was committed, unless the life has ended.
-func (n *testNode) send(claim Claim, granted time.Time) *attemptRun {
-	if n.cluster.network.AwaitResume(context.Background(), n.member.Node) != nil || n.ended.Load() {
+// execute dispatches what was committed, unless the incarnation has crashed.
+func (n *testNode) execute(claim Claim, granted time.Time) *execution {
+	if n.cluster.network.AwaitResume(context.Background(), n.member.Node) != nil || n.crashed.Load() {
 		return nil
 	}
-	return n.cluster.promises.dispatched(claim.Key, n.member, granted)
+	return n.cluster.invariants.dispatched(claim.Key, n.member, granted)
 }
--- a/ledger/dump.go
+++ b/ledger/dump.go
@@ -7,39 +7,39 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Dump is a Replica's state as operators may see it. It names no keys.
+// Dump is the state of a Replica as shown to operators. It contains no keys.
 type Dump struct {
 	Revision uint64 `json:"revision"`
 	Epoch    uint64 `json:"epoch"`
 	Settled  uint64 `json:"settled"`
-	// Ready is the epoch up to which this member knows all records of its keys.
+	// Ready is the epoch up to which this member has all records of its keys.
 	Ready   uint64         `json:"ready"`
 	Records int            `json:"records"`
 	States  map[string]int `json:"states"`
 	// Open counts the attempts of this node that have not ended.
 	Open int `json:"open"`
-	// Awaiting are the members that have not yet sent their records.
+	// Awaiting are the members that have not sent all their records yet.
 	Awaiting []domain.NodeID `json:"awaiting,omitempty"`
-	// Fenced tells that too few members have been heard of to decide about keys.
+	// Fenced is set if too few members have confirmed the epoch for this one to decide
+	// about keys.
 	Fenced bool `json:"fenced"`
-	// Losses are the lives whose memory was lost lately.
+	// Losses are the incarnations whose records were lost within the window.
 	Losses []LossDump `json:"losses,omitempty"`
 }
 
-// LossDump is a lost life.
+// LossDump describes a lost incarnation.
 type LossDump struct {
 	Member string `json:"member"`
-	// AgeSeconds is how long ago it was lost, or less.
+	// AgeSeconds is a lower bound on the time since the loss.
 	AgeSeconds float64 `json:"age_seconds"`
 }
 
-// Dump returns the state.
 func (r *Replica) Dump() Dump {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	d := Dump{Ready: r.ready, Records: len(r.book.records), States: make(map[string]int), Open: len(r.open)}
-	for _, rec := range r.book.records {
+	d := Dump{Ready: r.ready, Records: len(r.records.byKey), States: make(map[string]int), Open: len(r.open)}
+	for _, rec := range r.records.byKey {
 		d.States[rec.state.String()]++
 	}
 	d.Awaiting = r.awaitedLocked()
@@ -54,21 +54,20 @@
 	return d
 }
 
-// recordCount returns how many records are held.
 func (r *Replica) recordCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.book.records)
+	return len(r.records.byKey)
 }
 
-// awaited returns the members that have not yet sent their records.
+// awaited returns the members that have not sent all their records yet.
 func (r *Replica) awaited() []domain.NodeID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.awaitedLocked()
 }
 
-// awaitedLocked is awaited with the lock held.
+// awaitedLocked is awaited for callers that hold the lock.
 func (r *Replica) awaitedLocked() []domain.NodeID {
 	if r.recovery == nil {
 		return nil
--- a/ledger/ended.go
+++ b/ledger/ended_queue.go
@@ -1,19 +1,19 @@
 package ledger
 
-// endedKey is a key whose record ended at a time of the book's clock.
+// endedKey is a key and the time at which its record ended, as a timestamp of the
+// record set.
 type endedKey struct {
 	key   KeyHash
 	since int64
 }
 
-// endedBlockSize is how many keys share one allocation.
+// endedBlockSize is the number of keys per allocation.
 const endedBlockSize = 512
 
-// endedQueue is a first-in-first-out queue in blocks, so that its memory follows
-// its length.
+// endedQueue is a FIFO queue made of blocks, so that its memory use follows its length.
 type endedQueue struct {
 	blocks [][]endedKey
-	// head counts the keys taken from the first block.
+	// head is the number of keys taken from the first block.
 	head int
 }
 
--- a/ledger/export.go
+++ b/ledger/export.go
@@ -9,15 +9,15 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// export is a collection that another member has begun: the keys that it is the
-// home of and that this member has records of.
-type export struct {
+// exportSession is a collection that another member has begun: the keys of which it is
+// the home and this member has records.
+type exportSession struct {
 	epoch uint64
 	keys  []KeyHash
 }
 
-// serveCollect gives a home the records of its keys. A member that has answered
-// takes part in no commit of an earlier epoch.
+// serveCollect sends a home the records of its keys. A member that has answered takes
+// part in no commit of an earlier epoch.
 func (r *Replica) serveCollect(ctx context.Context, from domain.Member, request collectRequest) collectReply {
 	r.catchUp(ctx, from, request.Epoch)
 	r.mu.Lock()
@@ -27,9 +27,9 @@
 		return collectReply{Status: statusStale, Epoch: r.epoch()}
 	}
 	now := time.Now()
-	x := r.exportFor(h, from, request)
+	s := r.exportFor(h, from, request)
 	reply := collectReply{Status: statusOK, Epoch: request.Epoch}
-	page := x.after(request.After)
+	page := s.after(request.After)
 	if len(page) > r.options.PageRecords {
 		page = page[:r.options.PageRecords]
 		reply.Next = &page[len(page)-1]
@@ -40,21 +40,21 @@
 	return reply
 }
 
-// exportFor returns the collection that the request belongs to. The lock is held.
-func (r *Replica) exportFor(h *history, from domain.Member, request collectRequest) *export {
-	if x := r.exports[from.Node]; x != nil && x.epoch == request.Epoch && request.After != nil {
-		return x
+// exportFor returns the session that the request belongs to. The lock is held.
+func (r *Replica) exportFor(h *history, from domain.Member, request collectRequest) *exportSession {
+	if s := r.exports[from.Node]; s != nil && s.epoch == request.Epoch && request.After != nil {
+		return s
 	}
-	x := &export{request.Epoch, r.keysOf(h, from)}
-	r.exports[from.Node] = x
-	return x
+	s := &exportSession{request.Epoch, r.keysOf(h, from)}
+	r.exports[from.Node] = s
+	return s
 }
 
-// keysOf returns the keys that this member has records of and whose home is the
-// given one. The lock is held.
+// keysOf returns the keys whose home is the given member and of which this member has
+// records. The lock is held.
 func (r *Replica) keysOf(h *history, home domain.Member) []KeyHash {
-	return r.book.keys(func(key KeyHash, rec record) bool {
-		if !rec.tabled() {
+	return r.records.keys(func(key KeyHash, rec record) bool {
+		if !rec.tableScoped() {
 			return false
 		}
 		m, ok := h.home(key)
@@ -63,23 +63,24 @@
 }
 
 // after returns the keys greater than the cursor.
-func (x *export) after(cursor *KeyHash) []KeyHash {
+func (s *exportSession) after(cursor *KeyHash) []KeyHash {
 	if cursor == nil {
-		return x.keys
+		return s.keys
 	}
-	i, found := slices.BinarySearchFunc(x.keys, *cursor, func(a, b KeyHash) int { return bytes.Compare(a[:], b[:]) })
+	i, found := slices.BinarySearchFunc(s.keys, *cursor, func(a, b KeyHash) int { return bytes.Compare(a[:], b[:]) })
 	if found {
 		i++
 	}
-	return x.keys[i:]
+	return s.keys[i:]
 }
 
-// exportEntries spells out the records that are still there. The lock is held.
+// exportEntries returns the wire form of those records that still exist. The lock is
+// held.
 func (r *Replica) exportEntries(keys []KeyHash, now time.Time) []entry {
 	entries := make([]entry, 0, len(keys))
 	for _, key := range keys {
-		if rec, ok := r.book.get(key); ok {
-			entries = append(entries, r.book.export(key, rec, now))
+		if rec, ok := r.records.get(key); ok {
+			entries = append(entries, r.records.toEntry(key, rec, now))
 		}
 	}
 	return entries
--- a/ledger/fault_test.go
+++ b/ledger/fault_test.go
@@ -11,8 +11,8 @@
 	"hawthornrill.example/hawthornrill/peer/peertest"
 )
 
-// grant claims a key that must be free.
-func (n *testNode) grant(t *testing.T, k domain.RequestKey) Claim {
+// mustClaim claims a key that must be free.
+func (n *testNode) mustClaim(t *testing.T, k domain.RequestKey) Claim {
 	t.Helper()
 	claim, err := n.Claim(t.Context(), k, Fingerprint{1})
 	assert.NilError(t, err)
@@ -20,16 +20,16 @@
 	return claim
 }
 
-// deny claims a key that must be free and gives it up.
-func (n *testNode) deny(t *testing.T, k domain.RequestKey) {
+// mustClaimAndRelease claims a key that must be free and releases it.
+func (n *testNode) mustClaimAndRelease(t *testing.T, k domain.RequestKey) {
 	t.Helper()
-	claim := n.grant(t, k)
+	claim := n.mustClaim(t, k)
 	asked := time.Now()
 	assert.NilError(t, n.Release(t.Context(), claim))
-	n.cluster.promises.toldNotRun(k, n.member, asked)
+	n.cluster.invariants.toldNotRun(k, n.member, asked)
 }
 
-// verdict claims a key and returns what the home says.
+// verdict claims a key and returns the home's verdict.
 func (n *testNode) verdict(t *testing.T, k domain.RequestKey) Verdict {
 	t.Helper()
 	claim, err := n.Claim(t.Context(), k, Fingerprint{1})
@@ -37,11 +37,11 @@
 	return claim.Verdict
 }
 
-// keyBetween returns a key whose home is the first node and, without it, the second.
+// keyBetween returns a key whose home is first and, without it, second.
 func (c *cluster) keyBetween(first, second domain.NodeID) domain.RequestKey {
 	for {
 		k := c.keyAt(first)
-		if order(c.latest().candidates(), hashKey(k))[1].Node == second {
+		if ranked(c.latest().candidates(), hashKey(k))[1].Node == second {
 			return k
 		}
 	}
@@ -57,9 +57,9 @@
 		for i := range 7 {
 			c.leave(nodeName(i))
 			c.start(nodeName(i), testDataCentre)
-			c.settle()
-			assert.Equal(t, c.anyBut(nodeName(i)).verdict(t, kept), VerdictFinished)
-			c.nodes[nodeName(i)].grant(t, key(-1-i))
+			c.waitSettled()
+			assert.Equal(t, c.anyExcept(nodeName(i)).verdict(t, kept), VerdictFinished)
+			c.nodes[nodeName(i)].mustClaim(t, key(-1-i))
 		}
 	})
 }
@@ -72,15 +72,16 @@
 		for i := range 7 {
 			c.crash(nodeName(i))
 			c.start(nodeName(i), testDataCentre)
-			c.settle()
+			c.waitSettled()
 			assert.Assert(t, c.nodes[nodeName(i)].verdict(t, committed) != VerdictGranted)
-			c.nodes[nodeName(i)].grant(t, key(-1-i))
+			c.nodes[nodeName(i)].mustClaim(t, key(-1-i))
 		}
 	})
 }
 
-// Two losses before the second copy was made anew leave exactly the keys uncertain
-// that the two may have held, for as long as a lost record would have been kept.
+// When two members are lost before second copies have been made again, exactly the keys
+// that both may have held are uncertain, for as long as a lost record would have been
+// kept.
 func TestTwoMembersLostAtOnce(t *testing.T) {
 	inCluster(t, 7, func(t *testing.T, c *cluster) {
 		a, b := nodeName(0), nodeName(1)
@@ -91,28 +92,28 @@
 		c.crash(b)
 		c.edit(c.nodes[nodeName(3)], Remove(c.nodes[a].member))
 		c.edit(c.nodes[nodeName(3)], Remove(c.nodes[b].member))
-		c.settle()
+		c.waitSettled()
 		n := c.nodes[nodeName(3)]
-		n.grant(t, other)
+		n.mustClaim(t, other)
 		time.Sleep(DefaultRetention)
 		_, err = n.dispatch(lost)
 		assert.ErrorIs(t, err, ErrUnknown)
 		time.Sleep(2*DefaultFenceTimeout + time.Second)
-		n.grant(t, lost)
+		n.mustClaim(t, lost)
 	})
 }
 
-// The holder of a claim that was revoked wakes late: its caller's other attempt was
-// told that the request was not run.
-func TestHolderPausedAndWakingLate(t *testing.T) {
+// A paused holder commits after its claim was revoked and another attempt was told that
+// the request was not run: the commit must be refused.
+func TestPausedHolderCommitsAfterRevocation(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		holder, k := c.nodes[nodeName(1)], c.keyAt(nodeName(0))
-		claim := holder.grant(t, k)
+		claim := holder.mustClaim(t, k)
 		c.network.Pause(nodeName(1))
-		c.hold(nodeName(1))
+		c.holdTables(nodeName(1))
 		c.remove(nodeName(1))
-		c.settle()
-		c.nodes[nodeName(2)].deny(t, k)
+		c.waitSettled()
+		c.nodes[nodeName(2)].mustClaimAndRelease(t, k)
 		_, err := c.nodes[nodeName(2)].dispatch(k)
 		assert.NilError(t, err)
 		c.network.Resume(nodeName(1))
@@ -120,11 +121,12 @@
 	})
 }
 
-// The home is paused after it has recorded the commit and before it replies.
+// The home pauses after recording the commit and before replying: the holder withdraws
+// the commit, and the key can be claimed again.
 func TestHomePausedBetweenCommitAndReply(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		holder, k := c.nodes[nodeName(1)], c.keyAt(nodeName(0))
-		claim := holder.grant(t, k)
+		claim := holder.mustClaim(t, k)
 		c.network.Intercept(func(from, to domain.NodeID, method peer.Method, reply bool) peertest.Action {
 			if method == methodCommit && reply {
 				return peertest.Action{Delay: 10 * time.Second}
@@ -139,18 +141,18 @@
 	})
 }
 
-// A home that is out of reach is not guessed around, and a removed one that wakes
-// late commits nothing.
-func TestHomePausedAndWakingLate(t *testing.T) {
+// No other member decides for a home that does not answer, and a home that was removed
+// while paused commits nothing when it resumes.
+func TestPausedHomeCommitsAfterRemoval(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		home, k := c.nodes[nodeName(0)], c.keyAt(nodeName(0))
-		claim := home.grant(t, k)
+		claim := home.mustClaim(t, k)
 		c.network.Pause(nodeName(0))
 		_, err := c.nodes[nodeName(1)].dispatch(k)
 		assert.ErrorIs(t, err, ErrUnknown)
-		c.hold(nodeName(0))
+		c.holdTables(nodeName(0))
 		c.remove(nodeName(0))
-		c.settle()
+		c.waitSettled()
 		_, err = c.nodes[nodeName(1)].dispatch(k)
 		assert.NilError(t, err)
 		c.network.Resume(nodeName(0))
@@ -158,16 +160,17 @@
 	})
 }
 
-// The table changes while the witness's reply is on its way to the home: the new
-// home has asked the old one before, and never asks the witness.
-func TestTableChangeRacingACommit(t *testing.T) {
+// The table changes while the witness's reply to the home is in transit. The new home
+// has already collected from the old one and never asks the witness, yet must know of
+// the commit.
+func TestTableChangeDuringCommit(t *testing.T) {
 	inCluster(t, 4, func(t *testing.T, c *cluster) {
 		newcomer := nodeName(9)
 		k := c.keyBetween(nodeName(0), nodeName(1))
 		for hashKey(k).score(hashNode(newcomer)) < hashKey(k).score(hashNode(nodeName(0))) {
 			k = c.keyBetween(nodeName(0), nodeName(1))
 		}
-		claim := c.nodes[nodeName(0)].grant(t, k)
+		claim := c.nodes[nodeName(0)].mustClaim(t, k)
 		c.network.Intercept(func(from, to domain.NodeID, method peer.Method, reply bool) peertest.Action {
 			if method == methodMirror && reply && from == nodeName(1) {
 				return peertest.Action{Delay: 100 * time.Millisecond}
@@ -178,7 +181,7 @@
 		go func() { result <- c.nodes[nodeName(0)].commit(claim) }()
 		time.Sleep(5 * time.Millisecond)
 		c.network.Cut(newcomer, nodeName(1))
-		c.hold(nodeName(1))
+		c.holdTables(nodeName(1))
 		c.start(newcomer, testDataCentre)
 		time.Sleep(20 * time.Millisecond)
 		c.remove(nodeName(1))
@@ -190,8 +193,8 @@
 	})
 }
 
-// A claim given by a former home does not come back when the key does.
-func TestOldClaimsDoNotComeBack(t *testing.T) {
+// A claim given by a former home is not restored when that home gets the key back.
+func TestClaimOfFormerHomeStaysRevoked(t *testing.T) {
 	inCluster(t, 4, func(t *testing.T, c *cluster) {
 		far := c.start("far", "catania")
 		newcomer := nodeName(9)
@@ -199,41 +202,41 @@
 		for hashKey(k).score(hashNode(newcomer)) < hashKey(k).score(hashNode(nodeName(0))) {
 			k = c.keyAt(nodeName(0))
 		}
-		claim := far.grant(t, k)
+		claim := far.mustClaim(t, k)
 		c.start(newcomer, testDataCentre)
-		c.settle()
-		c.callGone(far.member)
-		c.nodes[nodeName(1)].deny(t, k)
+		c.waitSettled()
+		c.markGone(far.member)
+		c.nodes[nodeName(1)].mustClaimAndRelease(t, k)
 		c.crash(newcomer)
 		c.remove(newcomer)
-		c.settle()
+		c.waitSettled()
 		assert.ErrorIs(t, far.commit(claim), ErrRevoked)
 	})
 }
 
-// A member taken out by mistake forgets its claims before it joins again.
-func TestRemovedMemberForgets(t *testing.T) {
+// A member removed by mistake drops its claims before it joins again.
+func TestRemovedMemberDropsClaims(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		holder, k := c.nodes[nodeName(1)], c.keyAt(nodeName(0))
-		claim := holder.grant(t, k)
+		claim := holder.mustClaim(t, k)
 		c.edit(holder, Remove(holder.member))
-		c.settle()
-		c.nodes[nodeName(2)].deny(t, k)
+		c.waitSettled()
+		c.nodes[nodeName(2)].mustClaimAndRelease(t, k)
 		c.edit(holder, Join(holder.member))
-		c.settle()
+		c.waitSettled()
 		c.crash(nodeName(0))
 		c.remove(nodeName(0))
-		c.settle()
+		c.waitSettled()
 		assert.ErrorIs(t, holder.commit(claim), ErrRevoked)
 	})
 }
 
-// A member that is out and in again while its commit is on the way no longer holds
-// the second copy.
-func TestCopyLostOnTheWay(t *testing.T) {
+// A member that is removed and joins again while its commit is in transit no longer
+// holds the second copy.
+func TestRejoinDuringCommitInvalidatesCopy(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		holder, k := c.nodes[nodeName(1)], c.keyAt(nodeName(0))
-		claim := holder.grant(t, k)
+		claim := holder.mustClaim(t, k)
 		c.network.Intercept(func(from, to domain.NodeID, method peer.Method, reply bool) peertest.Action {
 			if method == methodCommit && !reply {
 				return peertest.Action{Delay: 100 * time.Millisecond}
@@ -250,21 +253,21 @@
 		c.network.Intercept(nil)
 		c.crash(nodeName(0))
 		c.remove(nodeName(0))
-		c.settle()
+		c.waitSettled()
 		_, err := c.nodes[nodeName(2)].dispatch(k)
 		assert.NilError(t, err)
 	})
 }
 
-// The host list calls a member gone that is only paused: what it claimed stays its
-// own until the table says so, what it committed is taken over.
-func TestMembershipAloneRevokesNothing(t *testing.T) {
+// Membership reports a member as gone that is only paused: its claims stay valid until
+// the table changes, while its commits are taken over.
+func TestMembershipDoesNotRevokeClaims(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		holder, claimed, committed := c.nodes[nodeName(1)], c.keyAt(nodeName(0)), c.keyAt(nodeName(0))
-		claim := holder.grant(t, claimed)
+		claim := holder.mustClaim(t, claimed)
 		done, err := holder.dispatch(committed)
 		assert.NilError(t, err)
-		c.callGone(holder.member)
+		c.markGone(holder.member)
 		assert.Equal(t, c.nodes[nodeName(2)].verdict(t, claimed), VerdictAttached)
 		taken, err := c.nodes[nodeName(2)].dispatch(committed)
 		assert.NilError(t, err)
@@ -275,8 +278,8 @@
 	})
 }
 
-// The messages that end a claim are lost: the home asks the holder.
-func TestLostMessagesAreMadeUpFor(t *testing.T) {
+// The messages that end a claim are lost: the home asks the holder for the state.
+func TestLostMessagesAreRecovered(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		holder, k := c.nodes[nodeName(1)], c.keyAt(nodeName(0))
 		c.network.DropNextReplies(nodeName(0), nodeName(1), methodClaim, 10)
@@ -286,7 +289,7 @@
 		time.Sleep(DefaultHolderCheckAge)
 		assert.Equal(t, c.nodes[nodeName(2)].verdict(t, k), VerdictAttached)
 		time.Sleep(time.Millisecond * 10)
-		claim := c.nodes[nodeName(2)].grant(t, k)
+		claim := c.nodes[nodeName(2)].mustClaim(t, k)
 		assert.NilError(t, c.nodes[nodeName(2)].commit(claim))
 		c.network.DropNext(nodeName(2), nodeName(0), methodFinish, 10)
 		assert.ErrorIs(t, c.nodes[nodeName(2)].Finish(t.Context(), claim, true), ErrUnknown)
@@ -297,11 +300,11 @@
 	})
 }
 
-func TestFullHomeRefusesNewKeysAlone(t *testing.T) {
+func TestFullHomeRefusesOnlyNewKeys(t *testing.T) {
 	inCluster(t, 3, func(t *testing.T, c *cluster) {
 		home := c.nodes[nodeName(0)]
 		old := c.keyAt(nodeName(0))
-		home.grant(t, old)
+		home.mustClaim(t, old)
 		home.options.MaxRecords = 1
 		_, err := c.nodes[nodeName(1)].Claim(t.Context(), c.keyAt(nodeName(0)), Fingerprint{1})
 		assert.ErrorIs(t, err, ErrFull)
@@ -309,9 +312,9 @@
 	})
 }
 
-// A member begins to leave and dies before its records were collected; the one that
-// is now their home did not see the epoch in between.
-func TestLeavingMemberDies(t *testing.T) {
+// A member begins to leave and crashes before its records were collected. Their new
+// home has not seen the epoch in between.
+func TestLeavingMemberCrashes(t *testing.T) {
 	inCluster(t, 4, func(t *testing.T, c *cluster) {
 		k := c.keyBetween(nodeName(0), nodeName(1))
 		_, err := c.nodes[nodeName(2)].dispatch(k)
@@ -322,7 +325,7 @@
 		c.crash(nodeName(0))
 		c.remove(nodeName(0))
 		c.network.HealAll()
-		c.release(nodeName(1))
+		c.releaseTables(nodeName(1))
 		_, err = c.nodes[nodeName(1)].dispatch(k)
 		assert.NilError(t, err)
 	})
--- a/ledger/foreign.go
+++ b/ledger/foreign.go
@@ -7,10 +7,10 @@
 	"hawthornrill.example/hawthornrill/membership"
 )
 
-// A node need not follow the tables of other data centres: it asks their members
-// when it meets a key of theirs, and again when a home does not answer.
+// A node need not follow the tables of other data centres: it requests them from their
+// members when it gets a key of theirs, and again when a home does not answer.
 
-// historyOf returns the latest table known of a data centre, or nil.
+// historyOf returns the history of the latest known table of a data centre, or nil.
 func (r *Replica) historyOf(dataCentre domain.DataCentre) *history {
 	if dataCentre == r.self.DataCentre {
 		return r.history.Load()
@@ -18,23 +18,24 @@
 	r.mu.Lock()
 	known := r.foreign[dataCentre]
 	r.mu.Unlock()
-	return r.learn(known, r.options.Tables.Table(dataCentre))
+	return r.keepLaterTable(known, r.options.Tables.Table(dataCentre))
 }
 
-// learn keeps the later of a known table of another data centre and one just met.
-func (r *Replica) learn(known *history, met *Table) *history {
-	if met == nil || known != nil && met.Epoch <= known.table.Epoch {
+// keepLaterTable keeps the later of the known table of another data centre and a
+// received one.
+func (r *Replica) keepLaterTable(known *history, received *Table) *history {
+	if received == nil || known != nil && received.Epoch <= known.table.Epoch {
 		return known
 	}
-	next := newHistory(met)
+	next := newHistory(received)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.foreign[met.DataCentre] = next
+	r.foreign[received.DataCentre] = next
 	return next
 }
 
-// refresh looks for a later table after a home has named another epoch.
-func (r *Replica) refresh(ctx context.Context, t target, at route, epoch uint64) {
+// refreshTable looks for a later table after a home has named another epoch.
+func (r *Replica) refreshTable(ctx context.Context, t target, at route, epoch uint64) {
 	dataCentre := t.key.Scope.DataCentre
 	if dataCentre == r.self.DataCentre {
 		r.catchUp(ctx, at.home, epoch)
@@ -43,43 +44,43 @@
 	if epoch <= at.epoch {
 		return
 	}
-	if met, err := r.fetchTable(ctx, at.home, dataCentre); err == nil {
-		r.learn(r.historyOf(dataCentre), met)
+	if received, err := r.fetchTable(ctx, at.home, dataCentre); err == nil {
+		r.keepLaterTable(r.historyOf(dataCentre), received)
 	}
 }
 
-// refreshLost looks for a later table after a home of another data centre has not
-// answered: it may be gone.
-func (r *Replica) refreshLost(ctx context.Context, t target, at route) {
+// refreshAfterFailure looks for a later table after a home of another data centre has
+// not answered, since the home may be gone.
+func (r *Replica) refreshAfterFailure(ctx context.Context, t target, at route) {
 	scope := t.key.Scope
 	if scope.Kind == domain.ScopeDataCentre && scope.DataCentre != r.self.DataCentre {
-		r.askForTable(ctx, scope.DataCentre, &at.home)
+		r.queryTable(ctx, scope.DataCentre, &at.home)
 	}
 }
 
-// maxAsked is how many members are asked for a table in one go.
-const maxAsked = 2
+// maxTableQueries is the maximum number of members queried in one call of queryTable.
+const maxTableQueries = 2
 
-// askForTable asks members of another data centre for its table, and returns the
-// latest one known then, or nil.
-func (r *Replica) askForTable(ctx context.Context, dataCentre domain.DataCentre, but *domain.Member) *history {
+// queryTable requests the table of another data centre from its members and returns the
+// latest known one, or nil.
+func (r *Replica) queryTable(ctx context.Context, dataCentre domain.DataCentre, exclude *domain.Member) *history {
 	if dataCentre == r.self.DataCentre || r.options.Membership == nil {
 		return r.historyOf(dataCentre)
 	}
-	asked := 0
+	queried := 0
 	peers := r.options.Membership.Current().Peers
 	start := int(r.attempts.Load())
 	for i := range peers {
 		p := peers[(start+i)%len(peers)]
-		if asked == maxAsked {
+		if queried == maxTableQueries {
 			break
 		}
-		if p.DataCentre != dataCentre || p.Status != membership.StatusAlive || but != nil && p.SameLife(*but) {
+		if p.DataCentre != dataCentre || p.Status != membership.StatusAlive || exclude != nil && p.SameLife(*exclude) {
 			continue
 		}
-		asked++
-		if met, err := r.fetchTable(ctx, p.Member, dataCentre); err == nil && met != nil {
-			return r.learn(r.historyOf(dataCentre), met)
+		queried++
+		if received, err := r.fetchTable(ctx, p.Member, dataCentre); err == nil && received != nil {
+			return r.keepLaterTable(r.historyOf(dataCentre), received)
 		}
 	}
 	return r.historyOf(dataCentre)
--- a/ledger/handle.go
+++ b/ledger/handle.go
@@ -6,7 +6,7 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// handle makes a peer handler of a function that always has a reply.
+// handle adapts a function that always replies to a peer handler.
 func handle[Request, Reply any](serve func(context.Context, domain.Member, Request) Reply) func(context.Context, domain.Member, Request) (Reply, error) {
 	return func(ctx context.Context, from domain.Member, request Request) (Reply, error) {
 		return serve(ctx, from, request), nil
--- a/ledger/history.go
+++ b/ledger/history.go
@@ -7,20 +7,21 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// history answers, for one table, who was home of a key in the epochs that are
-// still known, and whether both copies of a record can have been lost. It is
-// immutable and made once a table.
+// history answers, for one table, which member was the home of a key in the epochs that
+// are still known, and whether both copies of a record can have been lost. It is
+// immutable and computed once per table.
 type history struct {
 	table *Table
 	// spans cover the epochs from the table's horizon to its own, in order.
 	spans []span
-	// losses are the departures that took their memory along.
+	// losses are the departures with lost records.
 	losses []Departure
-	// settled are the settlements with two eligible members or more.
+	// settled are the settlements with at least two eligible members.
 	settled []uint64
 }
 
-// span is a run of epochs, from begin to before end, with the same eligible members.
+// span is a range of epochs, from begin up to but without end, with the same eligible
+// members.
 type span struct {
 	begin, end uint64
 	candidates []candidate
@@ -49,8 +50,8 @@
 	return h
 }
 
-// changeEpochs returns the horizon and the later epochs in which the eligible
-// members changed, ascending. There is always one.
+// changeEpochs returns the horizon and the later epochs in which the eligible members
+// changed, in ascending order. The result is never empty.
 func (t *Table) changeEpochs() []uint64 {
 	epochs := []uint64{t.Horizon}
 	for _, m := range t.Members {
@@ -64,7 +65,7 @@
 	return slices.DeleteFunc(epochs, func(e uint64) bool { return e < t.Horizon })
 }
 
-// candidatesAt returns the eligible members of an epoch from the horizon on.
+// candidatesAt returns the eligible members of an epoch not before the horizon.
 func (t *Table) candidatesAt(epoch uint64) []candidate {
 	var list []candidate
 	add := func(m domain.Member) { list = append(list, candidate{m, hashNode(m.Node)}) }
@@ -85,7 +86,7 @@
 func (h *history) current() []candidate { return h.spans[len(h.spans)-1].candidates }
 
 // home returns the key's home in the table's own epoch.
-func (h *history) home(key KeyHash) (domain.Member, bool) { return first(h.current(), key) }
+func (h *history) home(key KeyHash) (domain.Member, bool) { return topRanked(h.current(), key) }
 
 // homeSince reports whether the member was the key's home in every epoch from
 // the given one up to the table's own.
@@ -93,8 +94,8 @@
 	return h.homeDuring(member, key, epoch, h.table.Epoch+1)
 }
 
-// homeDuring reports whether the member was the key's home in every epoch from,
-// and before, the given ones. It is false if that is no longer known.
+// homeDuring reports whether the member was the key's home in every epoch in [from,
+// before). It is false if that is no longer known.
 func (h *history) homeDuring(member domain.Member, key KeyHash, from, before uint64) bool {
 	if from < h.table.Horizon {
 		return false
@@ -103,7 +104,7 @@
 		if s.end <= from || s.begin >= before {
 			continue
 		}
-		if home, ok := first(s.candidates, key); !ok || !home.SameLife(member) {
+		if home, ok := topRanked(s.candidates, key); !ok || !home.SameLife(member) {
 			return false
 		}
 	}
@@ -124,15 +125,15 @@
 	})
 }
 
-// uncertain reports whether a record of the key can have lost both copies within
-// the window, given how long ago each loss was. See docs/design/at-most-once.md.
+// uncertain reports whether a record of the key can have lost both copies within the
+// window, given the age of each loss. See docs/design/at-most-once.md.
 func (h *history) uncertain(key KeyHash, window time.Duration, age func(Departure) time.Duration) bool {
 	recent := func(d Departure) bool { return age(d) <= window }
 	if !slices.ContainsFunc(h.losses, recent) {
 		return false
 	}
 	return slices.ContainsFunc(h.spans, func(s span) bool {
-		home, ok := first(s.candidates, key)
+		home, ok := topRanked(s.candidates, key)
 		if !ok {
 			return false
 		}
@@ -141,7 +142,7 @@
 	})
 }
 
-// lossOf returns the loss of a member of the span, if it was lost.
+// lossOf returns the departure with which a member of the span was lost, if any.
 func (h *history) lossOf(member domain.Member, s span) (Departure, bool) {
 	i := slices.IndexFunc(h.losses, func(d Departure) bool {
 		return d.Removed >= s.end && d.TableMember.Member.SameLife(member)
@@ -152,10 +153,10 @@
 	return h.losses[i], true
 }
 
-// copiesLost reports whether a record committed in the span can have been held
-// by its lost home alone, or by it and another lost member. It can't if the table
-// was settled after the span and before the later of the losses: then the home of
-// that time and one more held the record too.
+// copiesLost reports whether a record committed in the span can have been held by its
+// lost home alone, or by it and another lost member only. It can't if the table was
+// settled after the span and before the later of the losses, because then the home of
+// that time and one more member also held the record.
 func (h *history) copiesLost(s span, home Departure, recent func(Departure) bool) bool {
 	if len(s.candidates) == 1 && recent(home) && !h.settledBetween(s.end, home.Removed) {
 		return true
@@ -172,8 +173,7 @@
 	})
 }
 
-// settledBetween reports whether an epoch from, and before, the given ones was
-// settled.
+// settledBetween reports whether an epoch in [from, before) was settled.
 func (h *history) settledBetween(from, before uint64) bool {
 	return slices.ContainsFunc(h.settled, func(s uint64) bool { return from <= s && s < before })
 }
--- a/ledger/home_claim.go
+++ b/ledger/home_claim.go
@@ -6,31 +6,31 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// serveClaim decides about a claim as the key's home.
+// serveClaim decides on a claim as the key's home.
 func (r *Replica) serveClaim(ctx context.Context, from domain.Member, request claimRequest) claimReply {
-	reply, doubt := r.decideClaim(ctx, from, request)
+	reply, query := r.decideClaim(ctx, from, request)
 	switch {
-	case doubt == nil:
-	case !doubt.holder.SameLife(from):
-		r.settleLater(*doubt)
-	case r.settleDoubt(ctx, *doubt):
+	case query == nil:
+	case !query.holder.SameLife(from):
+		r.queryHolderAsync(*query)
+	case r.resolveWithHolder(ctx, *query):
 		reply, _ = r.decideClaim(ctx, from, request)
 	}
 	if reply.Status == statusFull && !r.confirmEpoch(ctx, request.Key, reply.Epoch) {
-		reply.Status = statusUnheld
+		reply.Status = statusTooFewMembers
 	}
 	return reply
 }
 
-// decideClaim decides by what is recorded. It returns a doubt if the answer rests
-// on a claim that its holder may have given up.
-func (r *Replica) decideClaim(ctx context.Context, from domain.Member, request claimRequest) (claimReply, *doubt) {
-	d, st := r.openDesk(ctx, from, request.Key, request.Epoch)
+// decideClaim decides by the local record. It returns a query if the reply depends on a
+// claim that its holder may have given up.
+func (r *Replica) decideClaim(ctx context.Context, from domain.Member, request claimRequest) (claimReply, *holderQuery) {
+	d, st := r.beginDecision(ctx, from, request.Key, request.Epoch)
 	defer r.mu.Unlock()
 	if st != statusOK {
 		return claimReply{Status: st, Epoch: d.epoch()}, nil
 	}
-	rec, ok := r.book.get(request.Key)
+	rec, ok := r.records.get(request.Key)
 	if !ok || rec.state == stateWithdrawn {
 		return r.claimNew(d, from, request, rec.claim), nil
 	}
@@ -38,40 +38,40 @@
 		return claimReply{Status: statusFingerprint, Epoch: d.epoch()}, nil
 	}
 	if r.mayTakeOver(rec) {
-		return r.claimOfGone(d, from, request, rec), nil
+		return r.claimFromGoneHolder(d, from, request, rec), nil
 	}
 	return r.claimHeld(d, from, request, rec)
 }
 
-// claimNew gives a claim for a key that has not been run. The lock is held.
-func (r *Replica) claimNew(d desk, from domain.Member, request claimRequest, previous ClaimID) claimReply {
-	if st := r.unseen(d, request.Key); st != statusOK {
+// claimNew grants a claim on a key that has not been run. The lock is held.
+func (r *Replica) claimNew(d decision, from domain.Member, request claimRequest, previous ClaimID) claimReply {
+	if st := r.absentStatus(d, request.Key); st != statusOK {
 		return claimReply{Status: st, Epoch: d.epoch()}
 	}
 	if !r.mayDecide(d) {
-		return claimReply{Status: statusUnheld, Epoch: d.epoch()}
+		return claimReply{Status: statusTooFewMembers, Epoch: d.epoch()}
 	}
-	if len(r.book.records) >= r.options.MaxRecords {
+	if len(r.records.byKey) >= r.options.MaxRecords {
 		return claimReply{Status: statusFull, Epoch: d.epoch()}
 	}
 	return r.grant(d, from, request, previous)
 }
 
 // grant records a new claim. The lock is held.
-func (r *Replica) grant(d desk, from domain.Member, request claimRequest, previous ClaimID) claimReply {
+func (r *Replica) grant(d decision, from domain.Member, request claimRequest, previous ClaimID) claimReply {
 	rec := record{
 		fingerprint: request.Fingerprint,
 		claim:       r.newClaim(d.epoch(), previous),
 		attempt:     request.Attempt,
-		holder:      r.book.members.number(from),
+		holder:      r.records.members.intern(from),
 		flags:       r.holderFlags(d, from),
 	}
-	r.book.set(request.Key, rec, StateClaimed, d.now)
+	r.records.set(request.Key, rec, StateClaimed, d.now)
 	return r.verdict(d, from, VerdictGranted, rec)
 }
 
-// holderFlags are those of a new claim of the life.
-func (r *Replica) holderFlags(d desk, holder domain.Member) recordFlags {
+// holderFlags returns the flags of a new claim of the holder.
+func (r *Replica) holderFlags(d decision, holder domain.Member) recordFlags {
 	if d.history == nil {
 		return flagNodeScope
 	}
@@ -81,15 +81,14 @@
 	return 0
 }
 
-// claimOfGone decides about a key whose holder's life has ended: what was only
-// claimed is revoked and claimed anew, what was committed is taken over. The lock
-// is held.
-func (r *Replica) claimOfGone(d desk, from domain.Member, request claimRequest, rec record) claimReply {
-	if !r.knows(d, request.Key) {
+// claimFromGoneHolder decides on a key whose holder's incarnation has ended: a mere
+// claim is revoked and granted anew, a commit is taken over. The lock is held.
+func (r *Replica) claimFromGoneHolder(d decision, from domain.Member, request claimRequest, rec record) claimReply {
+	if !r.hasFullHistory(d, request.Key) {
 		return claimReply{Status: statusRecovering, Epoch: d.epoch()}
 	}
 	if !r.mayDecide(d) {
-		return claimReply{Status: statusUnheld, Epoch: d.epoch()}
+		return claimReply{Status: statusTooFewMembers, Epoch: d.epoch()}
 	}
 	if rec.state == StateClaimed {
 		r.meters.revoked.Inc()
@@ -98,16 +97,16 @@
 	r.meters.takenOver.Inc()
 	rec.claim = r.newClaim(d.epoch(), rec.claim)
 	rec.attempt = request.Attempt
-	rec.holder = r.book.members.number(from)
+	rec.holder = r.records.members.intern(from)
 	rec.flags = r.holderFlags(d, from) | flagTakenOver
-	r.book.set(request.Key, rec, StateCommitted, d.now)
+	r.records.set(request.Key, rec, StateCommitted, d.now)
 	return r.verdict(d, from, VerdictTakeover, rec)
 }
 
-// claimHeld answers for a key whose claim another attempt holds or has used. The
-// lock is held.
-func (r *Replica) claimHeld(d desk, from domain.Member, request claimRequest, rec record) (claimReply, *doubt) {
-	same := rec.attempt == request.Attempt && r.book.members.value(rec.holder).SameLife(from)
+// claimHeld decides on a key whose claim another attempt holds or has used. The lock is
+// held.
+func (r *Replica) claimHeld(d decision, from domain.Member, request claimRequest, rec record) (claimReply, *holderQuery) {
+	same := rec.attempt == request.Attempt && r.records.members.value(rec.holder).SameLife(from)
 	switch {
 	case same && rec.state == StateClaimed:
 		return r.verdict(d, from, VerdictGranted, rec), nil
@@ -118,31 +117,31 @@
 	case rec.state == StateFinished:
 		return r.verdict(d, from, VerdictFinished, rec), nil
 	}
-	return r.verdict(d, from, VerdictAttached, rec), r.doubtOf(d, from, request.Key, rec)
+	return r.verdict(d, from, VerdictAttached, rec), r.queryIfDue(d, from, request.Key, rec)
 }
 
-// verdict spells the reply out. The lock is held.
-func (r *Replica) verdict(d desk, from domain.Member, verdict Verdict, rec record) claimReply {
+// verdict builds the reply with the verdict. The lock is held.
+func (r *Replica) verdict(d decision, from domain.Member, verdict Verdict, rec record) claimReply {
 	r.meters.verdicts[verdict].Inc()
 	reply := claimReply{
 		Status:   statusOK,
 		Epoch:    d.epoch(),
 		Claim:    rec.claim,
 		Verdict:  verdict,
-		Endpoint: r.book.endpoints.value(rec.endpoint),
+		Endpoint: r.records.endpoints.value(rec.endpoint),
 	}
-	if holder := r.book.members.value(rec.holder); !holder.SameLife(from) {
+	if holder := r.records.members.value(rec.holder); !holder.SameLife(from) {
 		reply.Holder = &holder
 	}
 	return reply
 }
 
-// confirmEpoch reports whether another member has the epoch too, so that no later
+// confirmEpoch reports whether another member is in the epoch too, so that no later
 // home can have run the key.
 func (r *Replica) confirmEpoch(ctx context.Context, key KeyHash, epoch uint64) bool {
 	if epoch == 0 {
 		return true
 	}
 	h := r.history.Load()
-	return h.table.Epoch == epoch && r.confirmOne(ctx, h, key)
+	return h.table.Epoch == epoch && r.confirmWithAny(ctx, h, key)
 }
--- a/ledger/home_end.go
+++ b/ledger/home_end.go
@@ -7,64 +7,63 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// serveRelease ends a claim that was not used: the key is as if it had never been
-// seen. It answers statusOK only if another member confirms that no later home can
-// have run the key.
+// serveRelease ends an unused claim, which leaves the key free. It replies statusOK
+// only if another member confirms that no later home can have run the key.
 func (r *Replica) serveRelease(ctx context.Context, from domain.Member, request endRequest) statusReply {
-	d, copyAt, st := r.release(ctx, from, request)
-	if copyAt != nil {
-		r.forward(ctx, d, *copyAt)
+	d, update, st := r.release(ctx, from, request)
+	if update != nil {
+		r.sendWitnessUpdate(ctx, d, *update)
 	}
 	if st == statusOK && !r.confirmEpoch(ctx, request.Key, d.epoch()) {
-		st = statusUnheld
+		st = statusTooFewMembers
 	}
 	return statusReply{st, d.epoch()}
 }
 
-// release withdraws the claim, if it is still the key's. It returns the copy that
-// another member holds, if any, as it should be now.
-func (r *Replica) release(ctx context.Context, from domain.Member, request endRequest) (desk, *heldCopy, status) {
-	d, st := r.openDesk(ctx, from, request.Key, request.Epoch)
+// release withdraws the claim if the key still has it. It returns the update for the
+// copy that another member holds, if any.
+func (r *Replica) release(ctx context.Context, from domain.Member, request endRequest) (decision, *witnessUpdate, status) {
+	d, st := r.beginDecision(ctx, from, request.Key, request.Epoch)
 	defer r.mu.Unlock()
 	if st != statusOK {
 		return d, nil, st
 	}
-	if !r.knows(d, request.Key) {
+	if !r.hasFullHistory(d, request.Key) {
 		return d, nil, statusRecovering
 	}
-	rec, ok := r.book.get(request.Key)
+	rec, ok := r.records.get(request.Key)
 	if !ok {
-		return d, nil, r.unseen(d, request.Key)
+		return d, nil, r.absentStatus(d, request.Key)
 	}
 	if rec.claim != request.Claim || rec.has(flagTakenOver) || rec.state.ended() && rec.state != stateWithdrawn {
 		return d, nil, statusRevoked
 	}
 	if rec.state == StateClaimed {
-		r.book.drop(request.Key)
+		r.records.drop(request.Key)
 		return d, nil, statusOK
 	}
-	r.book.set(request.Key, rec, stateWithdrawn, d.now)
-	return d, r.copyOf(d, request.Key), statusOK
+	r.records.set(request.Key, rec, stateWithdrawn, d.now)
+	return d, r.witnessUpdateFor(d, request.Key), statusOK
 }
 
 // serveFinish records how a request ended.
 func (r *Replica) serveFinish(ctx context.Context, from domain.Member, request endRequest) statusReply {
-	d, copyAt, st := r.finish(ctx, from, request)
-	if copyAt != nil {
-		r.forward(ctx, d, *copyAt)
+	d, update, st := r.finish(ctx, from, request)
+	if update != nil {
+		r.sendWitnessUpdate(ctx, d, *update)
 	}
 	return statusReply{st, d.epoch()}
 }
 
-func (r *Replica) finish(ctx context.Context, from domain.Member, request endRequest) (desk, *heldCopy, status) {
-	d, st := r.openDesk(ctx, from, request.Key, request.Epoch)
+func (r *Replica) finish(ctx context.Context, from domain.Member, request endRequest) (decision, *witnessUpdate, status) {
+	d, st := r.beginDecision(ctx, from, request.Key, request.Epoch)
 	defer r.mu.Unlock()
 	if st != statusOK {
 		return d, nil, st
 	}
-	rec, ok := r.book.get(request.Key)
+	rec, ok := r.records.get(request.Key)
 	if !ok {
-		return d, nil, r.missing(d, request.Key)
+		return d, nil, r.missingStatus(d, request.Key)
 	}
 	if rec.claim != request.Claim || rec.state < StateCommitted || rec.state == stateWithdrawn {
 		return d, nil, statusRevoked
@@ -72,14 +71,14 @@
 	if rec.state.ended() {
 		return d, nil, statusOK
 	}
-	r.book.set(request.Key, rec, endState(request.Complete), d.now)
-	return d, r.copyOf(d, request.Key), statusOK
+	r.records.set(request.Key, rec, endState(request.Complete), d.now)
+	return d, r.witnessUpdateFor(d, request.Key), statusOK
 }
 
-// missing says what to answer when a record that should be there is not. The lock
-// is held.
-func (r *Replica) missing(d desk, key KeyHash) status {
-	if !r.knows(d, key) {
+// missingStatus returns the status for a record that should exist and does not. The
+// lock is held.
+func (r *Replica) missingStatus(d decision, key KeyHash) status {
+	if !r.hasFullHistory(d, key) {
 		return statusRecovering
 	}
 	return statusNotFound
@@ -92,43 +91,43 @@
 	return StateFailed
 }
 
-// heldCopy is a record as a witness should hold it.
-type heldCopy struct {
+// witnessUpdate is a new version of a record for the witness that holds a copy.
+type witnessUpdate struct {
 	witness domain.Member
 	entry   entry
 }
 
-// copyOf returns the copy that a witness other than the claim's holder has. The
-// lock is held.
-func (r *Replica) copyOf(d desk, key KeyHash) *heldCopy {
-	rec, ok := r.book.get(key)
+// witnessUpdateFor returns the update for a witness other than the claim's holder, or
+// nil. The lock is held.
+func (r *Replica) witnessUpdateFor(d decision, key KeyHash) *witnessUpdate {
+	rec, ok := r.records.get(key)
 	if !ok || rec.witness == 0 || rec.witness == rec.holder {
 		return nil
 	}
-	return &heldCopy{r.book.members.value(rec.witness), r.book.export(key, rec, d.now)}
+	return &witnessUpdate{r.records.members.value(rec.witness), r.records.toEntry(key, rec, d.now)}
 }
 
-// forward tells a witness of a record's end, without waiting. If the message is
-// lost, the witness asks at its next audit.
-func (r *Replica) forward(ctx context.Context, d desk, c heldCopy) {
-	_ = peer.Send(ctx, r.transport, c.witness, methodMirror, mirrorRequest{d.epoch(), []entry{c.entry}})
+// sendWitnessUpdate sends a witness the end of a record, without waiting. If the
+// message is lost, the witness asks at its next audit.
+func (r *Replica) sendWitnessUpdate(ctx context.Context, d decision, update witnessUpdate) {
+	_ = peer.Send(ctx, r.transport, update.witness, methodMirror, mirrorRequest{d.epoch(), []entry{update.entry}})
 }
 
-// serveLookup tells what is recorded of a key.
+// serveLookup returns the record of a key.
 func (r *Replica) serveLookup(ctx context.Context, from domain.Member, request lookupRequest) lookupReply {
-	d, st := r.openDesk(ctx, from, request.Key, request.Epoch)
+	d, st := r.beginDecision(ctx, from, request.Key, request.Epoch)
 	defer r.mu.Unlock()
 	if st != statusOK {
 		return lookupReply{Status: st, Epoch: d.epoch()}
 	}
-	rec, ok := r.book.get(request.Key)
+	rec, ok := r.records.get(request.Key)
 	if !ok || rec.state == stateWithdrawn {
-		st = r.unseen(d, request.Key)
+		st = r.absentStatus(d, request.Key)
 		if st == statusOK {
 			st = statusNotFound
 		}
 		return lookupReply{Status: st, Epoch: d.epoch()}
 	}
-	e := r.book.export(request.Key, rec, d.now)
+	e := r.records.toEntry(request.Key, rec, d.now)
 	return lookupReply{Status: statusOK, Epoch: d.epoch(), Entry: &e}
 }
--- a/ledger/keyhash.go
+++ b/ledger/keyhash.go
@@ -9,12 +9,11 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// KeyHash stands for a request key in records and messages: the first 128 bits
-// of the SHA-256 of its parts. The organisation is part of it, so that nobody can
-// construct a key that meets another organisation's.
+// KeyHash identifies a request key in records and messages: the first 128 bits of the
+// SHA-256 of its parts. The organisation is one of them, so that nobody can construct a
+// key that collides with another organisation's.
 type KeyHash [16]byte
 
-// hashKey returns the hash of a key.
 func hashKey(key domain.RequestKey) KeyHash {
 	buffer := make([]byte, 0, 256)
 	buffer = append(buffer, byte(key.Scope.Kind))
@@ -30,8 +29,8 @@
 	return KeyHash(sum[:16])
 }
 
-// score ranks a node for a key: the highest is first in rendezvous order. It
-// depends on the node, not on its life, so that a restart moves no other key.
+// score ranks a node for a key: the highest is first in rendezvous order. It depends on
+// the node and not on its incarnation, so that a restart moves no other key.
 func (h KeyHash) score(node uint64) uint64 {
 	var block [24]byte
 	copy(block[:], h[:])
@@ -39,5 +38,5 @@
 	return xxhash.Sum64(block[:])
 }
 
-// hashNode returns the part of a score that belongs to a node.
+// hashNode returns the node's input to a score.
 func hashNode(node domain.NodeID) uint64 { return xxhash.Sum64String(string(node)) }
--- a/ledger/message.go
+++ b/ledger/message.go
@@ -5,7 +5,7 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Methods of the ledger's messages. All are calls.
+// Methods of the ledger's messages. All but updates of witnesses are calls.
 const (
 	methodClaim   peer.Method = "ledger.claim"
 	methodCommit  peer.Method = "ledger.commit"
@@ -20,14 +20,14 @@
 	methodConfirm peer.Method = "ledger.confirm"
 )
 
-// status is the first part of every reply.
+// status is the first field of every reply.
 type status uint8
 
 const (
 	statusOK status = iota + 1
-	// statusStale: the receiver's epoch is another one, or it is not the home.
+	// statusStale: the receiver is in another epoch, or it is not the home.
 	statusStale
-	// statusRecovering: the home does not know all of the key's history yet.
+	// statusRecovering: the home does not have all of the key's history yet.
 	statusRecovering
 	// statusUnknown: the key's history is lost.
 	statusUnknown
@@ -35,16 +35,18 @@
 	statusFull
 	statusRevoked
 	statusNotFound
-	// statusUnheld: no second member could be had.
-	statusUnheld
+	// statusTooFewMembers: no second member stored or confirmed it, or the home is
+	// fenced.
+	statusTooFewMembers
 )
 
-// claimRequest asks for the right to run a request. Epoch is zero for keys of
-// node scope, here and below.
+// claimRequest asks for the right to run a request. In all requests, Epoch is zero for
+// keys of node scope.
 type claimRequest struct {
 	Key         KeyHash     `cbor:"1,keyasint"`
 	Fingerprint Fingerprint `cbor:"2,keyasint"`
-	// Attempt is unique in the sender's life; a repeated one gets the same claim.
+	// Attempt is unique within the sender's incarnation; a repeated one gets the same
+	// claim.
 	Attempt uint64 `cbor:"3,keyasint"`
 	Epoch   uint64 `cbor:"4,keyasint,omitempty"`
 }
@@ -54,7 +56,7 @@
 	Epoch   uint64  `cbor:"2,keyasint,omitempty"`
 	Claim   ClaimID `cbor:"3,keyasint,omitempty"`
 	Verdict Verdict `cbor:"4,keyasint,omitempty"`
-	// Holder is nil if it is the asker.
+	// Holder is nil if it is the sender of the request.
 	Holder   *domain.Member    `cbor:"5,keyasint,omitempty"`
 	Endpoint domain.EndpointID `cbor:"6,keyasint,omitempty"`
 }
@@ -64,7 +66,7 @@
 	Claim    ClaimID           `cbor:"2,keyasint"`
 	Endpoint domain.EndpointID `cbor:"3,keyasint"`
 	Epoch    uint64            `cbor:"4,keyasint,omitempty"`
-	// Copied tells that the sender holds the second copy already.
+	// Copied is set if the sender already holds the second copy.
 	Copied bool `cbor:"5,keyasint,omitempty"`
 }
 
@@ -76,7 +78,7 @@
 	Complete bool    `cbor:"4,keyasint,omitempty"`
 }
 
-// statusReply answers what has no other result.
+// statusReply is the reply to requests without another result.
 type statusReply struct {
 	Status status `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint,omitempty"`
@@ -93,7 +95,7 @@
 	Entry  *entry `cbor:"3,keyasint,omitempty"`
 }
 
-// mirrorRequest gives the receiver copies to hold.
+// mirrorRequest sends the receiver copies to store.
 type mirrorRequest struct {
 	Epoch   uint64  `cbor:"1,keyasint"`
 	Entries []entry `cbor:"2,keyasint"`
@@ -102,7 +104,7 @@
 // collectRequest asks for the records of the keys whose home is the sender.
 type collectRequest struct {
 	Epoch uint64 `cbor:"1,keyasint"`
-	// After is the Next of the page before; the first page has none.
+	// After is the Next of the previous page, nil for the first page.
 	After *KeyHash `cbor:"2,keyasint,omitempty"`
 }
 
@@ -123,28 +125,27 @@
 	Table *Table `cbor:"1,keyasint,omitempty"`
 }
 
-// settledRequest tells the table's first member that the sender holds, and has
-// seen held twice, all records of its keys in the epoch.
+// settledRequest tells the member that counts settlements that the sender has all
+// records of its keys in the epoch, and that a second member holds each of them.
 type settledRequest struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 }
 
-// holdsRequest asks whether the receiver still means to use a claim.
+// holdsRequest asks whether the receiver still intends to use a claim.
 type holdsRequest struct {
 	Key   KeyHash `cbor:"1,keyasint"`
 	Claim ClaimID `cbor:"2,keyasint"`
-	// Attempt is that of the claim.
+	// Attempt is the attempt that the claim was granted to.
 	Attempt uint64 `cbor:"3,keyasint"`
 }
 
-// holdsReply tells what the receiver remembers of its claim. State is zero if it
-// remembers nothing; then it has not committed the claim in the retention window
-// and never will.
+// holdsReply carries the receiver's state of its claim. State is zero if it has none;
+// then it has not committed the claim within the retention period and never will.
 type holdsReply struct {
 	State State `cbor:"1,keyasint"`
 }
 
-// confirmRequest asks whether the receiver has the same epoch.
+// confirmRequest asks whether the receiver is in the same epoch.
 type confirmRequest struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 }
--- a/ledger/meters.go
+++ b/ledger/meters.go
@@ -8,17 +8,17 @@
 
 // meters are the ledger's metrics.
 type meters struct {
-	verdicts  map[Verdict]*metrics.Counter
-	errors    map[error]*metrics.Counter
-	retries   *metrics.Counter
-	revoked   *metrics.Counter
-	takenOver *metrics.Counter
-	epochs    *metrics.Counter
-	collected *metrics.Counter
-	protected *metrics.Counter
+	verdicts      map[Verdict]*metrics.Counter
+	errors        map[error]*metrics.Counter
+	retries       *metrics.Counter
+	revoked       *metrics.Counter
+	takenOver     *metrics.Counter
+	epochs        *metrics.Counter
+	collected     *metrics.Counter
+	mirroredAgain *metrics.Counter
 }
 
-// verdictNames are the values of the label verdict.
+// verdictNames are the values of the label "verdict".
 var verdictNames = map[Verdict]string{
 	VerdictGranted:  "granted",
 	VerdictAttached: "attached",
@@ -27,7 +27,7 @@
 	VerdictRan:      "ran",
 }
 
-// errorNames are the values of the label reason.
+// errorNames are the values of the label "reason".
 var errorNames = map[error]string{
 	ErrUnknown:             "unknown",
 	ErrFingerprintMismatch: "fingerprint",
@@ -39,14 +39,14 @@
 // newMeters registers the metrics in the set.
 func newMeters(set *metrics.Set, r *Replica) *meters {
 	m := &meters{
-		verdicts:  make(map[Verdict]*metrics.Counter),
-		errors:    make(map[error]*metrics.Counter),
-		retries:   set.GetOrCreateCounter("hawthornrill_ledger_retries_total"),
-		revoked:   set.GetOrCreateCounter("hawthornrill_ledger_claims_revoked_total"),
-		takenOver: set.GetOrCreateCounter("hawthornrill_ledger_takeovers_total"),
-		epochs:    set.GetOrCreateCounter("hawthornrill_ledger_epochs_total"),
-		collected: set.GetOrCreateCounter("hawthornrill_ledger_records_collected_total"),
-		protected: set.GetOrCreateCounter("hawthornrill_ledger_records_mirrored_again_total"),
+		verdicts:      make(map[Verdict]*metrics.Counter),
+		errors:        make(map[error]*metrics.Counter),
+		retries:       set.GetOrCreateCounter("hawthornrill_ledger_retries_total"),
+		revoked:       set.GetOrCreateCounter("hawthornrill_ledger_claims_revoked_total"),
+		takenOver:     set.GetOrCreateCounter("hawthornrill_ledger_takeovers_total"),
+		epochs:        set.GetOrCreateCounter("hawthornrill_ledger_epochs_total"),
+		collected:     set.GetOrCreateCounter("hawthornrill_ledger_records_collected_total"),
+		mirroredAgain: set.GetOrCreateCounter("hawthornrill_ledger_records_mirrored_again_total"),
 	}
 	for verdict, name := range verdictNames {
 		m.verdicts[verdict] = set.GetOrCreateCounter(`hawthornrill_ledger_verdicts_total{verdict="` + name + `"}`)
@@ -60,7 +60,7 @@
 	return m
 }
 
-// countError counts an error that a caller is told.
+// countError counts an error returned to a caller.
 func (m *meters) countError(err error) {
 	for known, counter := range m.errors {
 		if errors.Is(err, known) {
--- a/ledger/options.go
+++ b/ledger/options.go
@@ -13,7 +13,7 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Tables gives the ledger tables that this node knows.
+// Tables provides the ledger tables that this node knows.
 type Tables interface {
 	// Table returns the data centre's latest known table, or nil. It does not block.
 	Table(dataCentre domain.DataCentre) *Table
@@ -22,50 +22,50 @@
 	Subscribe(notify func(domain.DataCentre)) (cancel func())
 }
 
-// TableEditor changes the agreed table of this node's data centre.
+// TableEditor changes the shared table of this node's data centre.
 type TableEditor interface {
 	// Edit applies the change to the latest table and stores it. After an error the
 	// change may or may not be in force.
 	Edit(ctx context.Context, change TableChange) (*Table, error)
 }
 
-// Options configure a Replica. Transport and Tables are needed.
+// Options configure a Replica. Transport and Tables are required.
 type Options struct {
 	Transport peer.Transport
 	Tables    Tables
-	// Editor records settlements; without one they are not recorded, and two losses
+	// Editor records settlements. Without it they are not recorded, and two losses
 	// within LossWindow make keys uncertain even if far apart.
 	Editor TableEditor
-	// Membership tells which lives outside the data centre's table are gone, and
-	// where lives of node-scope keys are reached. Without it none is known.
+	// Membership tells which incarnations outside the data centre's table are gone, and
+	// where the incarnations of node-scope keys are reached. Without it none is known.
 	Membership membership.View
 	Metrics    *metrics.Set
 	Logger     zerolog.Logger
 
 	// CallTimeout bounds each operation, retries included.
 	CallTimeout time.Duration
-	// TryTimeout bounds each message of an operation.
+	// TryTimeout bounds each try of an operation.
 	TryTimeout time.Duration
-	// RetryDelay is the pause before an operation is tried again.
+	// RetryDelay is the pause between tries.
 	RetryDelay time.Duration
 	// Retention is how long a record is kept after its request ended.
 	Retention time.Duration
-	// MaxRecords bounds the records held for the claims of new keys. Copies held for
-	// other homes are taken up to twice as many.
+	// MaxRecords is the number of records from which claims on new keys are refused.
+	// Copies for other homes are accepted up to twice the number.
 	MaxRecords int
-	// FenceTimeout is how long a home may go on without having heard of its epoch
+	// FenceTimeout is how long a home may go on without a confirmation of its epoch
 	// from half of the table's other members.
 	FenceTimeout time.Duration
-	// HolderCheckAge is the age from which a claim met by another attempt is checked
+	// HolderCheckAge is the age from which a claim found by another attempt is verified
 	// with its holder.
 	HolderCheckAge time.Duration
-	// AuditInterval is how often records that have not ended are checked.
+	// AuditInterval is the interval between checks of records that have not ended.
 	AuditInterval time.Duration
-	// PageRecords bounds the records of one message.
+	// PageRecords is the maximum number of records per message.
 	PageRecords int
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultCallTimeout    = 500 * time.Millisecond
 	DefaultTryTimeout     = 150 * time.Millisecond
@@ -78,7 +78,7 @@
 	DefaultPageRecords    = 256
 )
 
-// withDefaults fills what is zero.
+// withDefaults replaces zero values by defaults.
 func (o Options) withDefaults() Options {
 	defaults.Set(&o.CallTimeout, DefaultCallTimeout)
 	defaults.Set(&o.TryTimeout, DefaultTryTimeout)
@@ -95,13 +95,13 @@
 	return o
 }
 
-// secondTimeout bounds a message that a home sends while another node waits for its
-// answer: several fit into that node's TryTimeout.
-func (o Options) secondTimeout() time.Duration { return o.TryTimeout / maxWitnesses }
+// nestedTimeout bounds a call that a home makes while another node waits for its reply,
+// so that several of them fit into that node's TryTimeout.
+func (o Options) nestedTimeout() time.Duration { return o.TryTimeout / maxWitnesses }
 
-// LossWindow is how long a loss makes records uncertain: as long as a lost record
-// would have been kept, and as a member that was taken out by mistake could go on
-// without noticing. Defaults stand in for what is zero.
+// LossWindow is how long a loss makes records uncertain: the time for which a lost
+// record would have been kept, and for which a member removed by mistake could go on
+// without noticing. Zero values are replaced by defaults.
 func (o Options) LossWindow() time.Duration {
 	defaults.Set(&o.Retention, DefaultRetention)
 	defaults.Set(&o.FenceTimeout, DefaultFenceTimeout)
--- a/ledger/partition_test.go
+++ b/ledger/partition_test.go
@@ -9,9 +9,9 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// isolate cuts nodes off from the others and from new tables.
+// isolate partitions nodes from the others and from new tables.
 func (c *cluster) isolate(ids ...domain.NodeID) {
-	c.hold(ids...)
+	c.holdTables(ids...)
 	var rest []domain.NodeID
 	for id := range c.nodes {
 		in := false
@@ -28,39 +28,39 @@
 func TestPartitionBetweenDataCentres(t *testing.T) {
 	inCluster(t, 3, func(t *testing.T, c *cluster) {
 		far, k, other := c.start("far", "catania"), key(1), key(2)
-		claim := far.grant(t, k)
+		claim := far.mustClaim(t, k)
 		c.isolate("far")
 		assert.ErrorIs(t, far.commit(claim), ErrUnknown)
 		_, err := far.dispatch(other)
 		assert.ErrorIs(t, err, ErrUnknown)
 		assert.Equal(t, c.nodes[nodeName(0)].verdict(t, k), VerdictAttached)
-		c.nodes[nodeName(0)].grant(t, other)
+		c.nodes[nodeName(0)].mustClaim(t, other)
 		c.network.HealAll()
-		c.settle()
+		c.waitSettled()
 		_, err = c.nodes[nodeName(0)].dispatch(k)
 		assert.NilError(t, err)
 	})
 }
 
-// A member was taken out by mistake, knows nothing of it and is cut off: it can't
-// commit, and doesn't tell that a request was not run.
-func TestCutOffMemberTellsNothing(t *testing.T) {
+// A member that was removed by mistake and is partitioned does not know of its removal:
+// it can't commit, and does not answer that a request was not run.
+func TestIsolatedMemberDecidesNothing(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		k, other := c.keyAt(nodeName(0)), c.keyAt(nodeName(0))
 		c.isolate(nodeName(0))
 		c.remove(nodeName(0))
-		c.settle()
+		c.waitSettled()
 		_, err := c.nodes[nodeName(1)].dispatch(k)
 		assert.NilError(t, err)
-		claim := c.nodes[nodeName(0)].grant(t, k)
+		claim := c.nodes[nodeName(0)].mustClaim(t, k)
 		assert.ErrorIs(t, c.nodes[nodeName(0)].Release(t.Context(), claim), ErrUnknown)
-		assert.ErrorIs(t, c.nodes[nodeName(0)].commit(c.nodes[nodeName(0)].grant(t, other)), ErrUnknown)
+		assert.ErrorIs(t, c.nodes[nodeName(0)].commit(c.nodes[nodeName(0)].mustClaim(t, other)), ErrUnknown)
 	})
 }
 
-// Two members were taken out by mistake and are cut off together: each is the
-// other's witness, and only time ends what they may do.
-func TestCutOffPairIsFenced(t *testing.T) {
+// Two members were removed by mistake and share a partition: each is the other's
+// witness, so that only the fence time-out stops them.
+func TestIsolatedPairIsFenced(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		a, b, k := c.nodes[nodeName(0)], c.nodes[nodeName(1)], c.keyAt(nodeName(0))
 		c.isolate(nodeName(0), nodeName(1))
@@ -75,9 +75,9 @@
 	})
 }
 
-// The only member was taken out by mistake while nothing told it: it asks the store
-// before it goes on.
-func TestOnlyMemberAsksTheStore(t *testing.T) {
+// The only member was removed by mistake and not notified: it checks the store before
+// it goes on.
+func TestOnlyMemberChecksStore(t *testing.T) {
 	inCluster(t, 1, func(t *testing.T, c *cluster) {
 		old, k := c.nodes[nodeName(0)], key(1)
 		c.isolate(nodeName(0))
@@ -92,13 +92,13 @@
 	})
 }
 
-// A node that follows no table of another data centre asks its members, and again
-// when the home that it knows is gone. A record that all its keepers lost comes
-// back with its end.
-func TestOtherDataCentresTable(t *testing.T) {
+// A node without the table of another data centre requests it from that data centre's
+// members, and again when the home it knows is gone. A record lost by all its members
+// is restored by its holder's Finish.
+func TestForeignTableLookup(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		c.mu.Lock()
-		c.held["far"] = nil
+		c.heldTables["far"] = nil
 		c.mu.Unlock()
 		far := c.startOutside("far", "catania")
 		k, lost := c.keyBetween(nodeName(0), nodeName(1)), c.keyBetween(nodeName(0), nodeName(1))
@@ -110,7 +110,7 @@
 		c.crash(nodeName(1))
 		c.remove(nodeName(0))
 		c.remove(nodeName(1))
-		c.settle()
+		c.waitSettled()
 		_, err = c.nodes[nodeName(2)].Claim(t.Context(), lost, Fingerprint{1})
 		assert.ErrorIs(t, err, ErrUnknown)
 		assert.NilError(t, far.Finish(t.Context(), claim, true))
--- a/ledger/ready.go
+++ b/ledger/ready.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Ready reports whether this life is in its data centre's table, knows all records
-// of the keys that it is home of, and may decide about them.
+// Ready reports whether this incarnation is in its data centre's table, has all records
+// of the keys whose home it is, and may decide about them.
 func (r *Replica) Ready() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/ledger/recovery.go
+++ b/ledger/recovery.go
@@ -10,27 +10,27 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// recovery is this member's progress in one epoch: collect the records of its
-// keys from all other members, see that each is held twice, report it.
+// recovery is this member's progress in one epoch: collect the records of its keys from
+// all other members, ensure that a second member holds each, and report it.
 type recovery struct {
 	epoch   uint64
 	history *history
-	// pending are the members that have not yet sent all they have.
+	// pending are the members that have not sent all their records yet.
 	pending map[domain.Member]struct{}
-	// protected and reported tell that the later steps are done.
-	protected bool
-	reported  bool
+	// replicated and reported are set when the later steps are done.
+	replicated bool
+	reported   bool
 	// superseded is closed when a later epoch begins.
 	superseded chan struct{}
 }
 
-// within returns a context that also ends when the recovery is superseded: what
-// waits for a member that does not answer must not hold up the next epoch.
-func (x *recovery) within(ctx context.Context) (context.Context, context.CancelFunc) {
+// untilSuperseded returns a context that also ends when the recovery is superseded:
+// waiting for a member that does not answer must not delay the next epoch.
+func (rc *recovery) untilSuperseded(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
-		case <-x.superseded:
+		case <-rc.superseded:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -38,10 +38,10 @@
 	return ctx, cancel
 }
 
-// maxParallelCalls bounds the members that are asked at once.
+// maxParallelCalls bounds the number of concurrent calls.
 const maxParallelCalls = 8
 
-// startRecovery plans what the epoch asks of this member. The lock is held.
+// startRecovery sets up the recovery of an epoch. The lock is held.
 func (r *Replica) startRecovery(h *history) {
 	if r.recovery != nil {
 		close(r.recovery.superseded)
@@ -69,39 +69,38 @@
 	r.completeIfCollected()
 }
 
-// completeIfCollected makes this member ready when nobody is left to be asked. The
-// lock is held.
+// completeIfCollected marks this member as ready when no member is pending. The lock is
+// held.
 func (r *Replica) completeIfCollected() {
 	if r.recovery != nil && len(r.recovery.pending) == 0 {
 		r.ready = r.recovery.epoch
 	}
 }
 
-// recover does what it can of the current recovery, and reports whether something
-// is left to be done.
-func (r *Replica) recover(ctx context.Context) (again bool) {
-	x, pending := r.pendingMembers()
-	if x == nil {
+// recover advances the current recovery as far as possible, and reports whether it has
+// to be continued.
+func (r *Replica) recover(ctx context.Context) (unfinished bool) {
+	rc, pending := r.pendingMembers()
+	if rc == nil {
 		return false
 	}
-	ctx, cancel := x.within(ctx)
+	ctx, cancel := rc.untilSuperseded(ctx)
 	defer cancel()
-	r.collectAll(ctx, x.epoch, pending)
+	r.collectAll(ctx, rc.epoch, pending)
 	r.confirmAll(ctx)
-	if !r.collected(x.epoch) {
+	if !r.collected(rc.epoch) {
 		return true
 	}
-	if !r.protectAll(ctx, x.epoch) {
+	if !r.replicateAll(ctx, rc.epoch) {
 		return true
 	}
-	return !r.reportSettled(ctx, x.epoch) || !r.decides()
+	return !r.reportSettled(ctx, rc.epoch) || !r.unfenced()
 }
 
-// pendingMembers returns the current recovery and who is to be asked, or nil if
-// all is done. A member that has heard of too few others goes on: the table may be
-// settled by the others' word before it has heard of any, and it would decide about
-// no key until the next round of confirmAll, up to a quarter of Options.FenceTimeout
-// later.
+// pendingMembers returns the current recovery and its pending members, or nil if all is
+// done. A fenced member goes on: the other members' reports may settle the table before
+// any of them has confirmed the epoch to this one, and it would decide about no key
+// until the next round of confirmAll, up to a quarter of Options.FenceTimeout later.
 func (r *Replica) pendingMembers() (*recovery, []domain.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -115,20 +114,22 @@
 	return r.recovery, members
 }
 
-// collected reports whether all members have been asked in the epoch.
+// collected reports whether the records of all members have been collected in the
+// epoch.
 func (r *Replica) collected(epoch uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.recovery != nil && r.recovery.epoch == epoch && len(r.recovery.pending) == 0
 }
 
-// collectAll asks the members, a few at a time.
+// collectAll collects from the members, with bounded concurrency.
 func (r *Replica) collectAll(ctx context.Context, epoch uint64, members []domain.Member) {
-	eachOf(members, func(m domain.Member) { r.collectFrom(ctx, epoch, m) })
+	forEachMember(members, func(m domain.Member) { r.collectFrom(ctx, epoch, m) })
 }
 
-// eachOf calls f for each member, a few at a time, and waits for all.
-func eachOf(members []domain.Member, f func(domain.Member)) {
+// forEachMember calls f for each member with bounded concurrency, and waits for all
+// calls.
+func forEachMember(members []domain.Member, f func(domain.Member)) {
 	var group errgroup.Group
 	group.SetLimit(maxParallelCalls)
 	for _, m := range members {
@@ -140,8 +141,8 @@
 	_ = group.Wait()
 }
 
-// collectFrom takes in, page by page, what one member holds of this one's keys. By
-// its first reply the member is in the epoch.
+// collectFrom collects, page by page, the records of this member's keys that another
+// member holds. From its first reply on the other member is in the epoch.
 func (r *Replica) collectFrom(ctx context.Context, epoch uint64, member domain.Member) {
 	request := collectRequest{Epoch: epoch}
 	for {
@@ -150,12 +151,12 @@
 		if err != nil {
 			return
 		}
-		r.hear(member, reply.Epoch, called)
+		r.noteConfirmed(member, reply.Epoch, called)
 		if reply.Status != statusOK {
 			r.catchUp(ctx, member, reply.Epoch)
 			return
 		}
-		if !r.takeIn(epoch, member, reply) || reply.Next == nil {
+		if !r.mergePage(epoch, member, reply) || reply.Next == nil {
 			return
 		}
 		request.After = reply.Next
@@ -168,9 +169,9 @@
 	return peer.Call[collectRequest, collectReply](ctx, r.transport, member, methodCollect, request)
 }
 
-// takeIn merges a page, and ends the collection from the member with its last one.
+// mergePage merges a page, and ends the collection from the member after its last page.
 // It reports whether the epoch is still being recovered.
-func (r *Replica) takeIn(epoch uint64, member domain.Member, reply collectReply) bool {
+func (r *Replica) mergePage(epoch uint64, member domain.Member, reply collectReply) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.recovery == nil || r.recovery.epoch != epoch {
@@ -179,7 +180,7 @@
 	now := time.Now()
 	witness := r.recovery.history.table.Eligible(member)
 	for _, e := range reply.Entries {
-		if r.book.merge(e, now) && witness {
+		if r.records.merge(e, now) && witness {
 			r.noteWitness(e.Key, member)
 		}
 	}
@@ -193,11 +194,11 @@
 
 // noteWitness records that a member holds the same record. The lock is held.
 func (r *Replica) noteWitness(key KeyHash, member domain.Member) {
-	rec, ok := r.book.get(key)
+	rec, ok := r.records.get(key)
 	if !ok {
 		return
 	}
-	rec.witness = r.book.members.number(member)
+	rec.witness = r.records.members.intern(member)
 	rec.flags &^= flagPending
-	r.book.records[key] = rec
+	r.records.byKey[key] = rec
 }
--- a/ledger/rendezvous.go
+++ b/ledger/rendezvous.go
@@ -7,13 +7,13 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// candidate is a life with its node's part of the score worked out.
+// candidate is a member with the precomputed hash of its node.
 type candidate struct {
-	member domain.Member
-	node   uint64
+	member   domain.Member
+	nodeHash uint64
 }
 
-// candidates returns the eligible members ready to be ranked.
+// candidates returns the eligible members with their hashes.
 func (t *Table) candidates() []candidate {
 	var list []candidate
 	for _, m := range t.EligibleMembers() {
@@ -22,23 +22,23 @@
 	return list
 }
 
-// first returns the first candidate in rendezvous order for the key.
-func first(candidates []candidate, key KeyHash) (domain.Member, bool) {
+// topRanked returns the first candidate in rendezvous order for the key.
+func topRanked(candidates []candidate, key KeyHash) (domain.Member, bool) {
 	var best domain.Member
 	var bestScore uint64
 	for i, c := range candidates {
-		if score := key.score(c.node); i == 0 || score > bestScore {
+		if score := key.score(c.nodeHash); i == 0 || score > bestScore {
 			best, bestScore = c.member, score
 		}
 	}
 	return best, len(candidates) > 0
 }
 
-// order returns all candidates in rendezvous order for the key.
-func order(candidates []candidate, key KeyHash) []domain.Member {
+// ranked returns all candidates in rendezvous order for the key.
+func ranked(candidates []candidate, key KeyHash) []domain.Member {
 	sorted := slices.Clone(candidates)
 	slices.SortFunc(sorted, func(a, b candidate) int {
-		return cmp.Compare(key.score(b.node), key.score(a.node))
+		return cmp.Compare(key.score(b.nodeHash), key.score(a.nodeHash))
 	})
 	members := make([]domain.Member, len(sorted))
 	for i, c := range sorted {
@@ -47,8 +47,7 @@
 	return members
 }
 
-// Home returns the member that decides about the key, or false if the table has
-// no eligible member.
+// Home returns the key's home, or false if the table has no eligible member.
 func (t *Table) Home(key domain.RequestKey) (domain.Member, bool) {
-	return first(t.candidates(), hashKey(key))
+	return topRanked(t.candidates(), hashKey(key))
 }
--- a/ledger/replica.go
+++ b/ledger/replica.go
@@ -10,53 +10,56 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Replica is one life's part in the ledger: the entry's side of its own requests,
-// the home of the keys that the table gives it, and the witness of others'. It
-// implements Ledger. Everything it knows is lost with the process.
+// Replica is one incarnation's part in the ledger: the client for its own requests, the
+// home of the keys that the table assigns to it, and a witness for other homes. It
+// implements Ledger. Its state is in memory only and lost with the process.
 type Replica struct {
 	options   Options
 	transport peer.Transport
 	self      domain.Member
 	meters    *meters
 	attempts  atomic.Uint64
-	// history is that of the adopted table; nil before the first. It is written with
-	// the lock held and read without.
+	// history is that of the adopted table, nil before the first one. It is written
+	// with the lock held and read without.
 	history atomic.Pointer[history]
 	// wake has a value when the maintenance loop has something to do.
 	wake chan struct{}
 
-	mu   sync.Mutex
-	book *book
-	// claims counts the claims given.
+	mu      sync.Mutex
+	records *recordSet
+	// claims is the number of claims granted.
 	claims uint64
-	// open holds this life's attempts that have not ended.
+	// open holds the attempts of this incarnation that have not ended.
 	open map[openAttempt]struct{}
-	// lost counts the ages of the table's departures.
-	lost DepartureAges
-	// ready is the epoch up to which this member knows all records of its keys; zero
-	// for none.
+	// departureAges tracks the ages of the table's departures.
+	departureAges DepartureAges
+	// ready is the epoch up to which this member has all records of its keys; zero for
+	// none.
 	ready    uint64
 	recovery *recovery
 	// exports are the collections that other members have begun.
-	exports map[domain.NodeID]*export
-	// asking are the keys whose holders are being asked. No more are once stopped.
-	asking  map[KeyHash]struct{}
-	stopped bool
-	work    sync.WaitGroup
-	// silent tells when a member last did not answer as a second process.
-	silent map[domain.Member]time.Time
-	// storeAsked is when the store was last asked for a later table, successfully or
-	// not.
-	storeAsked time.Time
-	// heard tells when a member was last known to have no later epoch.
-	heard map[domain.Member]time.Time
-	// settledBy are the members that have settled the epoch, if this one keeps count.
+	exports map[domain.NodeID]*exportSession
+	// holderQueries are the keys with a query to their holder in progress. No query
+	// starts after stopped is set.
+	holderQueries map[KeyHash]struct{}
+	stopped       bool
+	background    sync.WaitGroup
+	// unresponsive is when a member last failed to answer a call for a copy or a
+	// confirmation.
+	unresponsive map[domain.Member]time.Time
+	// storeCheckedAt is when the last check of the store for a later table began,
+	// whether it succeeded or not.
+	storeCheckedAt time.Time
+	// lastConfirmed is when a member was last known to have no later epoch.
+	lastConfirmed map[domain.Member]time.Time
+	// settledBy maps members to the epoch that they last reported as settled, if this
+	// one counts the reports.
 	settledBy map[domain.Member]uint64
-	// foreign are the latest tables met of other data centres.
+	// foreign are the latest known tables of other data centres.
 	foreign map[domain.DataCentre]*history
 }
 
-// openAttempt names an attempt of this life.
+// openAttempt identifies an attempt of this incarnation.
 type openAttempt struct {
 	key     KeyHash
 	attempt uint64
@@ -64,32 +67,32 @@
 
 var _ Ledger = (*Replica)(nil)
 
-// New returns a Replica and registers its handlers. It takes part once Run runs.
+// New returns a Replica and registers its handlers. The Replica becomes active with
+// Run.
 func New(options Options) (*Replica, error) {
 	if options.Transport == nil || options.Tables == nil {
-		return nil, fmt.Errorf("ledger: options need a transport and tables")
+		return nil, fmt.Errorf("ledger: Options.Transport and Options.Tables are required")
 	}
 	options = options.withDefaults()
 	r := &Replica{
-		options:   options,
-		transport: options.Transport,
-		self:      options.Transport.Self(),
-		wake:      make(chan struct{}, 1),
-		book:      newBook(time.Now(), options.Retention),
-		open:      make(map[openAttempt]struct{}),
-		exports:   make(map[domain.NodeID]*export),
-		asking:    make(map[KeyHash]struct{}),
-		silent:    make(map[domain.Member]time.Time),
-		heard:     make(map[domain.Member]time.Time),
-		settledBy: make(map[domain.Member]uint64),
-		foreign:   make(map[domain.DataCentre]*history),
+		options:       options,
+		transport:     options.Transport,
+		self:          options.Transport.Self(),
+		wake:          make(chan struct{}, 1),
+		records:       newRecordSet(time.Now(), options.Retention),
+		open:          make(map[openAttempt]struct{}),
+		exports:       make(map[domain.NodeID]*exportSession),
+		holderQueries: make(map[KeyHash]struct{}),
+		unresponsive:  make(map[domain.Member]time.Time),
+		lastConfirmed: make(map[domain.Member]time.Time),
+		settledBy:     make(map[domain.Member]uint64),
+		foreign:       make(map[domain.DataCentre]*history),
 	}
 	r.meters = newMeters(options.Metrics, r)
 	r.register()
 	return r, nil
 }
 
-// register sets the handlers of the ledger's messages.
 func (r *Replica) register() {
 	t := r.transport
 	peer.Handle(t, methodClaim, handle(r.serveClaim))
@@ -113,7 +116,7 @@
 	return 0
 }
 
-// signal lets the maintenance loop look for work.
+// signal wakes the maintenance loop.
 func (r *Replica) signal() {
 	select {
 	case r.wake <- struct{}{}:
@@ -121,12 +124,12 @@
 	}
 }
 
-// newClaim returns an identifier greater than any that a home of an earlier
-// epoch, or this one, has given for the key. The lock is held.
+// newClaim returns an ID greater than any that this home, or a home of an earlier
+// epoch, has issued for the key. The lock is held.
 func (r *Replica) newClaim(epoch uint64, previous ClaimID) ClaimID {
 	r.claims++
 	return max(ClaimID(epoch<<claimCounterBits|r.claims&(1<<claimCounterBits-1)), previous+1)
 }
 
-// claimCounterBits are the bits of a ClaimID below the epoch.
+// claimCounterBits is the number of bits of a ClaimID below the epoch.
 const claimCounterBits = 40
--- a/ledger/run.go
+++ b/ledger/run.go
@@ -10,14 +10,14 @@
 	"hawthornrill.example/hawthornrill/pacing"
 )
 
-// The pause before an unfinished recovery goes on doubles from the first to the
-// last, and begins anew in each epoch.
+// The pause before an unfinished recovery continues doubles from firstRecoveryRetry to
+// lastRecoveryRetry, and is reset in each epoch.
 const (
 	firstRecoveryRetry = 50 * time.Millisecond
 	lastRecoveryRetry  = 5 * time.Second
 )
 
-// Run follows the tables, recovers after changes and checks old records, until the
+// Run follows the tables, recovers after changes and audits old records until the
 // context ends. It returns the context's error.
 func (r *Replica) Run(ctx context.Context) error {
 	cancel := r.options.Tables.Subscribe(r.tableChanged)
@@ -31,7 +31,8 @@
 	return group.Wait()
 }
 
-// recoverOnChange works on the current recovery until it is done.
+// recoverOnChange runs the current recovery until it is done, and again after each
+// change.
 func (r *Replica) recoverOnChange(ctx context.Context) error {
 	retry := time.NewTimer(0)
 	defer retry.Stop()
@@ -53,7 +54,7 @@
 	}
 }
 
-// tableChanged takes the latest table of a data centre.
+// tableChanged adopts the latest table if it is that of the local data centre.
 func (r *Replica) tableChanged(dataCentre domain.DataCentre) {
 	if dataCentre == r.self.DataCentre {
 		r.adopt(r.options.Tables.Table(dataCentre))
--- a/ledger/schedule_test.go
+++ b/ledger/schedule_test.go
@@ -25,7 +25,7 @@
 	scheduleSeed   = 20261202
 )
 
-// schedule runs callers, faults and table changes in an order that rapid draws.
+// schedule runs callers, faults and table changes in an order drawn by rapid.
 type schedule struct {
 	*cluster
 	keys   []domain.RequestKey
@@ -34,26 +34,26 @@
 	calls  sync.WaitGroup
 }
 
-// TestPromisesHoldUnderRandomSchedules draws schedules of claims, commits, crashes,
-// pauses, cuts and table changes. The seed is fixed, -rapid.seed and -rapid.checks
+// TestInvariantsHoldUnderRandomSchedules draws schedules of claims, commits, crashes,
+// pauses, cut links and table changes. The seed is fixed; -rapid.seed and -rapid.checks
 // try others.
-func TestPromisesHoldUnderRandomSchedules(t *testing.T) {
+func TestInvariantsHoldUnderRandomSchedules(t *testing.T) {
 	setDefaultFlag(t, "rapid.seed", fmt.Sprint(scheduleSeed))
 	setDefaultFlag(t, "rapid.checks", fmt.Sprint(scheduleChecks))
 	setDefaultFlag(t, "rapid.nofailfile", "true")
 	rapid.Check(t, func(rt *rapid.T) { rapid.SyncTest(rt, runSchedule) })
 }
 
-// givenFlags are the flags of the command line.
-var givenFlags = sync.OnceValue(func() map[string]bool {
+// commandLineFlags returns the flags set on the command line.
+var commandLineFlags = sync.OnceValue(func() map[string]bool {
 	given := make(map[string]bool)
 	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
 	return given
 })
 
-// setDefaultFlag sets a flag that was not given.
+// setDefaultFlag sets a flag unless the command line has set it.
 func setDefaultFlag(t *testing.T, name, value string) {
-	if !givenFlags()[name] {
+	if !commandLineFlags()[name] {
 		assert.NilError(t, flag.Set(name, value))
 	}
 }
@@ -70,32 +70,32 @@
 		s.keys = append(s.keys, key(i))
 	}
 	rt.Repeat(map[string]func(*rapid.T){
-		"call":       s.call,
-		"call again": s.call,
+		"call":       s.callRandom,
+		"call again": s.callRandom,
 		"call slow":  s.callSlow,
-		"all call":   s.allCall,
-		"all call 2": s.allCall,
+		"all call":   s.callAll,
+		"all call 2": s.callAll,
 		"replace":    s.replace,
 		"lose two":   s.loseTwo,
 		"wait":       s.wait,
 		"wait on":    s.wait,
-		"wait long":  s.waitLong,
-		"crash":      s.crashOne,
+		"wait long":  s.waitPastWindow,
+		"crash":      s.crashRandom,
 		"restart":    s.restart,
-		"remove":     s.removeOne,
-		"leave":      s.leaveOne,
+		"remove":     s.removeRandom,
+		"leave":      s.leaveRandom,
 		"pause":      s.pause,
 		"resume":     s.resume,
 		"cut":        s.cut,
 		"heal":       func(*rapid.T) { s.network.HealAll() },
 		"partition":  s.partition,
-		"lose":       s.lose,
-		"hold":       s.holdOne,
-		"release":    func(*rapid.T) { s.release(s.names()...) },
+		"lose":       s.dropMessages,
+		"hold":       s.holdOneTable,
+		"release":    func(*rapid.T) { s.releaseTables(s.nodeNames()...) },
 		"":           s.check,
 	})
 	s.network.HealAll()
-	for _, id := range s.names() {
+	for _, id := range s.nodeNames() {
 		s.network.Resume(id)
 	}
 	s.calls.Wait()
@@ -103,12 +103,12 @@
 }
 
 func (s *schedule) check(rt *rapid.T) {
-	for _, broken := range s.promises.violations() {
-		rt.Fatalf("%s\n%s", broken, strings.Join(s.promises.trace, "\n"))
+	for _, violation := range s.invariants.violations() {
+		rt.Fatalf("%s\n%s", violation, strings.Join(s.invariants.events, "\n"))
 	}
 }
 
-func (s *schedule) names() []domain.NodeID {
+func (s *schedule) nodeNames() []domain.NodeID {
 	names := []domain.NodeID{"far"}
 	for i := range scheduleNodes {
 		names = append(names, nodeName(i))
@@ -116,52 +116,52 @@
 	return names
 }
 
-// draw picks a node for which ok holds, or none.
-func (s *schedule) draw(rt *rapid.T, ok func(domain.NodeID) bool) (domain.NodeID, bool) {
-	var fit []domain.NodeID
-	for _, id := range s.names() {
+// drawNode draws a node for which ok holds, if there is one.
+func (s *schedule) drawNode(rt *rapid.T, ok func(domain.NodeID) bool) (domain.NodeID, bool) {
+	var eligible []domain.NodeID
+	for _, id := range s.nodeNames() {
 		if ok(id) {
-			fit = append(fit, id)
+			eligible = append(eligible, id)
 		}
 	}
-	if len(fit) == 0 {
+	if len(eligible) == 0 {
 		return "", false
 	}
-	return rapid.SampledFrom(fit).Draw(rt, "node"), true
+	return rapid.SampledFrom(eligible).Draw(rt, "node"), true
 }
 
 func (s *schedule) up(id domain.NodeID) bool { return !s.down[id] }
 
-func (s *schedule) member(id domain.NodeID) bool { return id != "far" && !s.down[id] }
+func (s *schedule) upMember(id domain.NodeID) bool { return id != "far" && !s.down[id] }
 
-// call lets a caller send one of the keys to a node, with pauses in between.
-func (s *schedule) call(rt *rapid.T) { s.callWithin(rt, 400) }
+// callRandom sends one of the keys to a node, with short pauses between the steps.
+func (s *schedule) callRandom(rt *rapid.T) { s.callWithin(rt, 400) }
 
 // callSlow leaves time for faults between the steps of a call.
 func (s *schedule) callSlow(rt *rapid.T) { s.callWithin(rt, 20_000) }
 
 func (s *schedule) callWithin(rt *rapid.T, millis int) {
-	id, ok := s.draw(rt, s.up)
+	id, ok := s.drawNode(rt, s.up)
 	if !ok {
 		return
 	}
 	k := rapid.SampledFrom(s.keys).Draw(rt, "key")
 	delays := rapid.SliceOfN(rapid.IntRange(0, millis), 3, 3).Draw(rt, "delays")
-	give := rapid.IntRange(0, 3).Draw(rt, "give up") == 0
+	release := rapid.IntRange(0, 3).Draw(rt, "give up") == 0
 	n := s.nodes[id]
-	s.calls.Go(func() { s.attempt(n, k, delays, give) })
+	s.calls.Go(func() { s.attempt(n, k, delays, release) })
 }
 
-// allCall sends every key to every node, one after the other or at once, and lets
-// the calls end.
-func (s *schedule) allCall(rt *rapid.T) {
+// callAll sends every key to every node, one after the other or at once, and waits for
+// the calls.
+func (s *schedule) callAll(rt *rapid.T) {
 	apart := rapid.IntRange(0, 3).Draw(rt, "apart")
-	give := rapid.IntRange(0, 3).Draw(rt, "give up") == 0
-	for _, id := range s.names() {
+	release := rapid.IntRange(0, 3).Draw(rt, "give up") == 0
+	for _, id := range s.nodeNames() {
 		for _, k := range s.keys {
 			if s.up(id) {
 				n := s.nodes[id]
-				s.calls.Go(func() { s.attempt(n, k, []int{0, 0, 0}, give) })
+				s.calls.Go(func() { s.attempt(n, k, []int{0, 0, 0}, release) })
 				sleepMillis(apart)
 			}
 		}
@@ -169,43 +169,43 @@
 	time.Sleep(time.Second)
 }
 
-// replace takes a node's life out for good and begins the next one.
+// replace removes a node's incarnation for good and starts the next one.
 func (s *schedule) replace(rt *rapid.T) {
-	if id, ok := s.draw(rt, s.member); ok {
-		s.kill(id)
+	if id, ok := s.drawNode(rt, s.upMember); ok {
+		s.crashAndRemove(id)
 		s.restart(rt)
 	}
 }
 
-// loseTwo loses the memory of two nodes, in one change of the table or two, with
-// time to settle in between or without.
+// loseTwo loses the records of two nodes, in one change of the table or two, with or
+// without time to settle in between.
 func (s *schedule) loseTwo(rt *rapid.T) {
 	gap := rapid.SampledFrom([]int{0, 1, 5, 2000}).Draw(rt, "gap")
 	for range 2 {
-		if id, ok := s.draw(rt, s.member); ok {
-			s.kill(id)
+		if id, ok := s.drawNode(rt, s.upMember); ok {
+			s.crashAndRemove(id)
 			sleepMillis(gap)
 		}
 	}
 }
 
-// kill crashes a node and takes it out of the table.
-func (s *schedule) kill(id domain.NodeID) {
+// crashAndRemove crashes a node and removes it from the table.
+func (s *schedule) crashAndRemove(id domain.NodeID) {
 	s.crash(id)
 	s.down[id], s.paused[id] = true, false
 	s.removeMember(id)
 }
 
-// attempt goes the way of one request.
-func (s *schedule) attempt(n *testNode, k domain.RequestKey, delays []int, give bool) {
+// attempt runs one request through the ledger.
+func (s *schedule) attempt(n *testNode, k domain.RequestKey, delays []int, release bool) {
 	ctx := context.Background()
 	asked := time.Now()
 	claim, err := n.Claim(ctx, k, Fingerprint{1})
 	granted := time.Now()
-	s.promises.note("%s claim %s: %v %v", n.member, k.Client, claim, err)
+	s.invariants.trace("%s claim %s: %v %v", n.member, k.Client, claim, err)
 	switch {
 	case errors.Is(err, ErrFull):
-		s.promises.toldNotRun(k, n.member, asked)
+		s.invariants.toldNotRun(k, n.member, asked)
 		return
 	case err != nil:
 		return
@@ -217,27 +217,27 @@
 		return
 	}
 	sleepMillis(delays[0])
-	if give {
+	if release {
 		asked = time.Now()
 		err = n.Release(ctx, claim)
-		s.promises.note("%s release %s: %v", n.member, k.Client, err)
-		if err == nil && !n.ended.Load() {
-			s.promises.toldNotRun(k, n.member, asked)
+		s.invariants.trace("%s release %s: %v", n.member, k.Client, err)
+		if err == nil && !n.crashed.Load() {
+			s.invariants.toldNotRun(k, n.member, asked)
 		}
 		return
 	}
 	err = n.Commit(ctx, claim, "runner-1")
-	s.promises.note("%s commit %s: %v", n.member, k.Client, err)
+	s.invariants.trace("%s commit %s: %v", n.member, k.Client, err)
 	if err != nil {
 		return
 	}
 	sleepMillis(delays[1])
-	run := n.send(claim, granted)
+	run := n.execute(claim, granted)
 	if run == nil {
 		return
 	}
 	sleepMillis(10 * delays[2])
-	s.promises.ended(run)
+	s.invariants.ended(run)
 	_ = n.Finish(ctx, claim, true)
 }
 
@@ -247,69 +247,70 @@
 	sleepMillis(rapid.SampledFrom([]int{1, 3, 10, 50, 300, 2000}).Draw(rt, "millis"))
 }
 
-// waitLong passes the fence's time, or the loss window.
-func (s *schedule) waitLong(rt *rapid.T) {
+// waitPastWindow waits for longer than the fence time-out or the loss window.
+func (s *schedule) waitPastWindow(rt *rapid.T) {
 	time.Sleep(rapid.SampledFrom([]time.Duration{70 * time.Second, 11 * time.Minute, 13 * time.Minute}).Draw(rt, "time"))
 }
 
-func (s *schedule) crashOne(rt *rapid.T) {
-	if id, ok := s.draw(rt, s.member); ok {
+func (s *schedule) crashRandom(rt *rapid.T) {
+	if id, ok := s.drawNode(rt, s.upMember); ok {
 		s.crash(id)
 		s.down[id], s.paused[id] = true, false
 	}
 }
 
-// restart begins a new life of a crashed node.
+// restart starts a new incarnation of a crashed node.
 func (s *schedule) restart(rt *rapid.T) {
-	id, ok := s.draw(rt, func(id domain.NodeID) bool { return s.down[id] })
+	id, ok := s.drawNode(rt, func(id domain.NodeID) bool { return s.down[id] })
 	if ok {
 		s.start(id, testDataCentre)
 		s.down[id] = false
 	}
 }
 
-// removeOne takes a node out of the table, dead or, as a lying host list may have
-// it, alive.
-func (s *schedule) removeOne(rt *rapid.T) {
-	id, ok := s.draw(rt, func(id domain.NodeID) bool { return id != "far" })
+// removeRandom removes a node from the table, whether it has crashed or, as after a
+// false report, is running.
+func (s *schedule) removeRandom(rt *rapid.T) {
+	id, ok := s.drawNode(rt, func(id domain.NodeID) bool { return id != "far" })
 	if !ok {
 		return
 	}
 	s.removeMember(id)
 }
 
-// removeMember takes a node out of the table; if it is dead, all know.
+// removeMember removes a node from the table; if it has crashed, membership shows it as
+// gone.
 func (s *schedule) removeMember(id domain.NodeID) {
 	member := s.nodes[id].member
 	if s.down[id] {
-		s.callGone(member)
+		s.markGone(member)
 	}
 	s.edit(s.nodes["far"], Remove(member))
 }
 
-func (s *schedule) leaveOne(rt *rapid.T) {
-	if id, ok := s.draw(rt, s.member); ok {
+func (s *schedule) leaveRandom(rt *rapid.T) {
+	if id, ok := s.drawNode(rt, s.upMember); ok {
 		s.edit(s.nodes["far"], Leave(s.nodes[id].member))
 	}
 }
 
 func (s *schedule) pause(rt *rapid.T) {
-	if id, ok := s.draw(rt, func(id domain.NodeID) bool { return s.up(id) && !s.paused[id] }); ok {
+	if id, ok := s.drawNode(rt, func(id domain.NodeID) bool { return s.up(id) && !s.paused[id] }); ok {
 		s.network.Pause(id)
 		s.paused[id] = true
 	}
 }
 
 func (s *schedule) resume(rt *rapid.T) {
-	if id, ok := s.draw(rt, func(id domain.NodeID) bool { return s.paused[id] }); ok {
+	if id, ok := s.drawNode(rt, func(id domain.NodeID) bool { return s.paused[id] }); ok {
 		s.network.Resume(id)
 		s.paused[id] = false
 	}
 }
 
 func (s *schedule) cut(rt *rapid.T) {
-	from, _ := s.draw(rt, func(domain.NodeID) bool { return true })
-	to, _ := s.draw(rt, func(id domain.NodeID) bool { return id != from })
+	from, _ := s.drawNode(rt, func(domain.NodeID) bool { return true })
+	to, _ := s.drawNode(rt, func(id domain.NodeID) bool { return id != from })
 	s.network.CutOneWay(from, to)
 	if rapid.Bool().Draw(rt, "both ways") {
 		s.network.Cut(from, to)
@@ -320,7 +321,7 @@
 func (s *schedule) partition(rt *rapid.T) {
 	side := rapid.SliceOfN(rapid.Bool(), scheduleNodes+1, scheduleNodes+1).Draw(rt, "side")
 	var groups [2][]domain.NodeID
-	for i, id := range s.names() {
+	for i, id := range s.nodeNames() {
 		group := 0
 		if side[i] {
 			group = 1
@@ -330,10 +331,10 @@
 	s.network.Partition(groups[0], groups[1])
 }
 
-// lose drops the next messages of a kind, on their way or back.
-func (s *schedule) lose(rt *rapid.T) {
-	from, _ := s.draw(rt, func(domain.NodeID) bool { return true })
-	to, _ := s.draw(rt, func(id domain.NodeID) bool { return id != from })
+// dropMessages drops the next requests or replies of a method.
+func (s *schedule) dropMessages(rt *rapid.T) {
+	from, _ := s.drawNode(rt, func(domain.NodeID) bool { return true })
+	to, _ := s.drawNode(rt, func(id domain.NodeID) bool { return id != from })
 	method := rapid.SampledFrom([]peer.Method{methodClaim, methodCommit, methodMirror, methodRelease, methodFinish, methodCollect, methodHolds}).Draw(rt, "method")
 	count := rapid.IntRange(1, 4).Draw(rt, "count")
 	if rapid.Bool().Draw(rt, "replies") {
@@ -343,8 +344,8 @@
 	s.network.DropNext(from, to, method, count)
 }
 
-func (s *schedule) holdOne(rt *rapid.T) {
-	if id, ok := s.draw(rt, func(domain.NodeID) bool { return true }); ok {
-		s.hold(id)
+func (s *schedule) holdOneTable(rt *rapid.T) {
+	if id, ok := s.drawNode(rt, func(domain.NodeID) bool { return true }); ok {
+		s.holdTables(id)
 	}
 }
--- a/ledger/settle.go
+++ b/ledger/settle.go
@@ -8,13 +8,14 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// counter returns the member that counts who has settled the epoch.
-func counter(h *history) (domain.Member, bool) {
-	return first(h.current(), KeyHash{})
+// settlementCounter returns the member that counts the settlement reports of the epoch.
+func settlementCounter(h *history) (domain.Member, bool) {
+	return topRanked(h.current(), KeyHash{})
 }
 
-// reportSettled tells the counting member that this one holds all records of its
-// keys, each twice. It reports whether the table records the settlement already.
+// reportSettled tells the counting member that this one has all records of its keys and
+// that a second member holds each. It reports whether the table already records the
+// settlement.
 func (r *Replica) reportSettled(ctx context.Context, epoch uint64) bool {
 	h := r.history.Load()
 	if h.table.Epoch != epoch {
@@ -28,7 +29,7 @@
 		r.markReported(epoch)
 		return true
 	}
-	to, ok := counter(h)
+	to, ok := settlementCounter(h)
 	if !ok {
 		return false
 	}
@@ -41,12 +42,12 @@
 	called := time.Now()
 	reply, err := peer.Call[settledRequest, statusReply](ctx, r.transport, to, methodSettled, settledRequest{epoch})
 	if err == nil {
-		r.hear(to, reply.Epoch, called)
+		r.noteConfirmed(to, reply.Epoch, called)
 	}
 	return false
 }
 
-// markReported ends the recovery of the epoch.
+// markReported completes the recovery of the epoch.
 func (r *Replica) markReported(epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +56,7 @@
 	}
 }
 
-// serveSettled counts a member's report.
+// serveSettled counts a member's settlement report.
 func (r *Replica) serveSettled(ctx context.Context, from domain.Member, request settledRequest) statusReply {
 	r.catchUp(ctx, from, request.Epoch)
 	r.mu.Lock()
@@ -70,15 +71,15 @@
 	return statusReply{statusOK, request.Epoch}
 }
 
-// recordSettlement writes the settlement into the table when all eligible members
-// have reported. It reports whether it is written.
+// recordSettlement writes the settlement into the table once all eligible members have
+// reported. It reports whether it is written.
 func (r *Replica) recordSettlement(ctx context.Context, h *history) bool {
 	if !r.allSettled(h) {
 		return false
 	}
 	t, err := r.options.Editor.Edit(ctx, Settle(h.table.Epoch))
 	if err != nil {
-		r.options.Logger.Warn().Err(err).Uint64("epoch", h.table.Epoch).Msg("settlement not recorded")
+		r.options.Logger.Warn().Err(err).Uint64("epoch", h.table.Epoch).Msg("cannot record settlement in the ledger table")
 		return false
 	}
 	r.adopt(t)
--- a/ledger/slope_test.go
+++ b/ledger/slope_test.go
@@ -13,10 +13,10 @@
 	"hawthornrill.example/hawthornrill/peer/peertest"
 )
 
-// bench starts a data centre in real time and waits until it is settled.
-func bench(b *testing.B, size int) *cluster {
+// newBenchCluster starts a data centre in real time and waits until it is settled.
+func newBenchCluster(b *testing.B, size int) *cluster {
 	c := &cluster{}
-	c.init(b)
+	c.setUp(b)
 	for i := range size {
 		c.start(nodeName(i), testDataCentre)
 	}
@@ -24,14 +24,14 @@
 	return c
 }
 
-// awaitSettled polls until the table in force is settled and all have seen it.
+// awaitSettled polls until the table in force is settled and all nodes have seen it.
 func (c *cluster) awaitSettled() {
 	for {
 		t := c.latest()
 		settled := t.Settled() >= t.Epoch
 		for _, n := range c.nodes {
 			n.mu.Lock()
-			settled = settled && (n.ended.Load() || n.recovery != nil && n.recovery.reported && n.recovery.epoch == t.Epoch)
+			settled = settled && (n.crashed.Load() || n.recovery != nil && n.recovery.reported && n.recovery.epoch == t.Epoch)
 			n.mu.Unlock()
 		}
 		if settled {
@@ -60,7 +60,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkSlopeRecordMemory measures the bytes that one finished record takes.
+// BenchmarkSlopeRecordMemory measures the memory per finished record.
 func BenchmarkSlopeRecordMemory(b *testing.B) {
 	for _, records := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
@@ -68,9 +68,9 @@
 			for b.Loop() {
 				before := heapBytes()
 				now := time.Now()
-				k := newBook(now, DefaultRetention)
+				k := newRecordSet(now, DefaultRetention)
 				for i := range records {
-					rec := record{claim: ClaimID(i), holder: k.members.number(domain.Member{Node: nodeName(i % 48)}), endpoint: k.endpoints.number("runner-1")}
+					rec := record{claim: ClaimID(i), holder: k.members.intern(domain.Member{Node: nodeName(i % 48)}), endpoint: k.endpoints.intern("runner-1")}
 					k.set(hashKey(key(i)), rec, StateFinished, now)
 				}
 				perRecord = (heapBytes() - before) / float64(records)
@@ -82,7 +82,7 @@
 }
 
 // BenchmarkSlopeDecision measures one claim, commit and finish at the home, without
-// the messages, beside records already held.
+// messages, by the number of records already held.
 func BenchmarkSlopeDecision(b *testing.B) {
 	for _, records := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("records=%d", records), func(b *testing.B) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// noTables knows no table.
+// noTables is a Tables without any table.
 type noTables struct{}
 
 func (noTables) Table(domain.DataCentre) *Table                    { return nil }
@@ -120,12 +120,12 @@
 	return peertest.NewNetwork().Node(domain.Member{Node: "host-00", Incarnation: 1, DataCentre: testDataCentre})
 }
 
-// BenchmarkSlopeRequest measures the messages and bytes, both ways, and the time on
-// an in-memory link of one request from claim to finish, spread over all entries.
+// BenchmarkSlopeRequest measures the messages and bytes, both ways, and the time on an
+// in-memory link of one request from claim to finish, over all entry nodes.
 func BenchmarkSlopeRequest(b *testing.B) {
 	for _, nodes := range []int{7, 14, 48} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			c := bench(b, nodes)
+			c := newBenchCluster(b, nodes)
 			defer c.close()
 			c.network.ResetCounts()
 			i := 0
@@ -144,15 +144,15 @@
 	}
 }
 
-// BenchmarkSlopeRecovery measures what the loss of one member costs, by the records
-// held and by the members.
+// BenchmarkSlopeRecovery measures the cost of losing one member, by the number of
+// records and of members.
 func BenchmarkSlopeRecovery(b *testing.B) {
 	for _, size := range []struct{ records, nodes int }{{1_000, 7}, {4_000, 7}, {16_000, 7}, {4_000, 14}, {4_000, 28}} {
 		b.Run(fmt.Sprintf("records=%d/nodes=%d", size.records, size.nodes), func(b *testing.B) {
 			var messages, bytes float64
 			for b.Loop() {
 				b.StopTimer()
-				c := bench(b, size.nodes)
+				c := newBenchCluster(b, size.nodes)
 				c.fill(b, size.records, size.nodes)
 				c.crash(nodeName(0))
 				c.network.ResetCounts()
@@ -172,19 +172,19 @@
 	}
 }
 
-// BenchmarkSlopeRest measures one round of members asking each other for the epoch,
-// of which there are two a FenceTimeout.
+// BenchmarkSlopeRest measures one round of confirm calls between the members, of which
+// there are two per FenceTimeout.
 func BenchmarkSlopeRest(b *testing.B) {
 	for _, nodes := range []int{7, 14, 48} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			c := bench(b, nodes)
+			c := newBenchCluster(b, nodes)
 			defer c.close()
 			c.network.ResetCounts()
 			rounds := 0
 			for b.Loop() {
 				n := c.nodes[nodeName(rounds%nodes)]
 				n.mu.Lock()
-				clear(n.heard)
+				clear(n.lastConfirmed)
 				n.mu.Unlock()
 				n.confirmAll(context.Background())
 				rounds++
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -2,9 +2,8 @@
 
 import "fmt"
 
-// stateWithdrawn is not seen outside the package: the holder of the claim has
-// said that it did not dispatch and never will. It outranks every other state of
-// the same claim.
+// stateWithdrawn is internal to the package: the holder of the claim has stated that it
+// did not dispatch and never will. It ranks above every other state of the same claim.
 const stateWithdrawn State = StateFailed + 1
 
 var stateNames = [...]string{
@@ -15,7 +14,6 @@
 	stateWithdrawn: "withdrawn",
 }
 
-// String returns the state's name.
 func (s State) String() string {
 	if s == 0 || int(s) >= len(stateNames) {
 		return fmt.Sprintf("state %d", uint8(s))
@@ -23,6 +21,6 @@
 	return stateNames[s]
 }
 
-// ended reports whether nothing more is expected, so that the record's retention
-// has begun.
+// ended reports whether the state is final, so that the record's retention period has
+// begun.
 func (s State) ended() bool { return s >= StateFinished }
--- a/ledger/table_change.go
+++ b/ledger/table_change.go
@@ -10,14 +10,14 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// ErrSuperseded means that a later life of the node is or was in the table.
-var ErrSuperseded = errors.New("ledger: a later life of the node has joined")
+// ErrSuperseded means that a later incarnation of the node is or was in the table.
+var ErrSuperseded = errors.New("ledger: a later incarnation of the node has joined")
 
 // TableChange is a change of a table. It returns the table itself if there is
 // nothing to change, and does not write to it.
 type TableChange func(*Table) (*Table, error)
 
-// Join adds a life with an empty memory. An earlier life of the node departs.
+// Join adds an incarnation without records. An earlier incarnation of the node departs.
 func Join(member domain.Member) TableChange {
 	return func(t *Table) (*Table, error) {
 		if t.DataCentre != member.DataCentre {
@@ -37,8 +37,8 @@
 	}
 }
 
-// Leave makes a life neither home nor witness any more, so that the others
-// collect its records. When the table is settled it may be removed without loss.
+// Leave makes an incarnation neither home nor witness any more, so that the others
+// collect its records. Once the table is settled it may be removed without loss.
 func Leave(member domain.Member) TableChange {
 	return func(t *Table) (*Table, error) {
 		i := t.find(member.Node)
@@ -51,8 +51,8 @@
 	}
 }
 
-// Remove takes a life out. Its memory counts as lost unless the table has been
-// settled since the life began to leave.
+// Remove takes an incarnation out of the table. Its records count as lost unless the
+// table has been settled since the incarnation began to leave.
 func Remove(member domain.Member) TableChange {
 	return func(t *Table) (*Table, error) {
 		if !t.Contains(member) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Settle records that in this epoch every record is held twice. It changes
-// nothing if the epoch has passed or has no eligible member.
+// Settle records that in this epoch two members hold every record. It changes nothing
+// if the epoch has passed or has no eligible member.
 func Settle(epoch uint64) TableChange {
 	return func(t *Table) (*Table, error) {
 		if t.Epoch != epoch || t.Settled() >= epoch || len(t.EligibleMembers()) == 0 {
@@ -79,7 +79,7 @@
 }
 
 // PruneDepartures drops departures that are older than keep, once the table has been
-// settled since, and the settlements that only concern them.
+// settled after them, and the settlements that only concern them.
 func PruneDepartures(keep time.Duration) TableChange {
 	return func(t *Table) (*Table, error) {
 		settled := t.Settled()
@@ -108,7 +108,7 @@
 	return next
 }
 
-// depart moves the node's life, if any, from the members to the departed. The
+// depart moves the node's incarnation, if any, from the members to the departed. The
 // table's epoch is already the first one without it.
 func (t *Table) depart(node domain.NodeID) {
 	i := t.find(node)
@@ -121,7 +121,7 @@
 	t.Departed = append(t.Departed, Departure{TableMember: m, Removed: t.Epoch, Lost: !handedOver})
 }
 
-// supersedes reports whether a later life of the member's node is known.
+// supersedes reports whether a later incarnation of the member's node is known.
 func (t *Table) supersedes(member domain.Member) bool {
 	later := func(m domain.Member) bool { return m.Node == member.Node && m.Incarnation > member.Incarnation }
 	return slices.ContainsFunc(t.Members, func(m TableMember) bool { return later(m.Member) }) ||
--- a/ledger/tablestore.go
+++ b/ledger/tablestore.go
@@ -13,16 +13,16 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// ErrInvalidTable means that the stored table can't be read.
-var ErrInvalidTable = errors.New("ledger: stored table is not valid")
+// ErrInvalidTable means that the stored table can't be decoded.
+var ErrInvalidTable = errors.New("ledger: cannot decode stored table")
 
 // TableKey is the store's key of a data centre's table.
 func TableKey(dataCentre domain.DataCentre) string { return "ledger/" + string(dataCentre) }
 
-// EncodeTable and DecodeTable are the stored form.
+// EncodeTable returns the stored form of a table.
 func EncodeTable(t *Table) ([]byte, error) { return cbor.Marshal(t) }
 
-// DecodeTable reads the stored form, or returns ErrInvalidTable.
+// DecodeTable decodes the stored form, or returns ErrInvalidTable.
 func DecodeTable(value []byte) (*Table, error) {
 	var t Table
 	if err := cbor.Unmarshal(value, &t); err != nil {
@@ -39,7 +39,7 @@
 	keep       time.Duration
 
 	mu sync.Mutex
-	// latest is the latest table that this process has met.
+	// latest is the latest table that this process has seen.
 	latest *Table
 	ages   DepartureAges
 }
@@ -54,12 +54,12 @@
 	}
 }
 
-// maxEditTries bounds the conflicts of one Edit.
+// maxEditTries bounds the tries of one Edit.
 const maxEditTries = 16
 
-// Edit implements TableEditor. A lost acknowledgement is settled by reading back:
-// every change is idempotent, so that a second try finds it done. The error wraps
-// that of the store.
+// Edit implements TableEditor. A lost acknowledgement is resolved by reading the table
+// again: every change is idempotent, so that a second try finds it done. The error
+// wraps that of the store.
 func (s *TableStore) Edit(ctx context.Context, change TableChange) (*Table, error) {
 	var last error
 	for range maxEditTries {
@@ -75,7 +75,7 @@
 	return nil, fmt.Errorf("ledger: edit table of %s: %w", s.dataCentre, last)
 }
 
-// editOnce reads, changes and writes the table.
+// editOnce reads, changes and writes the table once.
 func (s *TableStore) editOnce(ctx context.Context, change TableChange) (*Table, error) {
 	current, revision, err := s.Read(ctx)
 	if err != nil {
@@ -100,8 +100,9 @@
 	return next, nil
 }
 
-// Observe takes note of a table met elsewhere and returns the latest one known. A
-// store that has been set back to an old copy is written forward from it.
+// Observe records a table received from elsewhere and returns the latest one known. A
+// store restored from an old copy is brought forward by the next edit, which starts
+// from the latest table.
 func (s *TableStore) Observe(t *Table) *Table {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/ledger/tablestore_test.go
+++ b/ledger/tablestore_test.go
@@ -10,9 +10,9 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// A lost acknowledgement is settled by reading back, and a store set back to an old
-// copy is written forward from the latest table known.
-func TestTableStoreSurvivesItsStore(t *testing.T) {
+// A lost acknowledgement is resolved by reading again, and a store restored from an old
+// copy is brought forward from the latest known table.
+func TestTableStoreHandlesLostAckAndRestore(t *testing.T) {
 	s := memstore.New(memstore.Options{})
 	member := func(i int) domain.Member {
 		return domain.Member{Node: nodeName(i), Incarnation: 1, DataCentre: testDataCentre}
@@ -39,26 +39,26 @@
 	inCluster(t, 3, func(t *testing.T, c *cluster) {
 		n, old := c.nodes[nodeName(0)], c.latest()
 		c.start(nodeName(3), testDataCentre)
-		c.settle()
+		c.waitSettled()
 		n.adopt(old)
 		assert.Equal(t, n.epoch(), c.latest().Epoch)
 	})
 }
 
-// A second process that did not answer is tried last, so that only one commit waits
-// for it.
-func TestSilentWitnessIsTriedLast(t *testing.T) {
+// A witness that did not answer is tried last from then on, so that only one commit
+// waits for it.
+func TestUnresponsiveWitnessIsTriedLast(t *testing.T) {
 	inCluster(t, 4, func(t *testing.T, c *cluster) {
 		home := c.nodes[nodeName(0)]
 		var waits []time.Duration
 		c.crash(nodeName(1))
 		for range 2 {
-			claim := home.grant(t, c.keyBetween(nodeName(0), nodeName(1)))
+			claim := home.mustClaim(t, c.keyBetween(nodeName(0), nodeName(1)))
 			began := time.Now()
 			assert.NilError(t, home.commit(claim))
 			waits = append(waits, time.Since(began))
 		}
-		assert.Assert(t, waits[0] >= home.options.secondTimeout())
-		assert.Assert(t, waits[1] < home.options.secondTimeout())
+		assert.Assert(t, waits[0] >= home.options.nestedTimeout())
+		assert.Assert(t, waits[1] < home.options.nestedTimeout())
 	})
 }
--- a/ledger/target.go
+++ b/ledger/target.go
@@ -7,7 +7,7 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// target is a key on its way to its home.
+// target is a key with what is needed to reach its home.
 type target struct {
 	key   domain.RequestKey
 	hash  KeyHash
@@ -19,8 +19,8 @@
 	return target{key, hashKey(key), r.copyFlags(key.Scope)}
 }
 
-// copyFlags are the flags of the copy that this life keeps as the holder of a
-// claim.
+// copyFlags returns the flags of the copy that this incarnation keeps as the holder of
+// a claim.
 func (r *Replica) copyFlags(scope domain.Scope) recordFlags {
 	switch {
 	case scope.Kind == domain.ScopeNode && r.isSelf(scope):
@@ -35,45 +35,45 @@
 	return scope.Node == r.self.Node && scope.Incarnation == r.self.Incarnation
 }
 
-// route is where a key is decided.
+// route is the home of a key, with the epoch in which it is the home.
 type route struct {
 	home domain.Member
 	// epoch is zero for keys of node scope.
 	epoch uint64
 }
 
-// route finds the key's home by what this node knows now.
+// route returns the key's home according to the tables and membership known now.
 func (r *Replica) route(ctx context.Context, t target) (route, error) {
 	if t.key.Scope.Kind == domain.ScopeNode {
-		return r.routeToLife(t.key.Scope)
+		return r.routeToIncarnation(t.key.Scope)
 	}
 	h := r.historyOf(t.key.Scope.DataCentre)
 	if h == nil {
-		h = r.askForTable(ctx, t.key.Scope.DataCentre, nil)
+		h = r.queryTable(ctx, t.key.Scope.DataCentre, nil)
 	}
 	if h == nil {
 		return route{}, fmt.Errorf("%w: no table of data centre %s", ErrUnknown, t.key.Scope.DataCentre)
 	}
 	home, ok := h.home(t.hash)
 	if !ok {
-		return route{}, fmt.Errorf("%w: empty table of data centre %s", ErrUnknown, t.key.Scope.DataCentre)
+		return route{}, fmt.Errorf("%w: no eligible member in the table of data centre %s", ErrUnknown, t.key.Scope.DataCentre)
 	}
 	return route{home, h.table.Epoch}, nil
 }
 
-// routeToLife finds the life that decides about a key of node scope.
-func (r *Replica) routeToLife(scope domain.Scope) (route, error) {
+// routeToIncarnation returns the route of a key of node scope.
+func (r *Replica) routeToIncarnation(scope domain.Scope) (route, error) {
 	if r.isSelf(scope) {
 		return route{home: r.self}, nil
 	}
-	life := domain.Member{Node: scope.Node, Incarnation: scope.Incarnation}
-	if r.options.Membership == nil || r.lifeGone(life) {
-		return route{}, fmt.Errorf("%w: %s is gone", ErrUnknown, life)
+	member := domain.Member{Node: scope.Node, Incarnation: scope.Incarnation}
+	if r.options.Membership == nil || r.incarnationGone(member) {
+		return route{}, fmt.Errorf("%w: incarnation %s is gone", ErrUnknown, member)
 	}
 	for _, p := range r.options.Membership.Current().Peers {
-		if p.SameLife(life) {
+		if p.SameLife(member) {
 			return route{home: p.Member}, nil
 		}
 	}
-	return route{}, fmt.Errorf("%w: %s is not known", ErrUnknown, life)
+	return route{}, fmt.Errorf("%w: incarnation %s is not known to membership", ErrUnknown, member)
 }
