--- a/capacity/calls.go
+++ b/capacity/calls.go
@@ -14,7 +14,7 @@
 // call asks another node, or serves the request here if it is this one.
 func call[Request, Reply any](ctx context.Context, s *Service, to domain.Member, timeout time.Duration,
 	method peer.Method, request Request, local func(domain.Member, *Request) Reply) (Reply, error) {
-	if to.SameLife(s.self) {
+	if to.SameIncarnation(s.self) {
 		return local(s.self, &request), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -87,7 +87,7 @@
 // next renewals tell.
 func (s *Service) release(to domain.Member, pool domain.PoolName, id askID, result *Result) {
 	message := releaseMessage{Pool: pool, ID: id, Result: result}
-	if to.SameLife(s.self) {
+	if to.SameIncarnation(s.self) {
 		s.serveRelease(s.self, &message)
 		return
 	}
--- a/capacity/hold.go
+++ b/capacity/hold.go
@@ -98,7 +98,7 @@
 func (h *hold) apply(from domain.Member, r ruling, now time.Time) (giveBack bool) {
 	h.link.mu.Lock()
 	defer h.link.mu.Unlock()
-	current := h.link.known && from.SameLife(h.link.owner)
+	current := h.link.known && from.SameIncarnation(h.link.owner)
 	if r.Verdict == verdictGranted {
 		return h.granted(current, r, now)
 	}
--- a/capacity/leaving.go
+++ b/capacity/leaving.go
@@ -67,7 +67,7 @@
 		return
 	}
 	message := leavingMessage{Endpoint: id, Leaving: leaving}
-	if owner.SameLife(s.self) {
+	if owner.SameIncarnation(s.self) {
 		s.serveLeaving(s.self, &message)
 		return
 	}
--- a/capacity/link.go
+++ b/capacity/link.go
@@ -94,7 +94,7 @@
 		l.abandon()
 		return false
 	}
-	if l.known && owner.SameLife(l.seen) {
+	if l.known && owner.SameIncarnation(l.seen) {
 		return false
 	}
 	l.owner, l.seen, l.known = owner, owner, true
@@ -114,7 +114,7 @@
 func (l *link) follow(owner domain.Member, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if owner.SameLife(l.owner) || (!l.hintedAt.IsZero() && now.Sub(l.hintedAt) < hintEvery) {
+	if owner.SameIncarnation(l.owner) || (!l.hintedAt.IsZero() && now.Sub(l.hintedAt) < hintEvery) {
 		return false
 	}
 	l.owner, l.known, l.hintedAt = owner, true, now
--- a/capacity/refusing_test.go
+++ b/capacity/refusing_test.go
@@ -46,7 +46,7 @@
 		}
 		owner := rendezvous(groupName(quotePool), lives)
 		self := lives[0]
-		if owner.SameLife(self) {
+		if owner.SameIncarnation(self) {
 			self = lives[1]
 		}
 		here.current.Store(&membership.Snapshot{Self: self, Peers: []membership.Peer{{Member: lives[0]}, {Member: lives[1]}}})
--- a/capacity/renewals.go
+++ b/capacity/renewals.go
@@ -14,7 +14,7 @@
 // renew tells every owner, in one message each, what this node holds of it.
 func (s *Service) renew() {
 	for _, r := range s.renewals() {
-		if r.owner.SameLife(s.self) {
+		if r.owner.SameIncarnation(s.self) {
 			s.renewWith(s.base, r)
 			continue
 		}
--- a/capacity/service.go
+++ b/capacity/service.go
@@ -193,7 +193,7 @@
 	}
 	var names []groupName
 	for name := range centre.groups {
-		if owner, ok := l.owner(s.self.DataCentre, name); ok && owner.SameLife(s.self) {
+		if owner, ok := l.owner(s.self.DataCentre, name); ok && owner.SameIncarnation(s.self) {
 			names = append(names, name)
 		}
 	}
@@ -271,7 +271,7 @@
 // sameReceiver counts the rulings at the head that go together.
 func sameReceiver(out []outgoing) int {
 	n := 1
-	for n < len(out) && out[n].to.SameLife(out[0].to) && out[n].pool == out[0].pool {
+	for n < len(out) && out[n].to.SameIncarnation(out[0].to) && out[n].pool == out[0].pool {
 		n++
 	}
 	return n
@@ -286,7 +286,7 @@
 }
 
 func (s *Service) sendNotice(to domain.Member, n notice) {
-	if to.SameLife(s.self) {
+	if to.SameIncarnation(s.self) {
 		s.noticed(s.self, n)
 		return
 	}
--- a/capacity/visit.go
+++ b/capacity/visit.go
@@ -202,7 +202,7 @@
 func (a *acquisition) offer(ctx context.Context, owner domain.Member) (offer, bool) {
 	began := time.Now()
 	q, err := a.quote(ctx, owner)
-	if err == nil && q.Owner != nil && !q.Owner.SameLife(owner) {
+	if err == nil && q.Owner != nil && !q.Owner.SameIncarnation(owner) {
 		q, err = a.quote(ctx, *q.Owner)
 	}
 	if err != nil {
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -106,7 +106,7 @@
 }
 
 func (s *Service) among(members []domain.Member) bool {
-	return slices.ContainsFunc(members, s.options.Transport.Self().SameLife)
+	return slices.ContainsFunc(members, s.options.Transport.Self().SameIncarnation)
 }
 
 func (s *Service) stopAll() {
@@ -133,7 +133,7 @@
 		}
 	}
 	for to, message := range messages {
-		if to.SameLife(s.options.Transport.Self()) {
+		if to.SameIncarnation(s.options.Transport.Self()) {
 			s.board.hear(time.Now(), to.DataCentre, message.Loads)
 			continue
 		}
--- a/domain/ids.go
+++ b/domain/ids.go
@@ -41,7 +41,7 @@
 // String returns "node/incarnation".
 func (m Member) String() string { return fmt.Sprintf("%s/%d", m.Node, m.Incarnation) }
 
-// SameLife reports whether both are the same life of the same node.
-func (m Member) SameLife(o Member) bool {
+// SameIncarnation reports whether both are the same life of the same node.
+func (m Member) SameIncarnation(o Member) bool {
 	return m.Node == o.Node && m.Incarnation == o.Incarnation
 }
--- a/ledger/adopt.go
+++ b/ledger/adopt.go
@@ -107,7 +107,7 @@
 		return
 	}
 	r.adopt(r.options.Tables.Table(r.self.DataCentre))
-	if epoch <= r.epoch() || from.SameLife(r.self) {
+	if epoch <= r.epoch() || from.SameIncarnation(r.self) {
 		return
 	}
 	if t, err := r.fetchTable(ctx, from, r.self.DataCentre); err == nil {
--- a/ledger/audit.go
+++ b/ledger/audit.go
@@ -53,7 +53,7 @@
 // lock is held.
 func (r *Replica) inUse(key KeyHash, rec record) bool {
 	_, open := r.open[openAttempt{key, rec.attempt}]
-	return open && r.book.members.value(rec.holder).SameLife(r.self)
+	return open && r.book.members.value(rec.holder).SameIncarnation(r.self)
 }
 
 // auditOf describes an old record. The lock is held.
@@ -61,7 +61,7 @@
 	home := rec.has(flagNodeScope)
 	if h := r.history.Load(); rec.tabled() && h != nil {
 		m, ok := h.home(key)
-		home = ok && m.SameLife(r.self)
+		home = ok && m.SameIncarnation(r.self)
 	}
 	return auditWork{
 		doubt: *r.doubtAbout(key, rec),
--- a/ledger/client.go
+++ b/ledger/client.go
@@ -157,7 +157,7 @@
 		return false
 	}
 	home, ok := h.home(t.hash)
-	return ok && home.SameLife(r.self)
+	return ok && home.SameIncarnation(r.self)
 }
 
 // mayDispatch marks this life's copy as committed, and reports false if it no
@@ -249,7 +249,7 @@
 	e := r.book.export(t.hash, rec, time.Now())
 	r.mu.Unlock()
 	at, err := r.route(ctx, t)
-	if !ok || rec.claim != claim || err != nil || at.home.SameLife(r.self) {
+	if !ok || rec.claim != claim || err != nil || at.home.SameIncarnation(r.self) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.options.TryTimeout)
--- a/ledger/doubt.go
+++ b/ledger/doubt.go
@@ -23,7 +23,7 @@
 // its own holder asks for anew; else nil. The lock is held.
 func (r *Replica) doubtOf(d desk, from domain.Member, key KeyHash, rec record) *doubt {
 	age := time.Duration(r.book.clock(d.now) - rec.since)
-	if age < r.options.HoldsAfter && !r.book.members.value(rec.holder).SameLife(from) {
+	if age < r.options.HoldsAfter && !r.book.members.value(rec.holder).SameIncarnation(from) {
 		return nil
 	}
 	return r.doubtAbout(key, rec)
@@ -85,7 +85,7 @@
 // askHolder returns what the holder remembers of the claim.
 func (r *Replica) askHolder(ctx context.Context, q doubt) (State, bool) {
 	request := holdsRequest{q.key, q.claim, q.attempt}
-	if q.holder.SameLife(r.self) {
+	if q.holder.SameIncarnation(r.self) {
 		return r.serveHolds(ctx, r.self, request).State, true
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.options.secondTimeout())
--- a/ledger/exchange.go
+++ b/ledger/exchange.go
@@ -61,7 +61,7 @@
 
 // try sends the message once.
 func try[Request any, Reply result](ctx context.Context, r *Replica, at route, x exchange[Request, Reply]) (Reply, error) {
-	if at.home.SameLife(r.self) {
+	if at.home.SameIncarnation(r.self) {
 		return x.serve(ctx, r.self, x.request(at)), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.options.TryTimeout)
--- a/ledger/export.go
+++ b/ledger/export.go
@@ -58,7 +58,7 @@
 			return false
 		}
 		m, ok := h.home(key)
-		return ok && m.SameLife(home)
+		return ok && m.SameIncarnation(home)
 	})
 }
 
--- a/ledger/fence.go
+++ b/ledger/fence.go
@@ -105,7 +105,7 @@
 	var members []domain.Member
 	for _, c := range h.current() {
 		at, ok := r.heard[c.member]
-		if !c.member.SameLife(r.self) && (!ok || now.Sub(at) > r.options.FenceTimeout/2) {
+		if !c.member.SameIncarnation(r.self) && (!ok || now.Sub(at) > r.options.FenceTimeout/2) {
 			members = append(members, c.member)
 		}
 	}
--- a/ledger/foreign.go
+++ b/ledger/foreign.go
@@ -74,7 +74,7 @@
 		if asked == maxAsked {
 			break
 		}
-		if p.DataCentre != dataCentre || p.Status != membership.StatusAlive || but != nil && p.SameLife(*but) {
+		if p.DataCentre != dataCentre || p.Status != membership.StatusAlive || but != nil && p.SameIncarnation(*but) {
 			continue
 		}
 		asked++
--- a/ledger/history.go
+++ b/ledger/history.go
@@ -103,7 +103,7 @@
 		if s.end <= from || s.begin >= before {
 			continue
 		}
-		if home, ok := first(s.candidates, key); !ok || !home.SameLife(member) {
+		if home, ok := first(s.candidates, key); !ok || !home.SameIncarnation(member) {
 			return false
 		}
 	}
@@ -144,7 +144,7 @@
 // lossOf returns the loss of a member of the span, if it was lost.
 func (h *history) lossOf(member domain.Member, s span) (Departure, bool) {
 	i := slices.IndexFunc(h.losses, func(d Departure) bool {
-		return d.Removed >= s.end && d.TableMember.Member.SameLife(member)
+		return d.Removed >= s.end && d.TableMember.Member.SameIncarnation(member)
 	})
 	if i < 0 {
 		return Departure{}, false
@@ -161,7 +161,7 @@
 		return true
 	}
 	return slices.ContainsFunc(h.losses, func(other Departure) bool {
-		if !other.eligible(s.begin) || other.TableMember.Member.SameLife(home.TableMember.Member) {
+		if !other.eligible(s.begin) || other.TableMember.Member.SameIncarnation(home.TableMember.Member) {
 			return false
 		}
 		later := home
--- a/ledger/home.go
+++ b/ledger/home.go
@@ -38,7 +38,7 @@
 	if h == nil || h.table.Epoch < epoch {
 		return desk{h, now}, statusStale
 	}
-	if home, ok := h.home(key); !ok || !home.SameLife(r.self) {
+	if home, ok := h.home(key); !ok || !home.SameIncarnation(r.self) {
 		return desk{h, now}, statusStale
 	}
 	return desk{h, now}, statusOK
@@ -78,7 +78,7 @@
 // membership tells. The lock is held.
 func (r *Replica) holderGone(rec record) bool {
 	holder := r.book.members.value(rec.holder)
-	if holder.SameLife(r.self) {
+	if holder.SameIncarnation(r.self) {
 		return false
 	}
 	if rec.has(flagMember) {
--- a/ledger/home_claim.go
+++ b/ledger/home_claim.go
@@ -11,7 +11,7 @@
 	reply, doubt := r.decideClaim(ctx, from, request)
 	switch {
 	case doubt == nil:
-	case !doubt.holder.SameLife(from):
+	case !doubt.holder.SameIncarnation(from):
 		r.settleLater(*doubt)
 	case r.settleDoubt(ctx, *doubt):
 		reply, _ = r.decideClaim(ctx, from, request)
@@ -107,7 +107,7 @@
 // claimHeld answers for a key whose claim another attempt holds or has used. The
 // lock is held.
 func (r *Replica) claimHeld(d desk, from domain.Member, request claimRequest, rec record) (claimReply, *doubt) {
-	same := rec.attempt == request.Attempt && r.book.members.value(rec.holder).SameLife(from)
+	same := rec.attempt == request.Attempt && r.book.members.value(rec.holder).SameIncarnation(from)
 	switch {
 	case same && rec.state == StateClaimed:
 		return r.verdict(d, from, VerdictGranted, rec), nil
@@ -131,7 +131,7 @@
 		Verdict:  verdict,
 		Endpoint: r.book.endpoints.value(rec.endpoint),
 	}
-	if holder := r.book.members.value(rec.holder); !holder.SameLife(from) {
+	if holder := r.book.members.value(rec.holder); !holder.SameIncarnation(from) {
 		reply.Holder = &holder
 	}
 	return reply
--- a/ledger/home_commit.go
+++ b/ledger/home_commit.go
@@ -58,7 +58,7 @@
 	if d.history == nil {
 		return true
 	}
-	if request.Copied && !from.SameLife(r.self) && d.history.table.Eligible(from) {
+	if request.Copied && !from.SameIncarnation(r.self) && d.history.table.Eligible(from) {
 		rec.witness = r.book.members.number(from)
 		return true
 	}
--- a/ledger/protect.go
+++ b/ledger/protect.go
@@ -59,7 +59,7 @@
 	if !rec.tabled() || rec.state == StateClaimed || rec.state == stateWithdrawn {
 		return true
 	}
-	if home, ok := h.home(key); !ok || !home.SameLife(r.self) {
+	if home, ok := h.home(key); !ok || !home.SameIncarnation(r.self) {
 		return true
 	}
 	if rec.has(flagPending) || rec.witness == 0 {
--- a/ledger/recovery.go
+++ b/ledger/recovery.go
@@ -62,7 +62,7 @@
 		return
 	}
 	for _, m := range h.table.Members {
-		if !m.Member.SameLife(r.self) {
+		if !m.Member.SameIncarnation(r.self) {
 			r.recovery.pending[m.Member] = struct{}{}
 		}
 	}
--- a/ledger/settle.go
+++ b/ledger/settle.go
@@ -32,7 +32,7 @@
 	if !ok {
 		return false
 	}
-	if to.SameLife(r.self) {
+	if to.SameIncarnation(r.self) {
 		r.serveSettled(ctx, r.self, settledRequest{epoch})
 		return r.recordSettlement(ctx, h)
 	}
--- a/ledger/table.go
+++ b/ledger/table.go
@@ -51,7 +51,7 @@
 // life returns the table's entry of this very life.
 func (t *Table) life(member domain.Member) (TableMember, bool) {
 	i := t.find(member.Node)
-	if i < 0 || !t.Members[i].Member.SameLife(member) {
+	if i < 0 || !t.Members[i].Member.SameIncarnation(member) {
 		return TableMember{}, false
 	}
 	return t.Members[i], true
--- a/ledger/table_change.go
+++ b/ledger/table_change.go
@@ -42,7 +42,7 @@
 func Leave(member domain.Member) TableChange {
 	return func(t *Table) (*Table, error) {
 		i := t.find(member.Node)
-		if i < 0 || !t.Members[i].Member.SameLife(member) || t.Members[i].Leaving != 0 {
+		if i < 0 || !t.Members[i].Member.SameIncarnation(member) || t.Members[i].Leaving != 0 {
 			return t, nil
 		}
 		next := t.nextEpoch()
--- a/ledger/target.go
+++ b/ledger/target.go
@@ -71,7 +71,7 @@
 		return route{}, fmt.Errorf("%w: %s is gone", ErrUnknown, life)
 	}
 	for _, p := range r.options.Membership.Current().Peers {
-		if p.SameLife(life) {
+		if p.SameIncarnation(life) {
 			return route{home: p.Member}, nil
 		}
 	}
--- a/ledger/witness.go
+++ b/ledger/witness.go
@@ -21,7 +21,7 @@
 func (r *Replica) others(h *history, key KeyHash) []domain.Member {
 	now := time.Now()
 	members := order(h.current(), key)
-	members = slices.DeleteFunc(members, func(m domain.Member) bool { return m.SameLife(r.self) })
+	members = slices.DeleteFunc(members, func(m domain.Member) bool { return m.SameIncarnation(r.self) })
 	slices.SortStableFunc(members, func(a, b domain.Member) int {
 		return r.silence(a, now) - r.silence(b, now)
 	})
--- a/limits/fleet.go
+++ b/limits/fleet.go
@@ -23,7 +23,7 @@
 // settle count as one.
 func (f *fleet) next(now time.Time, view *membership.Snapshot, settle time.Duration) *fleet {
 	live := liveMembers(view)
-	if slices.EqualFunc(f.live, live, domain.Member.SameLife) {
+	if slices.EqualFunc(f.live, live, domain.Member.SameIncarnation) {
 		return &fleet{view: view, live: f.live, previous: f.previous, changedAt: f.changedAt}
 	}
 	previous := f.live
--- a/limits/reporter.go
+++ b/limits/reporter.go
@@ -70,7 +70,7 @@
 	switch {
 	case idle:
 		return c.held
-	case c.cutOff || s.presses(c) || c.held && !owner.SameLife(c.owner):
+	case c.cutOff || s.presses(c) || c.held && !owner.SameIncarnation(c.owner):
 		return true
 	default:
 		return now.Sub(c.reportedAt) >= s.options.QuietEvery && s.holds(c)
--- a/membership/slope_test.go
+++ b/membership/slope_test.go
@@ -80,7 +80,7 @@
 	x.start(later)
 	x.within(time.Minute, "known", func() bool {
 		for _, viewer := range x.order {
-			if p, _ := x.nodes[viewer].Current().Peer(node); !p.SameLife(later) || p.Status != StatusAlive {
+			if p, _ := x.nodes[viewer].Current().Peer(node); !p.SameIncarnation(later) || p.Status != StatusAlive {
 				return false
 			}
 		}
--- a/node/enrolment.go
+++ b/node/enrolment.go
@@ -91,7 +91,7 @@
 		if p.Node != m.Node {
 			continue
 		}
-		return p.Incarnation > m.Incarnation || (p.SameLife(m) && p.Status == membership.StatusGone)
+		return p.Incarnation > m.Incarnation || (p.SameIncarnation(m) && p.Status == membership.StatusGone)
 	}
 	return false
 }
@@ -100,17 +100,17 @@
 // other than the one that is gone, so that one node edits and not all.
 func (e *enrolment) responsible(table *ledger.Table, gone domain.Member) bool {
 	for _, m := range table.Members {
-		if m.Member.SameLife(gone) || e.gone(m.Member) || !e.alive(m.Member) {
+		if m.Member.SameIncarnation(gone) || e.gone(m.Member) || !e.alive(m.Member) {
 			continue
 		}
-		return m.Member.SameLife(e.self)
+		return m.Member.SameIncarnation(e.self)
 	}
 	return false
 }
 
 func (e *enrolment) alive(m domain.Member) bool {
 	for _, p := range e.members.Current().Peers {
-		if p.SameLife(m) {
+		if p.SameIncarnation(m) {
 			return p.Status == membership.StatusAlive
 		}
 	}
--- a/peer/wslink/hello.go
+++ b/peer/wslink/hello.go
@@ -65,5 +65,5 @@
 
 // isSameLife reports whether a hello claims to be this very life.
 func (t *Transport) isSameLife(hello domain.Member) bool {
-	return hello.SameLife(t.options.Self)
+	return hello.SameIncarnation(t.options.Self)
 }
--- a/peer/wslink/remote.go
+++ b/peer/wslink/remote.go
@@ -139,7 +139,7 @@
 // drainSpare closes a link to another life than the one wanted if there was one to
 // that life already.
 func (r *remote) drainSpare(l *link, wanted domain.Member) {
-	if wanted.Incarnation == 0 || l.remote.SameLife(wanted) {
+	if wanted.Incarnation == 0 || l.remote.SameIncarnation(wanted) {
 		return
 	}
 	r.mu.Lock()
--- a/scheduler/attach.go
+++ b/scheduler/attach.go
@@ -39,7 +39,7 @@
 }
 
 func (t *task) readHolder(claim ledger.Claim, position answer.Position) (answer.Batch, error) {
-	if !claim.Holder.SameLife(t.scheduler.parts.Transport.Self()) {
+	if !claim.Holder.SameIncarnation(t.scheduler.parts.Transport.Self()) {
 		return t.scheduler.parts.Relay.Read(t.ctx, claim.Holder, t.request.Key, position)
 	}
 	buffer, ok := t.scheduler.parts.Answers.Get(t.request.Key)
--- a/scheduler/cancel.go
+++ b/scheduler/cancel.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	if claim.Holder.SameLife(s.parts.Transport.Self()) {
+	if claim.Holder.SameIncarnation(s.parts.Transport.Self()) {
 		return ErrNotFound
 	}
 	reply, err := peer.Call[cancelRequest, cancelReply](ctx, s.parts.Transport, claim.Holder, MethodCancel, cancelRequest{Key: key})
--- a/scheduler/find.go
+++ b/scheduler/find.go
@@ -73,7 +73,7 @@
 
 // follow returns a handle that reads the holder's answer.
 func (s *Scheduler) follow(key domain.RequestKey, holder domain.Member) *Handle {
-	if !holder.SameLife(s.parts.Transport.Self()) {
+	if !holder.SameIncarnation(s.parts.Transport.Self()) {
 		source := remoteSource{relay: s.parts.Relay, holder: holder, key: key}
 		return &Handle{source: source, leave: func() {}}
 	}
