--- a/session/authority.go
+++ b/session/authority.go
@@ -42,14 +42,14 @@
 // tokens made with any, so that secrets can be changed without ending sessions:
 // add the new one at the end everywhere, move it to the front everywhere, then
 // drop the old one after a lifetime. A zero lifetime means DefaultLifetime. It
-// returns ErrSecret.
+// returns ErrInvalidSecret.
 func NewAuthority(secrets [][]byte, lifetime time.Duration) (*Authority, error) {
 	if len(secrets) == 0 {
-		return nil, ErrSecret
+		return nil, ErrInvalidSecret
 	}
 	for _, secret := range secrets {
 		if len(secret) < MinSecretBytes {
-			return nil, ErrSecret
+			return nil, ErrInvalidSecret
 		}
 	}
 	if lifetime <= 0 {
@@ -75,22 +75,22 @@
 }
 
 // Verify returns what the token says if it was issued with one of the secrets,
-// has not expired and belongs to the organisation; else ErrMalformed, ErrForged,
-// ErrExpired or ErrOrganisation.
+// has not expired and belongs to the organisation; else ErrMalformed, ErrInvalidSignature,
+// ErrExpired or ErrWrongOrganisation.
 func (a *Authority) Verify(token string, organisation domain.OrganisationID, now time.Time) (Session, error) {
 	payload, mac, err := split(token)
 	if err != nil {
 		return Session{}, err
 	}
 	if !a.genuine(payload, mac) {
-		return Session{}, ErrForged
+		return Session{}, ErrInvalidSignature
 	}
 	var session Session
 	if err := cbor.Unmarshal(payload, &session); err != nil {
 		return Session{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if session.Organisation != organisation {
-		return Session{}, ErrOrganisation
+		return Session{}, ErrWrongOrganisation
 	}
 	if now.After(session.ExpiresAt().Add(clockSkew)) {
 		return Session{}, ErrExpired
--- a/session/authority_test.go
+++ b/session/authority_test.go
@@ -44,11 +44,11 @@
 	}{
 		{"good", issuer, token, "cucine", time.Minute, nil},
 		{"secret rotated", authority(t, newSecret, oldSecret), token, "cucine", time.Minute, nil},
-		{"secret dropped", authority(t, newSecret), token, "cucine", time.Minute, session.ErrForged},
-		{"other organisation", issuer, token, "pryce", time.Minute, session.ErrOrganisation},
+		{"secret dropped", authority(t, newSecret), token, "cucine", time.Minute, session.ErrInvalidSignature},
+		{"other organisation", issuer, token, "pryce", time.Minute, session.ErrWrongOrganisation},
 		{"expired", issuer, token, "cucine", 2 * time.Hour, session.ErrExpired},
-		{"payload under another signature", issuer, "hrs1." + payload + "." + otherMAC, "cucine", 0, session.ErrForged},
-		{"no signature", issuer, "hrs1." + payload + ".", "cucine", 0, session.ErrForged},
+		{"payload under another signature", issuer, "hrs1." + payload + "." + otherMAC, "cucine", 0, session.ErrInvalidSignature},
+		{"no signature", issuer, "hrs1." + payload + ".", "cucine", 0, session.ErrInvalidSignature},
 		{"no dot", issuer, "hrs1." + payload, "cucine", 0, session.ErrMalformed},
 		{"not base64", issuer, "hrs1.%%.%%", "cucine", 0, session.ErrMalformed},
 		{"empty", issuer, "", "cucine", 0, session.ErrMalformed},
@@ -68,6 +68,6 @@
 func TestNewAuthorityRefusesWeakSecrets(t *testing.T) {
 	for _, secrets := range [][][]byte{nil, {oldSecret, []byte("short")}} {
 		_, err := session.NewAuthority(secrets, 0)
-		assert.ErrorIs(t, err, session.ErrSecret)
+		assert.ErrorIs(t, err, session.ErrInvalidSecret)
 	}
 }
--- a/session/errors.go
+++ b/session/errors.go
@@ -9,12 +9,12 @@
 var (
 	// ErrMalformed means that the text is not a token.
 	ErrMalformed = errors.New("session: not a session token")
-	// ErrForged means that no secret in use made the token.
-	ErrForged = errors.New("session: token was not issued here")
+	// ErrInvalidSignature means that no secret in use made the token.
+	ErrInvalidSignature = errors.New("session: token was not issued here")
 	// ErrExpired means that the token is too old.
 	ErrExpired = errors.New("session: token has expired")
-	// ErrOrganisation means that the token belongs to another organisation.
-	ErrOrganisation = errors.New("session: token of another organisation")
-	// ErrSecret means that there is no secret, or one that is too short.
-	ErrSecret = errors.New("session: secrets must have at least 32 bytes")
+	// ErrWrongOrganisation means that the token belongs to another organisation.
+	ErrWrongOrganisation = errors.New("session: token of another organisation")
+	// ErrInvalidSecret means that there is no secret, or one that is too short.
+	ErrInvalidSecret = errors.New("session: secrets must have at least 32 bytes")
 )
