--- a/follow/configuration.go
+++ b/follow/configuration.go
@@ -79,7 +79,7 @@
 	if was != nil {
 		f.handedOn.add(f.parts.Clock(), was.table, c.table)
 	}
-	f.parts.Log.Info().Uint64("version", c.table.Version).Str("from", from).Int("routes", c.table.Routes()).
+	f.parts.Log.Info().Uint64("version", c.table.Version).Str("from", from).Int("routes", c.table.RouteCount()).
 		Int("organisations", len(c.table.Organisations)).Msg("configuration in force")
 }
 
--- a/follow/handon.go
+++ b/follow/handon.go
@@ -30,7 +30,7 @@
 }
 
 func (s *steps) add(now boottime.Instant, from, to *routetable.Table) {
-	change := routetable.Between(from, to)
+	change := routetable.Diff(from, to)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.last = append(s.last, step{change, now})
--- a/routetable/change.go
+++ b/routetable/change.go
@@ -14,9 +14,9 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// ErrChange means that a change can't be applied to a table: it is for another version, or gives another table than the
+// ErrChangeMismatch means that a change can't be applied to a table: it is for another version, or gives another table than the
 // one that it was made of.
-var ErrChange = errors.New("routetable: the change does not fit")
+var ErrChangeMismatch = errors.New("routetable: the change does not fit")
 
 // Change is the difference between two versions of the configuration. A key that is taken away is some hundred bytes of
 // it, whatever the size of the configuration. It is CBOR between nodes.
@@ -48,8 +48,8 @@
 	return cmp.Or(strings.Compare(r.Host, o.Host), strings.Compare(r.Prefix, o.Prefix))
 }
 
-// Between returns the change from one table to a later one.
-func Between(from, to *Table) *Change {
+// Diff returns the change from one table to a later one.
+func Diff(from, to *Table) *Change {
 	c := &Change{From: from.Version, To: to.Version, Digest: to.Digest(), Limits: to.Limits, Services: to.services()}
 	was, is := from.routesByID(), to.routesByID()
 	for _, r := range to.sortedRoutes() {
@@ -80,17 +80,17 @@
 	}
 }
 
-// Apply returns the table that the change makes of this one, or an error that wraps ErrChange.
+// Apply returns the table that the change makes of this one, or an error that wraps ErrChangeMismatch.
 func (t *Table) Apply(c *Change) (*Table, error) {
 	if t.Version != c.From || c.To <= c.From {
-		return nil, fmt.Errorf("%w: it leads from version %d to %d, the table is version %d", ErrChange, c.From, c.To, t.Version)
+		return nil, fmt.Errorf("%w: it leads from version %d to %d, the table is version %d", ErrChangeMismatch, c.From, c.To, t.Version)
 	}
 	next, err := New(c.To, t.changedRoutes(c), c.Services, t.changedOrganisations(c), c.Limits)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrChange, err)
+		return nil, fmt.Errorf("%w: %w", ErrChangeMismatch, err)
 	}
 	if next.Digest() != c.Digest {
-		return nil, fmt.Errorf("%w: it gives another table of version %d", ErrChange, c.To)
+		return nil, fmt.Errorf("%w: it gives another table of version %d", ErrChangeMismatch, c.To)
 	}
 	return next, nil
 }
@@ -163,7 +163,7 @@
 }
 
 func (t *Table) routesByID() map[routeID]*Route {
-	byID := make(map[routeID]*Route, t.Routes())
+	byID := make(map[routeID]*Route, t.RouteCount())
 	for _, list := range t.hosts {
 		for _, r := range list {
 			if byID[r.id()] == nil {
--- a/routetable/change_test.go
+++ b/routetable/change_test.go
@@ -40,7 +40,7 @@
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		from, to := drawn(t, r, 4, 20), drawn(t, r, 9, 20)
-		sent, err := cbor.Marshal(Between(from, to))
+		sent, err := cbor.Marshal(Diff(from, to))
 		assert.NilError(t, err)
 		var change Change
 		assert.NilError(t, cbor.Unmarshal(sent, &change))
@@ -61,14 +61,14 @@
 func TestChangeThatDoesNotFitIsRefused(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	from, other, to := drawn(t, r, 4, 20), drawn(t, r, 4, 20), drawn(t, r, 9, 20)
-	change := Between(from, to)
+	change := Diff(from, to)
 	_, err := to.Apply(change)
-	assert.ErrorIs(t, err, ErrChange, "another version")
+	assert.ErrorIs(t, err, ErrChangeMismatch, "another version")
 	_, err = other.Apply(change)
-	assert.ErrorIs(t, err, ErrChange, "another table of the same version")
-	back := Between(to, from)
+	assert.ErrorIs(t, err, ErrChangeMismatch, "another table of the same version")
+	back := Diff(to, from)
 	_, err = to.Apply(back)
-	assert.ErrorIs(t, err, ErrChange, "never back")
+	assert.ErrorIs(t, err, ErrChangeMismatch, "never back")
 }
 
 // The pattern: a key is taken away from a configuration of two thousand routes, some 700 KB as the operators write it.
@@ -86,7 +86,7 @@
 		assert.NilError(t, err)
 		return made
 	}
-	sent, err := cbor.Marshal(Between(table(1, "a", "b"), table(2, "a")))
+	sent, err := cbor.Marshal(Diff(table(1, "a", "b"), table(2, "a")))
 	assert.NilError(t, err)
 	assert.Assert(t, len(sent) < 1000, "%d bytes", len(sent))
 }
--- a/routetable/table.go
+++ b/routetable/table.go
@@ -90,7 +90,7 @@
 func (t *Table) RequiresKeys() bool { return len(t.Organisations) > 0 }
 
 // Routes returns the number of routes.
-func (t *Table) Routes() int {
+func (t *Table) RouteCount() int {
 	n := 0
 	for _, list := range t.hosts {
 		n += len(list)
