--- a/coordinator/bench_test.go
+++ b/coordinator/bench_test.go
@@ -15,13 +15,13 @@
 	for _, count := range []int{30, 100, 300, 1000, 2700} {
 		b.Run(fmt.Sprintf("engines=%d", count), func(b *testing.B) {
 			engines := make([]Engine, count)
-			demand := make(map[Place]Load)
+			demand := make(map[ModelLocation]ModelDemand)
 			for i := range engines {
 				dc := fmt.Sprintf("dc%02d", i%21)
 				model := func(offset int) string { return fmt.Sprintf("m%d", (i/21+offset)%10) }
 				engines[i] = machine(fmt.Sprintf("e%04d", i), dc, model(0)+"*", model(1), model(2))
 				for j := range 3 {
-					demand[Place{model(j), domain.DataCentre(dc)}] = Load{Running: 100, Tokens: 1 << 20}
+					demand[ModelLocation{model(j), domain.DataCentre(dc)}] = ModelDemand{Running: 100, Tokens: 1 << 20}
 				}
 			}
 			planner := NewPlanner(PlanOptions{})
--- a/coordinator/campaign.go
+++ b/coordinator/campaign.go
@@ -36,7 +36,7 @@
 	defer close(c.done)
 	for ctx.Err() == nil {
 		if c.campaign(ctx) {
-			pacing.Sleep(ctx, c.service.options.StepDown/2+rand.N(c.service.options.StepDown))
+			pacing.Sleep(ctx, c.service.options.StepDownBackoff/2+rand.N(c.service.options.StepDownBackoff))
 		}
 	}
 }
@@ -55,7 +55,7 @@
 	})
 	if err != nil {
 		o.Logger.Error().Err(err).Str("group", c.group).Msg("no campaign for the lease")
-		pacing.Sleep(ctx, o.StepDown)
+		pacing.Sleep(ctx, o.StepDownBackoff)
 	}
 	return overtaken
 }
@@ -70,7 +70,7 @@
 	log.Info().Msg("coordinator")
 	err := t.run(ctx)
 	log.Info().Err(err).Msg("coordinator no more")
-	if !errors.Is(err, ErrOvertaken) {
+	if !errors.Is(err, ErrSuperseded) {
 		return false
 	}
 	c.service.meters.overtaken.Inc()
--- a/coordinator/change.go
+++ b/coordinator/change.go
@@ -12,7 +12,7 @@
 	if !p.free(r, model) {
 		return
 	}
-	if lasted(p.lacking, model, r.now, p.options.PressFor) {
+	if lasted(p.lacking, model, r.now, p.options.ScaleUpDelay) {
 		p.grow(r, model, func(*Engine) bool { return true })
 		return
 	}
@@ -28,7 +28,7 @@
 // last change is long enough ago.
 func (p *Planner) free(r *round, model string) bool {
 	last, ever := p.changed[model]
-	return !r.moving[model] && (!ever || r.now.Sub(last) >= p.options.ChangeEvery)
+	return !r.moving[model] && (!ever || r.now.Sub(last) >= p.options.ChangeInterval)
 }
 
 // pressingCentres returns the data centres that have pressed for long enough, the
@@ -36,12 +36,12 @@
 func (p *Planner) pressingCentres(r *round, model string) []domain.DataCentre {
 	var centres []domain.DataCentre
 	for _, dc := range r.centres[model] {
-		if lasted(p.presses, Place{model, dc}, r.now, p.options.PressFor) {
+		if lasted(p.presses, ModelLocation{model, dc}, r.now, p.options.ScaleUpDelay) {
 			centres = append(centres, dc)
 		}
 	}
 	slices.SortStableFunc(centres, func(a, b domain.DataCentre) int {
-		return cmp.Compare(r.demand[Place{model, b}].Waiting, r.demand[Place{model, a}].Waiting)
+		return cmp.Compare(r.demand[ModelLocation{model, b}].Waiting, r.demand[ModelLocation{model, a}].Waiting)
 	})
 	return centres
 }
@@ -79,7 +79,7 @@
 // usable reports whether the model may be put on the engine.
 func (p *Planner) usable(r *round, e *Engine, model string) bool {
 	t := p.targets[e.ID]
-	if t == nil || !e.Known || !e.Open || e.Drain || e.fixed() || !e.allows(model) || t.wants(model) {
+	if t == nil || !e.Known || !e.OrdersAllowed || e.Drain || e.fixed() || !e.allows(model) || t.wants(model) {
 		return false
 	}
 	return !r.now.Before(t.avoid[model])
@@ -112,8 +112,8 @@
 
 // drop takes the model off the engine if it has been spared there for long enough.
 func (p *Planner) drop(r *round, e *Engine, model string) bool {
-	idle := lasted(p.idles, Place{model, e.DataCentre}, r.now, p.options.IdleFor)
-	if !e.Open || !idle || !p.free(r, model) || len(r.spare(model, e)) == 0 {
+	idle := lasted(p.idles, ModelLocation{model, e.DataCentre}, r.now, p.options.ScaleDownDelay)
+	if !e.OrdersAllowed || !idle || !p.free(r, model) || len(r.spare(model, e)) == 0 {
 		return false
 	}
 	delete(p.targets[e.ID].models, model)
--- a/coordinator/demand.go
+++ b/coordinator/demand.go
@@ -2,8 +2,8 @@
 
 import "hawthornrill.example/hawthornrill/domain"
 
-// Load is what the requests for a model need in one data centre.
-type Load struct {
+// ModelDemand is what the requests for a model need in one data centre.
+type ModelDemand struct {
 	// Waiting counts asks without a place, Running those that have one.
 	Waiting int `cbor:"1,keyasint,omitempty" json:"waiting"`
 	Running int `cbor:"2,keyasint,omitempty" json:"running"`
@@ -12,17 +12,17 @@
 }
 
 // none reports whether nothing is asked.
-func (l Load) none() bool { return l == Load{} }
+func (l ModelDemand) none() bool { return l == ModelDemand{} }
 
-// Place is a model in a data centre.
-type Place struct {
+// ModelLocation is a model in a data centre.
+type ModelLocation struct {
 	Model      string
 	DataCentre domain.DataCentre
 }
 
-// Demand tells, by model, what the pools need that this node owns, in its own
+// DemandSource tells, by model, what the pools need that this node owns, in its own
 // data centre. A model without a request is there with a zero Load: one that is
 // left out is unknown.
-type Demand interface {
-	Demand() map[string]Load
+type DemandSource interface {
+	Demand() map[string]ModelDemand
 }
--- a/coordinator/demandboard.go
+++ b/coordinator/demandboard.go
@@ -13,16 +13,16 @@
 	ttl time.Duration
 
 	mu    sync.Mutex
-	heard map[Place]heardLoad
+	heard map[ModelLocation]heardLoad
 }
 
 type heardLoad struct {
-	load Load
+	load ModelDemand
 	at   time.Time
 }
 
 func newDemandBoard(ttl time.Duration) *demandBoard {
-	return &demandBoard{ttl: ttl, heard: make(map[Place]heardLoad)}
+	return &demandBoard{ttl: ttl, heard: make(map[ModelLocation]heardLoad)}
 }
 
 // hear notes the loads of a data centre.
@@ -30,15 +30,15 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, l := range loads {
-		b.heard[Place{l.Model, dc}] = heardLoad{l.Load, now}
+		b.heard[ModelLocation{l.Model, dc}] = heardLoad{l.Demand, now}
 	}
 }
 
 // current returns what is known, and forgets the rest.
-func (b *demandBoard) current(now time.Time) map[Place]Load {
+func (b *demandBoard) current(now time.Time) map[ModelLocation]ModelDemand {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known := make(map[Place]Load, len(b.heard))
+	known := make(map[ModelLocation]ModelDemand, len(b.heard))
 	for place, h := range b.heard {
 		if now.Sub(h.at) > b.ttl {
 			delete(b.heard, place)
--- a/coordinator/dump.go
+++ b/coordinator/dump.go
@@ -69,7 +69,7 @@
 func (t *term) note(engines []Engine, steps []Step) {
 	var d GroupDump
 	for _, e := range engines {
-		d.Engines = append(d.Engines, EngineDump{e.ID, e.Known, e.Open, t.planner.Target(e.ID), e.State.Models})
+		d.Engines = append(d.Engines, EngineDump{e.ID, e.Known, e.OrdersAllowed, t.planner.Target(e.ID), e.State.Models})
 	}
 	for _, step := range steps {
 		d.Orders = append(d.Orders, OrderDump{step.Endpoint, step.Order.Kind, step.Order.Model})
--- a/coordinator/engine.go
+++ b/coordinator/engine.go
@@ -20,7 +20,7 @@
 	State endpoint.EngineState
 	// Open is true if orders may be given: a late one of a former holder is refused
 	// by the engine, or unlikely by now.
-	Open bool
+	OrdersAllowed bool
 }
 
 // fixed engines serve one model, and are left alone when it is loaded.
--- a/coordinator/fleet_test.go
+++ b/coordinator/fleet_test.go
@@ -43,7 +43,7 @@
 
 	mu     sync.Mutex
 	onCall func(call) callFault
-	loads  map[string]Load
+	loads  map[string]ModelDemand
 }
 
 // call is a node's call to an engine.
@@ -138,8 +138,8 @@
 	f.nodes = append(f.nodes, n)
 }
 
-// Demand implements Demand.
-func (n *fleetNode) Demand() map[string]Load {
+// DemandSource implements Demand.
+func (n *fleetNode) Demand() map[string]ModelDemand {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.loads
@@ -234,7 +234,7 @@
 }
 
 // need makes both nodes tell what the models need.
-func (f *fleet) need(loads map[string]Load) {
+func (f *fleet) need(loads map[string]ModelDemand) {
 	for _, n := range f.nodes {
 		n.mu.Lock()
 		n.loads = loads
--- a/coordinator/give.go
+++ b/coordinator/give.go
@@ -11,14 +11,14 @@
 )
 
 // give gives one order of the planner. An order that fails is not an error: the
-// next period reads back and decides anew. It returns ErrOvertaken or ErrNotHeld.
+// next period reads back and decides anew. It returns ErrSuperseded or ErrLeaseNotHeld.
 func (t *term) give(ctx context.Context, step Step) error {
 	needed, err := t.confirm(ctx, step)
 	if err != nil || !needed {
 		return err
 	}
 	err = t.order(ctx, step.Endpoint, step.Order)
-	if errors.Is(err, ErrOvertaken) || errors.Is(err, ErrNotHeld) {
+	if errors.Is(err, ErrSuperseded) || errors.Is(err, ErrLeaseNotHeld) {
 		return err
 	}
 	state, err := t.state(ctx, step.Endpoint)
@@ -45,7 +45,7 @@
 }
 
 func (t *term) witnessed(ctx context.Context, step Step) bool {
-	for _, id := range step.Witnesses {
+	for _, id := range step.OtherReplicas {
 		state, err := t.state(ctx, id)
 		if m, ok := findModel(state, step.Order.Model); err == nil && ok && m.Ready {
 			return true
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithTimeout(ctx, t.options.OrderTimeout)
 	defer cancel()
 	if !t.lease.Held() {
-		return ErrNotHeld
+		return ErrLeaseNotHeld
 	}
 	err := orders.Order(ctx, order)
 	return t.learn(id, order, err)
@@ -85,7 +85,7 @@
 		t.meters.result(order.Kind, resultAccepted)
 	case errors.Is(err, endpoint.ErrOldFence):
 		t.meters.result(order.Kind, resultOldFence)
-		return fmt.Errorf("%w: %s: %w", ErrOvertaken, id, err)
+		return fmt.Errorf("%w: %s: %w", ErrSuperseded, id, err)
 	case errors.Is(err, endpoint.ErrRefused):
 		t.meters.result(order.Kind, resultRefused)
 	case errors.Is(err, endpoint.ErrNotDispatched):
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -7,10 +7,10 @@
 
 // demandMessage is about the sender's data centre.
 type demandMessage struct {
-	Loads []modelLoad `cbor:"1,keyasint"`
+	Demands []modelLoad `cbor:"1,keyasint"`
 }
 
 type modelLoad struct {
-	Model string `cbor:"1,keyasint"`
-	Load  Load   `cbor:"2,keyasint"`
+	Model  string      `cbor:"1,keyasint"`
+	Demand ModelDemand `cbor:"2,keyasint"`
 }
--- a/coordinator/options.go
+++ b/coordinator/options.go
@@ -31,12 +31,12 @@
 	// Store should be within the node's budget (package store/budget).
 	Store   store.Store
 	Engines Engines
-	Demand  Demand
-	// Weights bounds the loads of all groups that this node leads; nil for 30 a
+	Demand  DemandSource
+	// LoadBudget bounds the loads of all groups that this node leads; nil for 30 a
 	// minute with a burst of 4.
-	Weights Weights
-	Metrics *metrics.Set
-	Logger  zerolog.Logger
+	LoadBudget LoadBudget
+	Metrics    *metrics.Set
+	Logger     zerolog.Logger
 
 	Plan PlanOptions
 	// Candidates is how many nodes campaign for a group's lease (3).
@@ -48,8 +48,8 @@
 	// LeaseTTL and LeaseMargin are the lease's (30 s, 6 s).
 	LeaseTTL    time.Duration
 	LeaseMargin time.Duration
-	// StepDown is for how long a holder that was overtaken stays away (10 s).
-	StepDown time.Duration
+	// StepDownBackoff is for how long a holder that was overtaken stays away (10 s).
+	StepDownBackoff time.Duration
 }
 
 func (o Options) withDefaults() Options {
@@ -58,12 +58,12 @@
 	defaults.Set(&o.OrderTimeout, 3*time.Second)
 	defaults.Set(&o.LeaseTTL, 30*time.Second)
 	defaults.Set(&o.LeaseMargin, o.LeaseTTL/5)
-	defaults.Set(&o.StepDown, 10*time.Second)
+	defaults.Set(&o.StepDownBackoff, 10*time.Second)
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewSet()
 	}
-	if o.Weights == nil {
-		o.Weights = NewWeightRate(defaultLoadsPerMinute, defaultLoadsAtOnce)
+	if o.LoadBudget == nil {
+		o.LoadBudget = NewLoadRateLimit(defaultLoadsPerMinute, defaultLoadsAtOnce)
 	}
 	return o
 }
--- a/coordinator/planner.go
+++ b/coordinator/planner.go
@@ -15,8 +15,8 @@
 type Planner struct {
 	options PlanOptions
 	targets map[domain.EndpointID]*target
-	presses map[Place]time.Time
-	idles   map[Place]time.Time
+	presses map[ModelLocation]time.Time
+	idles   map[ModelLocation]time.Time
 	// lacking tells since when a model has had no runner at all.
 	lacking map[string]time.Time
 	changed map[string]time.Time
@@ -27,8 +27,8 @@
 	return &Planner{
 		options: options.withDefaults(),
 		targets: make(map[domain.EndpointID]*target),
-		presses: make(map[Place]time.Time),
-		idles:   make(map[Place]time.Time),
+		presses: make(map[ModelLocation]time.Time),
+		idles:   make(map[ModelLocation]time.Time),
 		lacking: make(map[string]time.Time),
 		changed: make(map[string]time.Time),
 	}
@@ -38,7 +38,7 @@
 // the targets by at most one change for each model. Engines are all those of the
 // group, sorted by identifier; demand that is left out is unknown. Loads that are
 // returned are taken from the budget.
-func (p *Planner) Plan(now time.Time, engines []Engine, demand map[Place]Load, weights Weights) []Step {
+func (p *Planner) Plan(now time.Time, engines []Engine, demand map[ModelLocation]ModelDemand, weights LoadBudget) []Step {
 	p.adopt(now, engines)
 	r := p.newRound(now, engines, demand)
 	p.notePressure(r)
@@ -70,18 +70,18 @@
 			p.targets[e.ID] = adoptTarget(now, e)
 		}
 		p.targets[e.ID].refresh(now, e)
-		p.targets[e.ID].giveUp(now, e, p.options.LoadPatience)
+		p.targets[e.ID].giveUp(now, e, p.options.LoadTimeout)
 	}
 	maps.DeleteFunc(p.targets, func(id domain.EndpointID, _ *target) bool { return !present[id] })
 }
 
 // steps returns what the engines differ in from their targets: unloads, then
 // loads, those of models with the fewest runners first.
-func (p *Planner) steps(r *round, weights Weights) []Step {
+func (p *Planner) steps(r *round, weights LoadBudget) []Step {
 	var unloads, loads []Step
 	for _, e := range r.engines {
 		t := p.targets[e.ID]
-		if t == nil || !e.Known || !e.Open || e.Drain {
+		if t == nil || !e.Known || !e.OrdersAllowed || e.Drain {
 			continue
 		}
 		unloads = append(unloads, p.unloads(r, e, t)...)
@@ -92,7 +92,7 @@
 	})
 	loading := r.loading
 	for _, step := range loads {
-		if loading >= p.options.MaxLoading || !weights.Take(r.now, step.Order.Model) {
+		if loading >= p.options.MaxConcurrentLoads || !weights.Take(r.now, step.Order.Model) {
 			break
 		}
 		loading++
@@ -128,7 +128,7 @@
 			continue
 		}
 		order := endpoint.Order{Kind: endpoint.OrderUnload, Model: m.Model}
-		steps = append(steps, Step{Endpoint: e.ID, Order: order, Witnesses: others})
+		steps = append(steps, Step{Endpoint: e.ID, Order: order, OtherReplicas: others})
 	}
 	return steps
 }
--- a/coordinator/planner_test.go
+++ b/coordinator/planner_test.go
@@ -51,7 +51,7 @@
 }
 
 func drained(e Engine) Engine { e.Drain = true; return e }
-func shut(e Engine) Engine    { e.Open = false; return e }
+func shut(e Engine) Engine    { e.OrdersAllowed = false; return e }
 
 func TestDemandSwingsDoNotFlap(t *testing.T) {
 	s := newSim(PlanOptions{}, machine("e1", "p", "a*", "b"), machine("e2", "p", "a*", "b"), machine("e3", "p", "a", "b*"), machine("e4", "p", "a", "b*"))
@@ -86,7 +86,7 @@
 }
 
 func TestChangesKeepTheirDistance(t *testing.T) {
-	s := newSim(PlanOptions{PressFor: simPeriod}, machine("e1", "p", "a*", "b"), machine("e2", "p", "a", "b"), machine("e3", "p", "a", "b"), machine("e4", "p", "b*"))
+	s := newSim(PlanOptions{ScaleUpDelay: simPeriod}, machine("e1", "p", "a*", "b"), machine("e2", "p", "a", "b"), machine("e3", "p", "a", "b"), machine("e4", "p", "b*"))
 	s.loadTime = 0
 	s.need("a", "p", 99, 0)
 	assert.DeepEqual(t, s.run(time.Minute), []string{"load a e2"})
@@ -98,14 +98,14 @@
 	for i := range 12 {
 		engines = append(engines, machine(string(rune('a'+i)), "p", "m"))
 	}
-	s := newSim(PlanOptions{MaxLoading: 3}, engines...)
+	s := newSim(PlanOptions{MaxConcurrentLoads: 3}, engines...)
 	s.loadTime = time.Minute
 	assert.Equal(t, len(s.run(4*time.Minute+simPeriod)), 12)
 	assert.Equal(t, s.maxLoading, 3)
 	for i := range engines {
 		s.forget(i)
 	}
-	s.loadTime, s.weights = 0, NewWeightRate(2, 1)
+	s.loadTime, s.weights = 0, NewLoadRateLimit(2, 1)
 	assert.Equal(t, len(s.run(3*time.Minute)), 6)
 }
 
@@ -153,7 +153,7 @@
 // TestNeverTheLastRunner plans under random demand, restarts and silences.
 func TestNeverTheLastRunner(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := newSim(PlanOptions{ModelsPerEngine: rapid.IntRange(1, 2).Draw(rt, "per engine"), IdleFor: time.Minute},
+		s := newSim(PlanOptions{ModelsPerEngine: rapid.IntRange(1, 2).Draw(rt, "per engine"), ScaleDownDelay: time.Minute},
 			machine("e1", "p", "a*", "b"), machine("e2", "p", "a*", "b", "c"), machine("e3", "q", "a", "b*", "c"),
 			machine("e4", "q", "a", "b", "c*"), machine("e5", "q", "c"), machine("e6", "p", "a", "b*", "c*"))
 		for range 60 {
@@ -179,7 +179,7 @@
 func TestRoomIsMadeOnce(t *testing.T) {
 	s := newSim(PlanOptions{ModelsPerEngine: 2}, machine("e1", "p", "a*", "b*", "c"), machine("e2", "p", "a*"), machine("e3", "p", "b*"))
 	s.need("a", "p", 0, 0).need("b", "p", 0, 0).need("c", "p", 0, 0)
-	s.run(s.planner.options.IdleFor - simPeriod)
+	s.run(s.planner.options.ScaleDownDelay - simPeriod)
 	s.need("c", "p", 9, 0)
 	for range 20 {
 		s.planner.Plan(s.now, s.engines, s.demand, s.weights)
@@ -192,7 +192,7 @@
 func TestLastRunnerIsPassedOver(t *testing.T) {
 	s := newSim(PlanOptions{}, machine("e1", "p", "a*", "c"), machine("e2", "p", "b*", "c"), machine("e3", "p", "b*"))
 	s.need("a", "p", 0, 0).need("b", "p", 0, 0).need("c", "p", 9, 0)
-	assert.Equal(t, len(s.run(s.planner.options.IdleFor)), 0)
+	assert.Equal(t, len(s.run(s.planner.options.ScaleDownDelay)), 0)
 	assert.DeepEqual(t, s.run(simPeriod), []string{"unload b e2"})
 }
 
@@ -204,8 +204,8 @@
 		Holders:   []capacity.HolderDump{{Pool: "model/a", Grants: 3, Waiting: 2}, {Pool: "model/a", Grants: 1, Waiting: 1}, {Pool: "service/s", Waiting: 9}},
 	}
 	dump := capacity.Dump{Owned: []capacity.GroupDump{group}}
-	d := PoolsDemand{Dump: func() capacity.Dump { return dump }}
-	assert.DeepEqual(t, d.Demand(), map[string]Load{"a": {Waiting: 3, Running: 4, Tokens: 400}, "b": {}})
+	d := PoolDemand{Dump: func() capacity.Dump { return dump }}
+	assert.DeepEqual(t, d.Demand(), map[string]ModelDemand{"a": {Waiting: 3, Running: 4, Tokens: 400}, "b": {}})
 	// An owner that has just begun does not know yet.
 	dump.Owned[0].Settled = false
 	assert.Equal(t, len(d.Demand()), 0)
@@ -221,13 +221,13 @@
 		assert.Equal(t, gotKnown, known)
 	}
 	check("e", "a", 0, false, false)
-	r.Note(now, "e", endpoint.EngineState{Models: []endpoint.ModelState{{Model: "a", Ready: true}, {Model: "b"}}})
+	r.Record(now, "e", endpoint.EngineState{Models: []endpoint.ModelState{{Model: "a", Ready: true}, {Model: "b"}}})
 	check("e", "a", 0, true, true)
 	check("e", "b", 0, false, true)
 	check("e", "a", 2*time.Minute, false, false)
-	r.Note(now, "e", endpoint.EngineState{Fence: 1})
+	r.Record(now, "e", endpoint.EngineState{Fence: 1})
 	check("e", "a", 0, false, true)
 	// An engine that was never told, and names nothing, may serve anything.
-	r.Note(now, "e", endpoint.EngineState{})
+	r.Record(now, "e", endpoint.EngineState{})
 	check("e", "a", 0, false, false)
 }
--- a/coordinator/poolsdemand.go
+++ b/coordinator/poolsdemand.go
@@ -7,18 +7,18 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// PoolsDemand reads the demand from what a capacity.Service accounts for.
-type PoolsDemand struct {
+// PoolDemand reads the demand from what a capacity.Service accounts for.
+type PoolDemand struct {
 	// Dump returns the account, as capacity.Service.Dump does.
 	Dump func() capacity.Dump
 }
 
-var _ Demand = PoolsDemand{}
+var _ DemandSource = PoolDemand{}
 
-// Demand implements Demand. A group accounts for tokens by endpoint; they are
+// DemandSource implements Demand. A group accounts for tokens by endpoint; they are
 // shared out over its pools by their requests.
-func (d PoolsDemand) Demand() map[string]Load {
-	loads := make(map[string]Load)
+func (d PoolDemand) Demand() map[string]ModelDemand {
+	loads := make(map[string]ModelDemand)
 	for _, group := range d.Dump().Owned {
 		if group.Settled {
 			addGroup(loads, group)
@@ -27,7 +27,7 @@
 	return loads
 }
 
-func addGroup(loads map[string]Load, group capacity.GroupDump) {
+func addGroup(loads map[string]ModelDemand, group capacity.GroupDump) {
 	tokens, running := 0, 0
 	for _, e := range group.Endpoints {
 		tokens += e.ReservedTokens
@@ -35,7 +35,7 @@
 	}
 	for _, pool := range group.Pools {
 		if model, ok := modelOf(pool); ok {
-			loads[model] = Load{}
+			loads[model] = ModelDemand{}
 		}
 	}
 	for _, h := range group.Holders {
--- a/coordinator/readiness.go
+++ b/coordinator/readiness.go
@@ -29,7 +29,7 @@
 
 // Note records what an engine said. An engine that names no model and has obeyed
 // no order says nothing of what it serves.
-func (r *Readiness) Note(now time.Time, id domain.EndpointID, state endpoint.EngineState) {
+func (r *Readiness) Record(now time.Time, id domain.EndpointID, state endpoint.EngineState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(state.Models) == 0 && state.Fence == 0 {
--- a/coordinator/round.go
+++ b/coordinator/round.go
@@ -13,7 +13,7 @@
 	now     time.Time
 	engines []*Engine
 	byID    map[domain.EndpointID]*Engine
-	demand  map[Place]Load
+	demand  map[ModelLocation]ModelDemand
 	// models and centres are sorted.
 	models  []string
 	centres map[string][]domain.DataCentre
@@ -25,7 +25,7 @@
 	loading int
 }
 
-func (p *Planner) newRound(now time.Time, engines []Engine, demand map[Place]Load) *round {
+func (p *Planner) newRound(now time.Time, engines []Engine, demand map[ModelLocation]ModelDemand) *round {
 	r := &round{
 		now:     now,
 		byID:    make(map[domain.EndpointID]*Engine, len(engines)),
@@ -75,7 +75,7 @@
 }
 
 // readyIn returns the ready runners of a model in a data centre.
-func (r *round) readyIn(place Place) int {
+func (r *round) readyIn(place ModelLocation) int {
 	count := 0
 	for _, e := range r.ready[place.Model] {
 		if e.DataCentre == place.DataCentre {
@@ -89,7 +89,7 @@
 // engine: any other one, or one of the data centre while that has demand or its
 // demand is unknown. None means that the model must stay.
 func (r *round) spare(model string, e *Engine) []domain.EndpointID {
-	load, known := r.demand[Place{model, e.DataCentre}]
+	load, known := r.demand[ModelLocation{model, e.DataCentre}]
 	anywhere := known && load.none()
 	var others []domain.EndpointID
 	for _, other := range r.ready[model] {
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -129,12 +129,12 @@
 			if messages[to] == nil {
 				messages[to] = &demandMessage{}
 			}
-			messages[to].Loads = append(messages[to].Loads, modelLoad{model, load})
+			messages[to].Demands = append(messages[to].Demands, modelLoad{model, load})
 		}
 	}
 	for to, message := range messages {
 		if to.SameIncarnation(s.options.Transport.Self()) {
-			s.board.hear(time.Now(), to.DataCentre, message.Loads)
+			s.board.hear(time.Now(), to.DataCentre, message.Demands)
 			continue
 		}
 		_ = peer.Send(ctx, s.options.Transport, to, methodDemand, *message) // Told again soon.
@@ -145,7 +145,7 @@
 	if from.DataCentre == "" {
 		return struct{}{}, errNoDataCentre
 	}
-	s.board.hear(time.Now(), from.DataCentre, m.Loads)
+	s.board.hear(time.Now(), from.DataCentre, m.Demands)
 	return struct{}{}, nil
 }
 
--- a/coordinator/service_test.go
+++ b/coordinator/service_test.go
@@ -41,7 +41,7 @@
 	return []runner{r, r}
 }
 
-var idle = map[string]Load{"a": {}, "b": {}}
+var idle = map[string]ModelDemand{"a": {}, "b": {}}
 
 func TestHolderDiesInTheMiddleOfAnOrder(t *testing.T) {
 	cases := []struct {
--- a/coordinator/sim_test.go
+++ b/coordinator/sim_test.go
@@ -25,8 +25,8 @@
 type sim struct {
 	planner *Planner
 	engines []Engine
-	demand  map[Place]Load
-	weights Weights
+	demand  map[ModelLocation]ModelDemand
+	weights LoadBudget
 	// loadTime is how long an engine loads, failing engines never do.
 	loadTime time.Duration
 	failing  map[domain.EndpointID]bool
@@ -46,7 +46,7 @@
 
 func newSim(options PlanOptions, engines ...Engine) *sim {
 	return &sim{
-		planner: NewPlanner(options), engines: engines, demand: make(map[Place]Load), weights: free{},
+		planner: NewPlanner(options), engines: engines, demand: make(map[ModelLocation]ModelDemand), weights: free{},
 		loadTime: 10 * time.Second, failing: make(map[domain.EndpointID]bool), now: time.Unix(0, 0),
 	}
 }
@@ -54,7 +54,7 @@
 // machine is an engine "dc/number" that may serve the models and has those marked
 // with a star.
 func machine(id, dc string, models ...string) Engine {
-	e := Engine{ID: domain.EndpointID(id), DataCentre: domain.DataCentre(dc), Known: true, Open: true}
+	e := Engine{ID: domain.EndpointID(id), DataCentre: domain.DataCentre(dc), Known: true, OrdersAllowed: true}
 	for _, m := range models {
 		name, loaded := m, false
 		if m[len(m)-1] == '*' {
@@ -71,7 +71,7 @@
 
 // need sets the demand of a model in a data centre.
 func (s *sim) need(model, dc string, waiting, tokens int) *sim {
-	s.demand[Place{model, domain.DataCentre(dc)}] = Load{Waiting: waiting, Tokens: tokens, Running: min(tokens, 1)}
+	s.demand[ModelLocation{model, domain.DataCentre(dc)}] = ModelDemand{Waiting: waiting, Tokens: tokens, Running: min(tokens, 1)}
 	return s
 }
 
@@ -96,7 +96,7 @@
 	if step.Order.Kind != endpoint.OrderUnload {
 		return
 	}
-	for _, id := range step.Witnesses {
+	for _, id := range step.OtherReplicas {
 		i := s.index(id)
 		if id != step.Endpoint && s.engines[i].ready(step.Order.Model) {
 			return
--- a/coordinator/step.go
+++ b/coordinator/step.go
@@ -11,5 +11,5 @@
 	Order    endpoint.Order
 	// Witnesses are engines of which one must have the model ready when it is
 	// unloaded here; none for a load.
-	Witnesses []domain.EndpointID
+	OtherReplicas []domain.EndpointID
 }
--- a/coordinator/term.go
+++ b/coordinator/term.go
@@ -20,13 +20,13 @@
 // term is one holding of one group's lease.
 type term struct {
 	options Options
-	lease   Held
+	lease   FencedLease
 	fence   uint64
 	planner *Planner
 	meters  *meters
 	// rows returns the group's engines by the configuration in force.
 	rows   func() []*config.EndpointRow
-	demand func(now time.Time) map[Place]Load
+	demand func(now time.Time) map[ModelLocation]ModelDemand
 	begun  time.Time
 	// silent tells until when an engine gets no order, because one with an unknown
 	// outcome may still arrive.
@@ -36,7 +36,7 @@
 	last GroupDump
 }
 
-func (s *Service) newTerm(name string, held Held) *term {
+func (s *Service) newTerm(name string, held FencedLease) *term {
 	return &term{
 		options: s.options,
 		lease:   held,
@@ -51,7 +51,7 @@
 }
 
 // run works until the lease or the context ends, or an engine has obeyed a later
-// holder. It returns ErrOvertaken or ErrNotHeld, or the context's error.
+// holder. It returns ErrSuperseded or ErrLeaseNotHeld, or the context's error.
 func (t *term) run(ctx context.Context) error {
 	ticker := time.NewTicker(t.options.Period)
 	defer ticker.Stop()
@@ -74,7 +74,7 @@
 		return err
 	}
 	now := time.Now()
-	steps := t.planner.Plan(now, engines, t.demand(now), t.options.Weights)
+	steps := t.planner.Plan(now, engines, t.demand(now), t.options.LoadBudget)
 	t.note(engines, steps)
 	for _, step := range steps {
 		if err := t.give(ctx, step); err != nil {
@@ -146,14 +146,14 @@
 		}
 		silent := time.Now().Before(t.silent[e.ID])
 		if !checks[e.ID] {
-			e.Open = !silent && time.Since(t.begun) >= t.options.settleTime()
+			e.OrdersAllowed = !silent && time.Since(t.begun) >= t.options.settleTime()
 			continue
 		}
 		fenced, err := t.raise(ctx, e)
 		if err != nil {
 			return err
 		}
-		e.Open = fenced && !silent
+		e.OrdersAllowed = fenced && !silent
 	}
 	return nil
 }
@@ -169,12 +169,12 @@
 	}
 	order := endpoint.Order{Kind: endpoint.OrderSetRole, Role: e.State.Role}
 	err := t.order(ctx, e.ID, order)
-	if errors.Is(err, ErrOvertaken) || errors.Is(err, ErrNotHeld) {
+	if errors.Is(err, ErrSuperseded) || errors.Is(err, ErrLeaseNotHeld) {
 		return false, err
 	}
 	return err == nil, nil
 }
 
 func (t *term) overtaken(id domain.EndpointID, fence uint64) error {
-	return fmt.Errorf("%w: %s has obeyed %d, this holder has %d", ErrOvertaken, id, fence, t.fence)
+	return fmt.Errorf("%w: %s has obeyed %d, this holder has %d", ErrSuperseded, id, fence, t.fence)
 }
--- a/coordinator/weights.go
+++ b/coordinator/weights.go
@@ -6,22 +6,22 @@
 	"golang.org/x/time/rate"
 )
 
-// Weights is the budget of the weight store: each load takes its weights from it.
-type Weights interface {
+// LoadBudget is the budget of the weight store: each load takes its weights from it.
+type LoadBudget interface {
 	// Take reports whether the model may be fetched now, and counts it if so.
 	Take(now time.Time, model string) bool
 }
 
-// WeightRate is a Weights of so many loads a minute. All groups led by a node
+// LoadRateLimit is a Weights of so many loads a minute. All groups led by a node
 // share it; the store's whole rate is divided by the number of groups.
-type WeightRate struct{ limiter *rate.Limiter }
+type LoadRateLimit struct{ limiter *rate.Limiter }
 
-var _ Weights = (*WeightRate)(nil)
+var _ LoadBudget = (*LoadRateLimit)(nil)
 
-// NewWeightRate returns a budget of loads a minute, of which burst may be at once.
-func NewWeightRate(perMinute float64, burst int) *WeightRate {
-	return &WeightRate{rate.NewLimiter(rate.Limit(perMinute/60), burst)}
+// NewLoadRateLimit returns a budget of loads a minute, of which burst may be at once.
+func NewLoadRateLimit(perMinute float64, burst int) *LoadRateLimit {
+	return &LoadRateLimit{rate.NewLimiter(rate.Limit(perMinute/60), burst)}
 }
 
 // Take implements Weights.
-func (w *WeightRate) Take(now time.Time, _ string) bool { return w.limiter.AllowN(now, 1) }
+func (w *LoadRateLimit) Take(now time.Time, _ string) bool { return w.limiter.AllowN(now, 1) }
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -13,5 +13,5 @@
 	if !s.Give {
 		return nil
 	}
-	return &coordinator.Options{Weights: coordinator.NewWeightRate(s.LoadsPerMinute, loadsAtOnce)}
+	return &coordinator.Options{LoadBudget: coordinator.NewLoadRateLimit(s.LoadsPerMinute, loadsAtOnce)}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -192,7 +192,7 @@
 	o.Config = n.config
 	o.Store = n.options.Store
 	o.Engines = n.endpoints
-	o.Demand = coordinator.PoolsDemand{Dump: n.capacity.Dump}
+	o.Demand = coordinator.PoolDemand{Dump: n.capacity.Dump}
 	o.Metrics = n.options.Metrics
 	o.Logger = n.options.Log
 	service, err := coordinator.New(o)
--- a/node/placement.go
+++ b/node/placement.go
@@ -74,7 +74,7 @@
 	defer cancel()
 	state, err := orders.State(ctx)
 	if err == nil {
-		p.readiness.Note(time.Now(), id, state)
+		p.readiness.Record(time.Now(), id, state)
 	}
 }
 
