--- a/coordinator/bench_test.go
+++ b/coordinator/bench_test.go
@@ -9,8 +9,9 @@
 	"hawthornrill.example/hawthornrill/membership"
 )
 
-// BenchmarkSlopePlan measures one call of Plan for a group at rest, by its engines:
-// ten models in 21 data centres, every engine may serve three of them.
+// BenchmarkSlopePlan measures one call of Plan for a group without changes, by the
+// number of engines: ten models in 21 data centres, with three models allowed on
+// each engine.
 func BenchmarkSlopePlan(b *testing.B) {
 	for _, count := range []int{30, 100, 300, 1000, 2700} {
 		b.Run(fmt.Sprintf("engines=%d", count), func(b *testing.B) {
@@ -19,7 +20,7 @@
 			for i := range engines {
 				dc := fmt.Sprintf("dc%02d", i%21)
 				model := func(offset int) string { return fmt.Sprintf("m%d", (i/21+offset)%10) }
-				engines[i] = machine(fmt.Sprintf("e%04d", i), dc, model(0)+"*", model(1), model(2))
+				engines[i] = testEngine(fmt.Sprintf("e%04d", i), dc, model(0)+"*", model(1), model(2))
 				for j := range 3 {
 					demand[ModelLocation{model(j), domain.DataCentre(dc)}] = ModelDemand{Running: 100, Tokens: 1 << 20}
 				}
@@ -28,16 +29,16 @@
 			now := time.Unix(0, 0)
 			for b.Loop() {
 				now = now.Add(simPeriod)
-				if steps := planner.Plan(now, engines, demand, free{}); len(steps) > 0 {
-					b.Fatal("orders at rest")
+				if steps := planner.Plan(now, engines, demand, unlimitedLoads{}); len(steps) > 0 {
+					b.Fatal("unexpected orders without a change of demand")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkSlopeCandidates measures the ranking of all groups when a member comes
-// or goes, by the members: 33 groups.
+// BenchmarkSlopeCandidates measures choosing the candidates of all 33 groups after
+// a membership change, by the number of members.
 func BenchmarkSlopeCandidates(b *testing.B) {
 	for _, count := range []int{50, 200, 1000} {
 		b.Run(fmt.Sprintf("members=%d", count), func(b *testing.B) {
--- a/coordinator/campaign.go
+++ b/coordinator/campaign.go
@@ -10,10 +10,10 @@
 	"hawthornrill.example/hawthornrill/store/lease"
 )
 
-// leasePrefix begins the keys of the leases; a group's name follows.
+// leasePrefix is the prefix of the lease keys in the store; the group name follows.
 const leasePrefix = "coordinator/"
 
-// campaign is this node's candidacy for one group.
+// campaign is the candidacy of this node for the lease of one group.
 type campaign struct {
 	service *Service
 	group   string
@@ -30,8 +30,9 @@
 	return c
 }
 
-// run campaigns until the context ends. After a term that was overtaken it stays
-// away for a time: the lease that it gets next has a greater fencing number.
+// run campaigns for the lease until the context ends. After a term that was
+// superseded it backs off before the next campaign; the next lease has a greater
+// fencing number.
 func (c *campaign) run(ctx context.Context) {
 	defer close(c.done)
 	for ctx.Err() == nil {
@@ -41,38 +42,39 @@
 	}
 }
 
-// campaign returns when the context ends, or with true when a term was overtaken.
-func (c *campaign) campaign(ctx context.Context) (overtaken bool) {
+// campaign returns when the context ends, or returns true when a term was
+// superseded.
+func (c *campaign) campaign(ctx context.Context) (superseded bool) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	o := c.service.options
 	options := lease.Options{Owner: o.Transport.Self().String(), TTL: o.LeaseTTL, Margin: o.LeaseMargin}
 	err := lease.Campaign(ctx, o.Store, leasePrefix+c.group, options, func(leading context.Context, l *lease.Lease) {
-		overtaken = c.lead(leading, l)
-		if overtaken {
+		superseded = c.lead(leading, l)
+		if superseded {
 			stop()
 		}
 	})
 	if err != nil {
-		o.Logger.Error().Err(err).Str("group", c.group).Msg("no campaign for the lease")
+		o.Logger.Error().Err(err).Str("group", c.group).Msg("lease campaign failed")
 		pacing.Sleep(ctx, o.StepDownBackoff)
 	}
-	return overtaken
+	return superseded
 }
 
-// lead works under the lease, and reports whether it was overtaken.
+// lead runs a term under the lease and reports whether it was superseded.
 func (c *campaign) lead(ctx context.Context, l *lease.Lease) bool {
 	t := c.service.newTerm(c.group, l)
 	c.term.Store(t)
 	defer c.term.Store(nil)
-	c.service.meters.terms.Inc()
+	c.service.counters.terms.Inc()
 	log := c.service.options.Logger.With().Str("group", c.group).Uint64("fence", t.fence).Logger()
-	log.Info().Msg("coordinator")
+	log.Info().Msg("acquired lease; now coordinator of the group")
 	err := t.run(ctx)
-	log.Info().Err(err).Msg("coordinator no more")
+	log.Info().Err(err).Msg("term ended; no longer coordinator of the group")
 	if !errors.Is(err, ErrSuperseded) {
 		return false
 	}
-	c.service.meters.overtaken.Inc()
+	c.service.counters.superseded.Inc()
 	return true
 }
--- a/coordinator/dump.go
+++ b/coordinator/dump.go
@@ -9,15 +9,16 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Dump is the state of a Service, for /debug/state.
+// Dump is the state of a Service, served at /debug/state.
 type Dump struct {
-	// Campaigns are the groups whose lease this node holds or waits for.
+	// Campaigns are the groups whose lease this node holds or campaigns for.
 	Campaigns []string `json:"campaigns"`
-	// Led are the groups whose lease it holds.
+	// Led are the groups whose lease this node holds.
 	Led []GroupDump `json:"led"`
 }
 
-// GroupDump is what the holder of a group's lease last saw and decided.
+// GroupDump is the state last read and decided by the holder of the lease of a
+// group.
 type GroupDump struct {
 	Group   string        `json:"group"`
 	Fence   uint64        `json:"fence"`
@@ -37,14 +38,13 @@
 	Models []endpoint.ModelState `json:"models"`
 }
 
-// OrderDump is an order that was due.
+// OrderDump is a planned order.
 type OrderDump struct {
 	Endpoint domain.EndpointID  `json:"endpoint"`
 	Kind     endpoint.OrderKind `json:"kind"`
 	Model    string             `json:"model"`
 }
 
-// Dump returns the service's state.
 func (s *Service) Dump() Dump {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,13 +60,13 @@
 func (t *term) dump(name string) GroupDump {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	d := t.last
-	d.Group, d.Fence, d.Held, d.Since = name, t.fence, t.lease.Held(), time.Since(t.begun)
+	d := t.lastDump
+	d.Group, d.Fence, d.Held, d.Since = name, t.fence, t.lease.Held(), time.Since(t.startedAt)
 	return d
 }
 
-// note keeps what the dump shows.
-func (t *term) note(engines []Engine, steps []Step) {
+// recordDump saves the state of the period for the next dump.
+func (t *term) recordDump(engines []Engine, steps []Step) {
 	var d GroupDump
 	for _, e := range engines {
 		d.Engines = append(d.Engines, EngineDump{e.ID, e.Known, e.OrdersAllowed, t.planner.Target(e.ID), e.State.Models})
@@ -76,5 +76,5 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.last = d
+	t.lastDump = d
 }
--- a/coordinator/engine.go
+++ b/coordinator/engine.go
@@ -7,35 +7,38 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Engine is a model engine as the Planner sees it.
+// Engine is a model engine as seen by the Planner.
 type Engine struct {
 	ID         domain.EndpointID
 	DataCentre domain.DataCentre
-	// Models are those that its row allows, sorted.
+	// Models are the models that its row allows, sorted.
 	Models []string
-	// Drain is true while the operator takes it out of service.
+	// Drain is true while the operator takes the engine out of service.
 	Drain bool
-	// Known is true if State was read just now.
+	// Known is true if State was read in this period.
 	Known bool
 	State endpoint.EngineState
-	// Open is true if orders may be given: a late one of a former holder is refused
-	// by the engine, or unlikely by now.
+	// OrdersAllowed is true if orders may be sent: the engine refuses a late order
+	// of a former holder, or such an order is unlikely to arrive by now.
 	OrdersAllowed bool
 }
 
-// fixed engines serve one model, and are left alone when it is loaded.
-func (e *Engine) fixed() bool { return len(e.Models) == 1 }
+// singleModel reports whether the engine may serve only one model. Its target is
+// always that model.
+func (e *Engine) singleModel() bool { return len(e.Models) == 1 }
 
 func (e *Engine) allows(model string) bool {
 	_, found := slices.BinarySearch(e.Models, model)
 	return found
 }
 
-// has returns what the engine says of a model.
-func (e *Engine) has(model string) (endpoint.ModelState, bool) { return findModel(e.State, model) }
+// modelState returns the state that the engine reports for a model.
+func (e *Engine) modelState(model string) (endpoint.ModelState, bool) {
+	return findModel(e.State, model)
+}
 
 func (e *Engine) ready(model string) bool {
-	m, ok := e.has(model)
+	m, ok := e.modelState(model)
 	return ok && m.Ready
 }
 
--- a/coordinator/fleet_test.go
+++ b/coordinator/fleet_test.go
@@ -22,7 +22,7 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// fleet is nodes with a coordinator each, engines, and the platform's store.
+// fleet is a set of nodes with a coordinator each, engines and a store.
 type fleet struct {
 	t       *testing.T
 	network *peertest.Network
@@ -33,45 +33,46 @@
 	nodes   []*fleetNode
 }
 
-// fleetNode is a node whose way to the engines and the store can be broken.
+// fleetNode is a node whose connections to the engines and the store can fail.
 type fleetNode struct {
 	*Service
 	fleet  *fleet
 	client *memstore.Client
-	end    context.CancelFunc
+	cancel context.CancelFunc
 	done   chan struct{}
 
-	mu     sync.Mutex
-	onCall func(call) callFault
-	loads  map[string]ModelDemand
+	mu          sync.Mutex
+	onCall      func(call) callFault
+	modelDemand map[string]ModelDemand
 }
 
-// call is a node's call to an engine.
+// call is a call from a node to an engine.
 type call struct {
 	id domain.EndpointID
-	// order is nil for a reading.
+	// order is nil for a state read.
 	order *endpoint.Order
 }
 
-// callFault is what goes wrong with a call: it is held before it arrives (a
-// reading: before the answer arrives), it never does, or its answer is lost.
+// callFault is a fault of a call: it is delayed before it arrives (for a state
+// read, before the answer arrives), it is lost, or its answer is lost.
 type callFault struct {
-	hold             time.Duration
+	delay            time.Duration
 	lost, answerLost bool
 }
 
-// runner describes an engine of a fleet.
-type runner struct {
-	serves, has string
-	ignores     bool
-	dc          domain.DataCentre
+// engineSpec describes an engine of a fleet.
+type engineSpec struct {
+	serves, loaded string
+	ignoresFencing bool
+	dc             domain.DataCentre
 }
 
-// inFleet runs a test in virtual time with two nodes and the engines e1, e2, ...
-func inFleet(t *testing.T, runners []runner, test func(f *fleet)) {
+// runFleetTest runs a test in virtual time with two nodes and the engines e1, e2
+// and so on.
+func runFleetTest(t *testing.T, specs []engineSpec, test func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, network: peertest.NewNetwork(), store: memstore.New(memstore.Options{}), engines: make(map[domain.EndpointID]*engine.Engine)}
-		f.setTable(runners)
+		f.setTable(specs)
 		var peers []membership.Peer
 		for i := range 2 {
 			m := domain.Member{Node: domain.NodeID(fmt.Sprintf("n%d", i+1)), Incarnation: 1, DataCentre: "p"}
@@ -88,7 +89,7 @@
 
 func (f *fleet) close() {
 	for _, n := range f.nodes {
-		n.end()
+		n.cancel()
 		<-n.done
 	}
 	for _, e := range f.engines {
@@ -97,17 +98,17 @@
 	f.network.Close()
 }
 
-func (f *fleet) setTable(runners []runner) {
+func (f *fleet) setTable(specs []engineSpec) {
 	s := &config.Snapshot{Revision: 1}
-	for i, r := range runners {
+	for i, r := range specs {
 		id := domain.EndpointID(fmt.Sprintf("e%d", i+1))
 		if r.dc == "" {
 			r.dc = "p"
 		}
-		s.Table.Endpoints = append(s.Table.Endpoints, config.EndpointRow{ID: id, Kind: config.KindEngine, DataCentre: r.dc, Serves: r.serves, ChecksFencing: !r.ignores})
-		options := engine.Options{IgnoreFencing: r.ignores, Speed: engine.Speed{Load: 4 * time.Second}}
-		if r.has != "" {
-			options.Models = splitModels(r.has)
+		s.Table.Endpoints = append(s.Table.Endpoints, config.EndpointRow{ID: id, Kind: config.KindEngine, DataCentre: r.dc, Serves: r.serves, ChecksFencing: !r.ignoresFencing})
+		options := engine.Options{IgnoreFencing: r.ignoresFencing, Speed: engine.Speed{Load: 4 * time.Second}}
+		if r.loaded != "" {
+			options.Models = splitModels(r.loaded)
 		}
 		f.engines[id] = engine.New(options)
 	}
@@ -115,7 +116,7 @@
 }
 
 func splitModels(s string) []string {
-	return modelsOf(&config.EndpointRow{Kind: config.KindEngine, Serves: s})
+	return modelsOfRow(&config.EndpointRow{Kind: config.KindEngine, Serves: s})
 }
 
 // Current implements membership.View.
@@ -129,8 +130,8 @@
 		Metrics: metrics.NewSet(), Logger: zerolog.Nop(),
 	})
 	assert.NilError(f.t, err)
-	ctx, end := context.WithCancel(context.Background())
-	n.end = end
+	ctx, cancel := context.WithCancel(context.Background())
+	n.cancel = cancel
 	go func() {
 		defer close(n.done)
 		_ = n.Run(ctx)
@@ -138,26 +139,27 @@
 	f.nodes = append(f.nodes, n)
 }
 
-// DemandSource implements Demand.
+// Demand implements DemandSource.
 func (n *fleetNode) Demand() map[string]ModelDemand {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.loads
+	return n.modelDemand
 }
 
 // Orders implements Engines.
 func (n *fleetNode) Orders(id domain.EndpointID) (endpoint.Orders, bool) {
-	return way{n, id, n.fleet.engines[id]}, true
+	return engineClient{n, id, n.fleet.engines[id]}, true
 }
 
-// onCalls decides what goes wrong with the node's calls from now on.
-func (n *fleetNode) onCalls(f func(call) callFault) {
+// setCallFaults sets the function that chooses the fault of each later call of the
+// node.
+func (n *fleetNode) setCallFaults(f func(call) callFault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.onCall = f
 }
 
-func (n *fleetNode) fault(c call) callFault {
+func (n *fleetNode) faultFor(c call) callFault {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.onCall == nil {
@@ -166,10 +168,10 @@
 	return n.onCall(c)
 }
 
-// once returns a function that gives the fault to the nth call that suits.
-func once(nth int, suits func(call) bool, f func() callFault) func(call) callFault {
+// onNthCall returns a function that applies the fault to the nth matching call.
+func onNthCall(nth int, matches func(call) bool, f func() callFault) func(call) callFault {
 	return func(c call) callFault {
-		if !suits(c) {
+		if !matches(c) {
 			return callFault{}
 		}
 		if nth--; nth != 0 {
@@ -179,41 +181,42 @@
 	}
 }
 
-// pause stops the node's process for a time, as far as the store can see.
+// pause simulates a pause of the process: the store is unreachable and the call is
+// delayed for d.
 func (n *fleetNode) pause(d time.Duration) callFault {
 	n.client.SetDown(true)
 	time.AfterFunc(d, func() { n.client.SetDown(false) })
-	return callFault{hold: d}
+	return callFault{delay: d}
 }
 
-// way is a node's way to an engine. What has been sent arrives, whether its
-// sender waits for it or not.
-type way struct {
+// engineClient is the client of a node for an engine. A call that was sent arrives
+// even if its sender has stopped waiting for it.
+type engineClient struct {
 	node   *fleetNode
 	id     domain.EndpointID
 	engine *engine.Engine
 }
 
-func (w way) Order(ctx context.Context, order endpoint.Order) error {
-	f := w.node.fault(call{w.id, &order})
-	time.Sleep(f.hold)
+func (c engineClient) Order(ctx context.Context, order endpoint.Order) error {
+	f := c.node.faultFor(call{c.id, &order})
+	time.Sleep(f.delay)
 	if f.lost {
 		return endpoint.ErrBroken
 	}
-	err := w.engine.Order(context.WithoutCancel(ctx), order)
+	err := c.engine.Order(context.WithoutCancel(ctx), order)
 	if f.answerLost {
 		return endpoint.ErrBroken
 	}
 	return err
 }
 
-func (w way) State(ctx context.Context) (endpoint.EngineState, error) {
-	state, err := w.engine.State(ctx)
-	time.Sleep(w.node.fault(call{w.id, nil}).hold)
+func (c engineClient) State(ctx context.Context) (endpoint.EngineState, error) {
+	state, err := c.engine.State(ctx)
+	time.Sleep(c.node.faultFor(call{c.id, nil}).delay)
 	return state, err
 }
 
-// holder returns the node that holds the lease, nil if none does.
+// holder returns the node that holds the lease, or nil.
 func (f *fleet) holder() *fleetNode {
 	for _, n := range f.nodes {
 		for _, g := range n.Dump().Led {
@@ -225,25 +228,25 @@
 	return nil
 }
 
-// other returns the node that is not the given one.
-func (f *fleet) other(n *fleetNode) *fleetNode {
+// otherNode returns the other of the two nodes.
+func (f *fleet) otherNode(n *fleetNode) *fleetNode {
 	if f.nodes[0] == n {
 		return f.nodes[1]
 	}
 	return f.nodes[0]
 }
 
-// need makes both nodes tell what the models need.
-func (f *fleet) need(loads map[string]ModelDemand) {
+// setDemand makes both nodes report the same demand.
+func (f *fleet) setDemand(demand map[string]ModelDemand) {
 	for _, n := range f.nodes {
 		n.mu.Lock()
-		n.loads = loads
+		n.modelDemand = demand
 		n.mu.Unlock()
 	}
 }
 
-// serves asserts which models an engine has, all ready.
-func (f *fleet) serves(id domain.EndpointID, models ...string) {
+// assertServes asserts that the engine has exactly these models, all ready.
+func (f *fleet) assertServes(id domain.EndpointID, models ...string) {
 	f.t.Helper()
 	state, err := f.engines[id].State(f.t.Context())
 	assert.NilError(f.t, err)
@@ -255,7 +258,7 @@
 	assert.DeepEqual(f.t, got, append([]string{}, models...))
 }
 
-// orders returns the engine's witness of loads and unloads.
+// orders returns the loads and unloads that the engine has recorded.
 func (f *fleet) orders(id domain.EndpointID) []engine.OrderRecord {
 	var records []engine.OrderRecord
 	for _, r := range f.engines[id].OrderLog() {
--- a/coordinator/group.go
+++ b/coordinator/group.go
@@ -7,39 +7,40 @@
 	"hawthornrill.example/hawthornrill/config"
 )
 
-// group is the models that share engines, directly or through others, with all
-// these engines. An engine has one greatest fencing number, so it must have one
-// giver of orders: a group has one lease. A model whose engines serve nothing
-// else is a group by itself.
+// group is a set of models that share engines, directly or through other models,
+// together with all these engines. An engine keeps one greatest fencing number, so
+// only one process may send it orders: a group has one lease. A model whose engines
+// serve no other model is a group of its own.
 type group struct {
-	// name is the first model's.
+	// name is that of the first model in sorted order.
 	name   string
 	models []string
 	rows   []*config.EndpointRow
 }
 
-// layout is the groups of a configuration.
+// layout is the division of a configuration into groups.
 type layout struct {
 	groups  []*group
 	byModel map[string]*group
 }
 
-// newLayout finds the groups. Rows are in the order of the table.
+// newLayout finds the groups by union-find over the models that share an engine.
+// Rows are in the order of the table.
 func newLayout(s *config.Snapshot) *layout {
 	l := &layout{byModel: make(map[string]*group)}
 	if s == nil {
 		return l
 	}
-	first := joinModels(s)
+	parents := joinModels(s)
 	for i := range s.Table.Endpoints {
 		row := &s.Table.Endpoints[i]
-		if models := modelsOf(row); len(models) > 0 {
-			g := l.group(root(first, models[0]))
+		if models := modelsOfRow(row); len(models) > 0 {
+			g := l.group(findRoot(parents, models[0]))
 			g.rows = append(g.rows, row)
 		}
 	}
-	for model := range first {
-		g := l.group(root(first, model))
+	for model := range parents {
+		g := l.group(findRoot(parents, model))
 		g.models = append(g.models, model)
 		l.byModel[model] = g
 	}
@@ -61,37 +62,39 @@
 	return g
 }
 
-// joinModels points each model to a lesser one of its group, the first to itself.
+// joinModels returns the union-find parents: each model points to a lesser model of
+// its group, the least one to itself.
 func joinModels(s *config.Snapshot) map[string]string {
-	first := make(map[string]string)
+	parents := make(map[string]string)
 	for i := range s.Table.Endpoints {
-		models := modelsOf(&s.Table.Endpoints[i])
+		models := modelsOfRow(&s.Table.Endpoints[i])
 		for _, m := range models {
-			if _, ok := first[m]; !ok {
-				first[m] = m
+			if _, ok := parents[m]; !ok {
+				parents[m] = m
 			}
-			a, b := root(first, models[0]), root(first, m)
-			first[max(a, b)] = min(a, b)
+			a, b := findRoot(parents, models[0]), findRoot(parents, m)
+			parents[max(a, b)] = min(a, b)
 		}
 	}
-	return first
+	return parents
 }
 
-func root(first map[string]string, model string) string {
-	for first[model] != model {
-		model = first[model]
+func findRoot(parents map[string]string, model string) string {
+	for parents[model] != model {
+		model = parents[model]
 	}
 	return model
 }
 
-// modelsOf returns the models that a row allows, sorted; none for a service.
-func modelsOf(row *config.EndpointRow) []string {
+// modelsOfRow returns the models that a row allows, sorted; none for a plain
+// service.
+func modelsOfRow(row *config.EndpointRow) []string {
 	if row.Kind != config.KindEngine {
 		return nil
 	}
 	var models []string
 	for _, pool := range row.PoolNames() {
-		if model, ok := modelOf(pool); ok {
+		if model, ok := modelOfPool(pool); ok {
 			models = append(models, model)
 		}
 	}
--- a/coordinator/messages.go
+++ b/coordinator/messages.go
@@ -2,15 +2,15 @@
 
 import "hawthornrill.example/hawthornrill/peer"
 
-// methodDemand tells a candidate what the pools need that the sender owns.
+// methodDemand reports the demand on the pools of the sender to a candidate.
 const methodDemand peer.Method = "coordinator.demand"
 
-// demandMessage is about the sender's data centre.
+// demandMessage is the demand in the data centre of the sender.
 type demandMessage struct {
-	Demands []modelLoad `cbor:"1,keyasint"`
+	Demands []demandEntry `cbor:"1,keyasint"`
 }
 
-type modelLoad struct {
+type demandEntry struct {
 	Model  string      `cbor:"1,keyasint"`
 	Demand ModelDemand `cbor:"2,keyasint"`
 }
--- a/coordinator/options.go
+++ b/coordinator/options.go
@@ -15,20 +15,21 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// Engines finds the side of an engine that takes orders; ok is false if it has
-// none.
+// Engines returns the order interface of an engine; ok is false if the engine takes
+// no orders.
 type Engines interface {
 	Orders(id domain.EndpointID) (orders endpoint.Orders, ok bool)
 }
 
-// Options are the seams and numbers of a Service. The seams are required; zero
-// numbers mean the defaults.
+// Options are the dependencies and settings of a Service. Dependencies are
+// required; settings that are zero have their defaults.
 type Options struct {
 	// Transport must not have started.
 	Transport peer.Transport
 	Members   membership.View
 	Config    config.View
-	// Store should be within the node's budget (package store/budget).
+	// Store should be limited to the call budget of the node (package
+	// store/budget).
 	Store   store.Store
 	Engines Engines
 	Demand  DemandSource
@@ -39,16 +40,19 @@
 	Logger     zerolog.Logger
 
 	Plan PlanOptions
-	// Candidates is how many nodes campaign for a group's lease (3).
+	// Candidates is the number of nodes that campaign for the lease of a group (3).
 	Candidates int
-	// Period is the time between two readings of all engines (5 s).
+	// Period is the interval between two reads of the state of all engines (5 s).
 	Period time.Duration
-	// OrderTimeout bounds an order or a reading (3 s). It must be less than LeaseMargin.
+	// OrderTimeout bounds an order or a state read (3 s). It must be less than
+	// LeaseMargin.
 	OrderTimeout time.Duration
-	// LeaseTTL and LeaseMargin are the lease's (30 s, 6 s).
+	// LeaseTTL and LeaseMargin are the TTL of the lease and its safety margin (30
+	// s, 6 s).
 	LeaseTTL    time.Duration
 	LeaseMargin time.Duration
-	// StepDownBackoff is for how long a holder that was overtaken stays away (10 s).
+	// StepDownBackoff is the mean time for which a superseded holder does not
+	// campaign (10 s).
 	StepDownBackoff time.Duration
 }
 
@@ -63,17 +67,18 @@
 		o.Metrics = metrics.NewSet()
 	}
 	if o.LoadBudget == nil {
-		o.LoadBudget = NewLoadRateLimit(defaultLoadsPerMinute, defaultLoadsAtOnce)
+		o.LoadBudget = NewLoadRateLimit(defaultLoadsPerMinute, defaultLoadBurst)
 	}
 	return o
 }
 
 const (
 	defaultLoadsPerMinute = 30
-	defaultLoadsAtOnce    = 4
+	defaultLoadBurst      = 4
 )
 
 // settleTime is how long a new holder waits before its first order to an engine
-// that ignores fencing numbers: an order that the former holder sent while it held
-// has arrived by then, also if it was paused for a TTL between check and send.
+// that ignores fencing numbers. An order that the former holder sent while it held
+// the lease has arrived by then, even if that holder was paused for a TTL between
+// the check of the lease and the send.
 func (o Options) settleTime() time.Duration { return o.LeaseTTL + o.LeaseMargin + o.OrderTimeout }
--- a/coordinator/planner.go
+++ b/coordinator/planner.go
@@ -10,42 +10,43 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Planner decides which orders come next. It does no I/O and has no clock; one
-// Planner belongs to one holder of one group's lease.
+// Planner decides which orders to send next. It does no I/O and has no clock. One
+// Planner belongs to one term of one group.
 type Planner struct {
-	options PlanOptions
-	targets map[domain.EndpointID]*target
-	presses map[ModelLocation]time.Time
-	idles   map[ModelLocation]time.Time
-	// lacking tells since when a model has had no runner at all.
-	lacking map[string]time.Time
-	changed map[string]time.Time
+	options              PlanOptions
+	targets              map[domain.EndpointID]*target
+	overloadedSince      map[ModelLocation]time.Time
+	overprovisionedSince map[ModelLocation]time.Time
+	// missingSince is the time since which a model has had no ready replica.
+	missingSince map[string]time.Time
+	changedAt    map[string]time.Time
 }
 
-// NewPlanner returns a planner that takes what it first finds as it is.
+// NewPlanner returns a planner that takes the first state read of each engine as
+// its target.
 func NewPlanner(options PlanOptions) *Planner {
 	return &Planner{
-		options: options.withDefaults(),
-		targets: make(map[domain.EndpointID]*target),
-		presses: make(map[ModelLocation]time.Time),
-		idles:   make(map[ModelLocation]time.Time),
-		lacking: make(map[string]time.Time),
-		changed: make(map[string]time.Time),
+		options:              options.withDefaults(),
+		targets:              make(map[domain.EndpointID]*target),
+		overloadedSince:      make(map[ModelLocation]time.Time),
+		overprovisionedSince: make(map[ModelLocation]time.Time),
+		missingSince:         make(map[string]time.Time),
+		changedAt:            make(map[string]time.Time),
 	}
 }
 
-// Plan returns the orders that bring the engines to their targets, after moving
-// the targets by at most one change for each model. Engines are all those of the
-// group, sorted by identifier; demand that is left out is unknown. Loads that are
-// returned are taken from the budget.
-func (p *Planner) Plan(now time.Time, engines []Engine, demand map[ModelLocation]ModelDemand, weights LoadBudget) []Step {
-	p.adopt(now, engines)
+// Plan applies at most one change for each model to the targets and returns the
+// orders that bring the engines to their targets. The engines are all those of the
+// group, sorted by identifier; demand that is left out is unknown. Each returned
+// load has been charged to the budget.
+func (p *Planner) Plan(now time.Time, engines []Engine, demand map[ModelLocation]ModelDemand, budget LoadBudget) []Step {
+	p.syncTargets(now, engines)
 	r := p.newRound(now, engines, demand)
-	p.notePressure(r)
+	p.updateConditions(r)
 	for _, model := range r.models {
-		p.change(r, model)
+		p.changeModel(r, model)
 	}
-	return p.steps(r, weights)
+	return p.steps(r, budget)
 }
 
 // Target returns the models that the engine should serve, sorted.
@@ -57,8 +58,9 @@
 	return slices.Sorted(maps.Keys(t.models))
 }
 
-// adopt brings the targets in line with the engines that there are.
-func (p *Planner) adopt(now time.Time, engines []Engine) {
+// syncTargets creates and refreshes the targets of the engines read in this period,
+// and deletes those of engines that left the group.
+func (p *Planner) syncTargets(now time.Time, engines []Engine) {
 	present := make(map[domain.EndpointID]bool, len(engines))
 	for i := range engines {
 		e := &engines[i]
@@ -67,17 +69,17 @@
 			continue
 		}
 		if p.targets[e.ID] == nil {
-			p.targets[e.ID] = adoptTarget(now, e)
+			p.targets[e.ID] = initialTarget(now, e)
 		}
 		p.targets[e.ID].refresh(now, e)
-		p.targets[e.ID].giveUp(now, e, p.options.LoadTimeout)
+		p.targets[e.ID].dropFailedLoads(now, e, p.options.LoadTimeout)
 	}
 	maps.DeleteFunc(p.targets, func(id domain.EndpointID, _ *target) bool { return !present[id] })
 }
 
-// steps returns what the engines differ in from their targets: unloads, then
-// loads, those of models with the fewest runners first.
-func (p *Planner) steps(r *round, weights LoadBudget) []Step {
+// steps returns the orders for all differences between engines and targets: unloads
+// first, then loads, those of the models with the fewest ready replicas first.
+func (p *Planner) steps(r *round, budget LoadBudget) []Step {
 	var unloads, loads []Step
 	for _, e := range r.engines {
 		t := p.targets[e.ID]
@@ -85,14 +87,14 @@
 			continue
 		}
 		unloads = append(unloads, p.unloads(r, e, t)...)
-		loads = append(loads, missing(e, t)...)
+		loads = append(loads, missingLoads(e, t)...)
 	}
 	slices.SortStableFunc(loads, func(a, b Step) int {
 		return cmp.Compare(len(r.ready[a.Order.Model]), len(r.ready[b.Order.Model]))
 	})
 	loading := r.loading
 	for _, step := range loads {
-		if loading >= p.options.MaxConcurrentLoads || !weights.Take(r.now, step.Order.Model) {
+		if loading >= p.options.MaxConcurrentLoads || !budget.Take(r.now, step.Order.Model) {
 			break
 		}
 		loading++
@@ -101,11 +103,11 @@
 	return unloads
 }
 
-// missing returns loads of what the engine lacks.
-func missing(e *Engine, t *target) []Step {
+// missingLoads returns the loads of the target models that the engine lacks.
+func missingLoads(e *Engine, t *target) []Step {
 	var steps []Step
 	for _, model := range slices.Sorted(maps.Keys(t.models)) {
-		if _, ok := e.has(model); ok {
+		if _, ok := e.modelState(model); ok {
 			continue
 		}
 		order := endpoint.Order{Kind: endpoint.OrderLoad, Model: model, Version: t.models[model].version}
@@ -114,15 +116,15 @@
 	return steps
 }
 
-// unloads returns unloads of what the engine has too much. What has no other
-// runner is kept, whoever has loaded it.
+// unloads returns the unloads of models that are not in the target. A model without
+// another replica is added to the target instead, whoever loaded it.
 func (p *Planner) unloads(r *round, e *Engine, t *target) []Step {
 	var steps []Step
 	for _, m := range e.State.Models {
 		if t.wants(m.Model) || !e.allows(m.Model) {
 			continue
 		}
-		others := r.spare(m.Model, e)
+		others := r.otherReplicas(m.Model, e)
 		if len(others) == 0 {
 			t.add(r.now, m.Model, m.Version)
 			continue
--- a/coordinator/planoptions.go
+++ b/coordinator/planoptions.go
@@ -6,24 +6,25 @@
 	"hawthornrill.example/hawthornrill/defaults"
 )
 
-// PlanOptions are the numbers of a Planner. Zero values mean the defaults.
+// PlanOptions are the settings of a Planner. Zero values mean the defaults.
 type PlanOptions struct {
 	// ModelsPerEngine bounds the models that the planner puts on one engine (1).
 	ModelsPerEngine int
-	// ScaleUpWaiting asks waiting for each ready runner of the data centre press for
-	// one more, when that lasts for ScaleUpDelay (2, 30 s).
+	// A data centre gets one more replica of a model when ScaleUpWaiting requests
+	// wait for each ready replica there, for ScaleUpDelay (2, 30 s).
 	ScaleUpWaiting int
 	ScaleUpDelay   time.Duration
-	// A data centre has a runner to spare when nothing waits and the others would
-	// have no more than ScaleDownTokens each, for ScaleDownDelay (2,000, 10 min).
+	// A data centre has a replica to spare when no request waits and the remaining
+	// replicas would have at most ScaleDownTokens reserved tokens each, for
+	// ScaleDownDelay (2,000, 10 min).
 	ScaleDownTokens int
 	ScaleDownDelay  time.Duration
-	// ChangeInterval is the least time between two changes of one model (1 min).
+	// ChangeInterval is the minimum time between two changes of one model (1 min).
 	ChangeInterval time.Duration
-	// LoadTimeout is how long an engine may fail to begin a load before another is
-	// tried, and for how long it is avoided then (10 min).
+	// LoadTimeout is how long an engine may fail to begin a load before another
+	// engine is tried, and for how long it is avoided after that (10 min).
 	LoadTimeout time.Duration
-	// MaxConcurrentLoads bounds the engines of a group that load at a time (4).
+	// MaxConcurrentLoads bounds the loads in progress at a time in a group (4).
 	MaxConcurrentLoads int
 }
 
--- a/coordinator/pressure.go
+++ b/coordinator/pressure.go
@@ -4,47 +4,48 @@
 	"time"
 )
 
-// notePressure notes since when places press, have runners to spare, and models
-// have no runner.
-func (p *Planner) notePressure(r *round) {
-	places := make(map[ModelLocation]bool)
+// updateConditions updates since when locations have been overloaded or
+// overprovisioned, and models without a ready replica.
+func (p *Planner) updateConditions(r *round) {
+	locations := make(map[ModelLocation]bool)
 	models := make(map[string]bool)
 	for _, model := range r.models {
 		models[model] = true
-		keepSince(p.lacking, model, len(r.ready[model]) == 0, r.now)
-		for _, dc := range r.centres[model] {
-			place := ModelLocation{model, dc}
-			places[place] = true
-			keepSince(p.presses, place, p.pressing(r, place), r.now)
-			keepSince(p.idles, place, p.idle(r, place), r.now)
+		trackSince(p.missingSince, model, len(r.ready[model]) == 0, r.now)
+		for _, dc := range r.dataCentres[model] {
+			location := ModelLocation{model, dc}
+			locations[location] = true
+			trackSince(p.overloadedSince, location, p.overloaded(r, location), r.now)
+			trackSince(p.overprovisionedSince, location, p.overprovisioned(r, location), r.now)
 		}
 	}
-	forget(p.presses, places)
-	forget(p.idles, places)
-	forget(p.lacking, models)
-	forget(p.changed, models)
+	retainKeys(p.overloadedSince, locations)
+	retainKeys(p.overprovisionedSince, locations)
+	retainKeys(p.missingSince, models)
+	retainKeys(p.changedAt, models)
 }
 
-// pressing reports whether the place wants one more runner.
-func (p *Planner) pressing(r *round, place ModelLocation) bool {
-	load := r.demand[place]
-	return load.Waiting > 0 && load.Waiting >= p.options.ScaleUpWaiting*r.readyIn(place)
+// overloaded reports whether the location needs one more replica.
+func (p *Planner) overloaded(r *round, location ModelLocation) bool {
+	demand := r.demand[location]
+	return demand.Waiting > 0 && demand.Waiting >= p.options.ScaleUpWaiting*r.readyCount(location)
 }
 
-// idle reports whether the place could do with one runner less.
-func (p *Planner) idle(r *round, place ModelLocation) bool {
-	load, known := r.demand[place]
-	rest := r.readyIn(place) - 1
-	return known && load.Waiting == 0 && rest >= 0 && load.Tokens <= rest*p.options.ScaleDownTokens
+// overprovisioned reports whether the demand in the location can be served by one
+// replica fewer.
+func (p *Planner) overprovisioned(r *round, location ModelLocation) bool {
+	demand, known := r.demand[location]
+	remaining := r.readyCount(location) - 1
+	return known && demand.Waiting == 0 && remaining >= 0 && demand.Tokens <= remaining*p.options.ScaleDownTokens
 }
 
-// lasted reports whether a condition has held for a time.
-func lasted[K comparable](since map[K]time.Time, key K, now time.Time, d time.Duration) bool {
+// persisted reports whether a condition has held for at least d.
+func persisted[K comparable](since map[K]time.Time, key K, now time.Time, d time.Duration) bool {
 	begun, ok := since[key]
 	return ok && now.Sub(begun) >= d
 }
 
-func keepSince[K comparable](since map[K]time.Time, key K, holds bool, now time.Time) {
+func trackSince[K comparable](since map[K]time.Time, key K, holds bool, now time.Time) {
 	if !holds {
 		delete(since, key)
 		return
@@ -54,7 +55,7 @@
 	}
 }
 
-func forget[K comparable](since map[K]time.Time, keep map[K]bool) {
+func retainKeys[K comparable](since map[K]time.Time, keep map[K]bool) {
 	for key := range since {
 		if !keep[key] {
 			delete(since, key)
--- a/coordinator/readiness.go
+++ b/coordinator/readiness.go
@@ -8,27 +8,28 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Readiness tells which engines have a model ready, as far as they have been read
-// lately. It is fed by whoever reads them: the owner of an endpoint's pool.
+// Readiness tells which engines have a model ready, by their recent state reads.
+// The reader of an engine, the owner of the pool of the endpoint, records the
+// states.
 type Readiness struct {
 	ttl time.Duration
 
 	mu     sync.RWMutex
-	states map[domain.EndpointID]readState
+	states map[domain.EndpointID]engineReadiness
 }
 
-type readState struct {
+type engineReadiness struct {
 	ready map[string]struct{}
 	at    time.Time
 }
 
-// NewReadiness returns one that forgets what was read longer ago than ttl.
+// NewReadiness returns a Readiness whose entries expire after ttl.
 func NewReadiness(ttl time.Duration) *Readiness {
-	return &Readiness{ttl: ttl, states: make(map[domain.EndpointID]readState)}
+	return &Readiness{ttl: ttl, states: make(map[domain.EndpointID]engineReadiness)}
 }
 
-// Note records what an engine said. An engine that names no model and has obeyed
-// no order says nothing of what it serves.
+// Record stores the state reported by an engine. An engine that reports no model
+// and has accepted no order may serve any model, so its readiness is unknown.
 func (r *Readiness) Record(now time.Time, id domain.EndpointID, state endpoint.EngineState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,11 +43,11 @@
 			ready[m.Model] = struct{}{}
 		}
 	}
-	r.states[id] = readState{ready: ready, at: now}
+	r.states[id] = engineReadiness{ready: ready, at: now}
 }
 
-// Ready reports whether the endpoint has the model ready. If known is false, the
-// endpoint is to be used as if it had.
+// Ready reports whether the endpoint has the model ready. If known is false,
+// callers should use the endpoint as if it were ready.
 func (r *Readiness) Ready(now time.Time, id domain.EndpointID, model string) (ready, known bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/coordinator/rest_test.go
+++ b/coordinator/rest_test.go
@@ -8,16 +8,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStoreCallsAtRest counts the calls of all nodes in an hour in which nothing
-// changes, by the groups: two candidates each.
+// TestStoreCallsAtRest bounds the store calls per group, from all nodes, in an hour
+// without changes, by the number of groups. Each group has two candidates.
 func TestStoreCallsAtRest(t *testing.T) {
 	for _, groups := range []int{1, 3, 10, 33} {
-		runners := make([]runner, groups)
-		for i := range runners {
-			runners[i] = runner{serves: fmt.Sprintf("m%02d", i)}
+		specs := make([]engineSpec, groups)
+		for i := range specs {
+			specs[i] = engineSpec{serves: fmt.Sprintf("m%02d", i)}
 		}
-		inFleet(t, runners, func(f *fleet) {
-			time.Sleep(takeover)
+		runFleetTest(t, specs, func(f *fleet) {
+			time.Sleep(takeoverTime)
 			before := f.store.Counts()
 			time.Sleep(time.Hour)
 			after := f.store.Counts()
--- a/coordinator/round.go
+++ b/coordinator/round.go
@@ -8,48 +8,48 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// round is what one call of Plan sees.
+// round is the input of one call of Plan, indexed.
 type round struct {
 	now     time.Time
 	engines []*Engine
 	byID    map[domain.EndpointID]*Engine
 	demand  map[ModelLocation]ModelDemand
-	// models and centres are sorted.
-	models  []string
-	centres map[string][]domain.DataCentre
-	// ready lists a model's runners that have it, and should.
+	// models and the data centres of each model are sorted.
+	models      []string
+	dataCentres map[string][]domain.DataCentre
+	// ready lists the engines that have a model ready and in their target.
 	ready map[string][]*Engine
-	// moving are models with a change that is not carried out yet.
-	moving map[string]bool
-	// loading counts engines' models that are being loaded.
+	// pending marks the models with a change that is not carried out yet.
+	pending map[string]bool
+	// loading counts the loads in progress on all engines.
 	loading int
 }
 
 func (p *Planner) newRound(now time.Time, engines []Engine, demand map[ModelLocation]ModelDemand) *round {
 	r := &round{
-		now:     now,
-		byID:    make(map[domain.EndpointID]*Engine, len(engines)),
-		demand:  demand,
-		centres: make(map[string][]domain.DataCentre),
-		ready:   make(map[string][]*Engine),
-		moving:  make(map[string]bool),
+		now:         now,
+		byID:        make(map[domain.EndpointID]*Engine, len(engines)),
+		demand:      demand,
+		dataCentres: make(map[string][]domain.DataCentre),
+		ready:       make(map[string][]*Engine),
+		pending:     make(map[string]bool),
 	}
 	for i := range engines {
-		r.add(&engines[i], p.targets[engines[i].ID])
+		r.addEngine(&engines[i], p.targets[engines[i].ID])
 	}
-	r.models = slices.Sorted(maps.Keys(r.centres))
-	for model, centres := range r.centres {
-		slices.Sort(centres)
-		r.centres[model] = slices.Compact(centres)
+	r.models = slices.Sorted(maps.Keys(r.dataCentres))
+	for model, dataCentres := range r.dataCentres {
+		slices.Sort(dataCentres)
+		r.dataCentres[model] = slices.Compact(dataCentres)
 	}
 	return r
 }
 
-func (r *round) add(e *Engine, t *target) {
+func (r *round) addEngine(e *Engine, t *target) {
 	r.engines = append(r.engines, e)
 	r.byID[e.ID] = e
 	for _, model := range e.Models {
-		r.centres[model] = append(r.centres[model], e.DataCentre)
+		r.dataCentres[model] = append(r.dataCentres[model], e.DataCentre)
 	}
 	if t == nil || !e.Known || e.Drain {
 		return
@@ -65,32 +65,32 @@
 }
 
 func (r *round) addModel(e *Engine, t *target, model string) {
-	_, has := e.has(model)
+	_, has := e.modelState(model)
 	switch wants := t.wants(model); {
 	case wants && e.ready(model):
 		r.ready[model] = append(r.ready[model], e)
 	case wants || has:
-		r.moving[model] = r.moving[model] || !e.fixed()
+		r.pending[model] = r.pending[model] || !e.singleModel()
 	}
 }
 
-// readyIn returns the ready runners of a model in a data centre.
-func (r *round) readyIn(place ModelLocation) int {
+// readyCount returns the number of ready replicas of a model in a data centre.
+func (r *round) readyCount(location ModelLocation) int {
 	count := 0
-	for _, e := range r.ready[place.Model] {
-		if e.DataCentre == place.DataCentre {
+	for _, e := range r.ready[location.Model] {
+		if e.DataCentre == location.DataCentre {
 			count++
 		}
 	}
 	return count
 }
 
-// spare returns the runners of which one must remain when the model leaves the
-// engine: any other one, or one of the data centre while that has demand or its
-// demand is unknown. None means that the model must stay.
-func (r *round) spare(model string, e *Engine) []domain.EndpointID {
-	load, known := r.demand[ModelLocation{model, e.DataCentre}]
-	anywhere := known && load.none()
+// otherReplicas returns the engines of which one must stay ready when the model
+// leaves this engine: all other replicas if the data centre is known to have no
+// demand, else those in the data centre. If there is none, the model must stay.
+func (r *round) otherReplicas(model string, e *Engine) []domain.EndpointID {
+	demand, known := r.demand[ModelLocation{model, e.DataCentre}]
+	anywhere := known && demand.isZero()
 	var others []domain.EndpointID
 	for _, other := range r.ready[model] {
 		if other.ID != e.ID && (anywhere || other.DataCentre == e.DataCentre) {
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -13,18 +13,20 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// demandTTL is how many periods demand stays known without being told again.
-const demandTTL = 4
+// demandTTLPeriods is the number of periods after which demand that is not
+// refreshed expires.
+const demandTTLPeriods = 4
 
-// Service is a node's part in coordination: it campaigns for the groups for which
-// it is a candidate, and tells the candidates what its own pools need.
+// Service is the coordinator of a node: it campaigns for the leases of the groups
+// for which the node is a candidate, and reports the demand on its own pools to the
+// candidates.
 type Service struct {
-	options Options
-	meters  *meters
-	board   *demandBoard
+	options  Options
+	counters *counters
+	demand   *demandTable
 
 	mu        sync.Mutex
-	outlook   *outlook
+	derived   *derivedState
 	campaigns map[string]*campaign
 }
 
@@ -36,24 +38,25 @@
 	}
 	s := &Service{
 		options:   o,
-		meters:    newMeters(o.Metrics),
-		board:     newDemandBoard(demandTTL * o.Period),
-		outlook:   newOutlook(nil, nil, 0),
+		counters:  newCounters(o.Metrics),
+		demand:    newDemandTable(demandTTLPeriods * o.Period),
+		derived:   newDerivedState(nil, nil, 0),
 		campaigns: make(map[string]*campaign),
 	}
-	peer.Handle(o.Transport, methodDemand, s.serveDemand)
+	peer.Handle(o.Transport, methodDemand, s.handleDemand)
 	return s, nil
 }
 
-// Run works until the context ends; then it gives up its leases.
+// Run campaigns and reports demand until the context ends; then it releases its
+// leases.
 func (s *Service) Run(ctx context.Context) error {
 	ticker := time.NewTicker(s.options.Period)
 	defer ticker.Stop()
-	defer s.stopAll()
+	defer s.stopCampaigns()
 	for {
 		s.refresh()
-		s.campaign(ctx)
-		s.tellDemand(ctx)
+		s.updateCampaigns(ctx)
+		s.sendDemand(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -62,19 +65,21 @@
 	}
 }
 
-// refresh returns what follows from the configuration in force and the members.
-func (s *Service) refresh() *outlook {
+// refresh returns the state derived from the current configuration and members,
+// computing it anew if either has changed.
+func (s *Service) refresh() *derivedState {
 	table, members := s.options.Config.Current(), s.options.Members.Current()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.outlook.of(table, members) {
-		s.outlook = newOutlook(table, members, s.options.Candidates)
+	if !s.derived.isFor(table, members) {
+		s.derived = newDerivedState(table, members, s.options.Candidates)
 	}
-	return s.outlook
+	return s.derived
 }
 
-// rowsOf returns the engines of the group that is led under a name.
-func (s *Service) rowsOf(name string) []*config.EndpointRow {
+// engineRows returns the engines of the group with the given name; none if the
+// group no longer exists.
+func (s *Service) engineRows(name string) []*config.EndpointRow {
 	g := s.refresh().layout.byModel[name]
 	if g == nil || g.name != name {
 		return nil
@@ -82,11 +87,12 @@
 	return g.rows
 }
 
-// campaign begins and ends candidacies.
-func (s *Service) campaign(ctx context.Context) {
+// updateCampaigns starts and stops campaigns as the candidates of the groups
+// change.
+func (s *Service) updateCampaigns(ctx context.Context) {
 	wanted := make(map[string]bool)
 	for group, members := range s.refresh().candidates {
-		if s.among(members) {
+		if s.includesSelf(members) {
 			wanted[group] = true
 		}
 	}
@@ -105,11 +111,11 @@
 	}
 }
 
-func (s *Service) among(members []domain.Member) bool {
+func (s *Service) includesSelf(members []domain.Member) bool {
 	return slices.ContainsFunc(members, s.options.Transport.Self().SameIncarnation)
 }
 
-func (s *Service) stopAll() {
+func (s *Service) stopCampaigns() {
 	s.mu.Lock()
 	all := s.campaigns
 	s.campaigns = make(map[string]*campaign)
@@ -120,34 +126,35 @@
 	}
 }
 
-// tellDemand tells the candidates of each group what this node's pools need.
-func (s *Service) tellDemand(ctx context.Context) {
-	o := s.refresh()
+// sendDemand reports the demand on the pools of this node to the candidates of each
+// group.
+func (s *Service) sendDemand(ctx context.Context) {
+	derived := s.refresh()
 	messages := make(map[domain.Member]*demandMessage)
-	for model, load := range s.options.Demand.Demand() {
-		for _, to := range o.candidatesOf(model) {
+	for model, demand := range s.options.Demand.Demand() {
+		for _, to := range derived.candidatesForModel(model) {
 			if messages[to] == nil {
 				messages[to] = &demandMessage{}
 			}
-			messages[to].Demands = append(messages[to].Demands, modelLoad{model, load})
+			messages[to].Demands = append(messages[to].Demands, demandEntry{model, demand})
 		}
 	}
 	for to, message := range messages {
 		if to.SameIncarnation(s.options.Transport.Self()) {
-			s.board.hear(time.Now(), to.DataCentre, message.Demands)
+			s.demand.update(time.Now(), to.DataCentre, message.Demands)
 			continue
 		}
-		_ = peer.Send(ctx, s.options.Transport, to, methodDemand, *message) // Told again soon.
+		_ = peer.Send(ctx, s.options.Transport, to, methodDemand, *message) // Sent again in the next period.
 	}
 }
 
-func (s *Service) serveDemand(_ context.Context, from domain.Member, m demandMessage) (struct{}, error) {
+func (s *Service) handleDemand(_ context.Context, from domain.Member, m demandMessage) (struct{}, error) {
 	if from.DataCentre == "" {
 		return struct{}{}, errNoDataCentre
 	}
-	s.board.hear(time.Now(), from.DataCentre, m.Demands)
+	s.demand.update(time.Now(), from.DataCentre, m.Demands)
 	return struct{}{}, nil
 }
 
-// errNoDataCentre is returned to a sender without a data centre.
+// errNoDataCentre rejects demand from a sender without a data centre.
 var errNoDataCentre = errors.New("coordinator: sender has no data centre")
--- a/coordinator/service_test.go
+++ b/coordinator/service_test.go
@@ -14,120 +14,121 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// takeover is more than a lease's TTL and the time to settle.
-const takeover = 3 * time.Minute
+// takeoverTime exceeds the TTL of a lease plus the settle time.
+const takeoverTime = 3 * time.Minute
 
 func isLoad(c call) bool   { return c.order != nil && c.order.Kind == endpoint.OrderLoad }
 func isUnload(c call) bool { return c.order != nil && c.order.Kind == endpoint.OrderUnload }
 
-// confirming suits the reading of an engine that follows another of the same
-// instant: the last one before an order.
-func confirming(id domain.EndpointID) func(call) bool {
+// isConfirmingRead returns a predicate for the second state read of an engine at
+// one instant: the read right before an order.
+func isConfirmingRead(id domain.EndpointID) func(call) bool {
 	var last time.Time
 	return func(c call) bool {
 		if c.id != id || c.order != nil {
 			return false
 		}
-		again := last.Equal(time.Now())
+		sameInstant := last.Equal(time.Now())
 		last = time.Now()
-		return again
+		return sameInstant
 	}
 }
 
-// idleOnes are two engines with two models each, of which nothing is needed: the
-// holder will unload one, after ten minutes.
-func idleOnes(ignores bool) []runner {
-	r := runner{serves: "a b", has: "a b", ignores: ignores}
-	return []runner{r, r}
+// idleEngines returns two engines with two models each and no demand: the holder
+// unloads one model after ten minutes.
+func idleEngines(ignores bool) []engineSpec {
+	r := engineSpec{serves: "a b", loaded: "a b", ignoresFencing: ignores}
+	return []engineSpec{r, r}
 }
 
-var idle = map[string]ModelDemand{"a": {}, "b": {}}
+var zeroDemand = map[string]ModelDemand{"a": {}, "b": {}}
 
-func TestHolderDiesInTheMiddleOfAnOrder(t *testing.T) {
+func TestHolderCrashesDuringOrder(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault callFault
-		// orders are those that arrive.
+		// orders is the number of orders that arrive.
 		orders int
-	}{{"before it arrived", callFault{lost: true}, 2}, {"after it arrived", callFault{answerLost: true}, 2}}
+	}{{"order lost", callFault{lost: true}, 2}, {"answer lost", callFault{answerLost: true}, 2}}
 	for _, c := range cases {
 		for _, ignores := range []bool{false, true} {
-			inFleet(t, []runner{{serves: "a", ignores: ignores}}, func(f *fleet) {
-				time.Sleep(takeover)
-				var dead *fleetNode
+			runFleetTest(t, []engineSpec{{serves: "a", ignoresFencing: ignores}}, func(f *fleet) {
+				time.Sleep(takeoverTime)
+				var crashed *fleetNode
 				for _, n := range f.nodes {
-					n.onCalls(func(made call) callFault {
-						if dead != nil || !isLoad(made) {
+					n.setCallFaults(func(attempt call) callFault {
+						if crashed != nil || !isLoad(attempt) {
 							return callFault{}
 						}
-						dead = n
+						crashed = n
 						n.client.SetDown(true)
-						n.end()
+						n.cancel()
 						return c.fault
 					})
 				}
 				f.engines["e1"].Crash()
-				time.Sleep(2 * takeover)
-				assert.Assert(t, f.holder() == f.other(dead), c.name)
-				f.serves("e1", "a")
+				time.Sleep(2 * takeoverTime)
+				assert.Assert(t, f.holder() == f.otherNode(crashed), c.name)
+				f.assertServes("e1", "a")
 				assert.Equal(t, len(f.orders("e1")), c.orders, c.name)
 			})
 		}
 	}
 }
 
-// TestPausedHolderWakesLate stops the holder for two minutes, before it looks at
-// its lease and after.
-func TestPausedHolderWakesLate(t *testing.T) {
+// TestHolderPausedBeyondLeaseExpiry pauses the holder for two minutes, before its
+// check of the lease and after it. The late order must be refused by an engine that
+// checks fencing numbers and corrected on one that ignores them.
+func TestHolderPausedBeyondLeaseExpiry(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
-		inFleet(t, []runner{{serves: "a", ignores: ignores}, {serves: "a"}}, func(f *fleet) {
-			time.Sleep(takeover)
+		runFleetTest(t, []engineSpec{{serves: "a", ignoresFencing: ignores}, {serves: "a"}}, func(f *fleet) {
+			time.Sleep(takeoverTime)
 			old := f.holder()
-			old.onCalls(once(1, confirming("e1"), func() callFault { return old.pause(2 * time.Minute) }))
+			old.setCallFaults(onNthCall(1, isConfirmingRead("e1"), func() callFault { return old.pause(2 * time.Minute) }))
 			f.engines["e1"].Crash()
-			time.Sleep(2 * takeover)
-			assert.Assert(t, f.holder() == f.other(old))
-			f.serves("e1", "a")
+			time.Sleep(2 * takeoverTime)
+			assert.Assert(t, f.holder() == f.otherNode(old))
+			f.assertServes("e1", "a")
 			orders := f.orders("e1")
 			assert.Equal(t, len(orders), 2, "%v", orders)
 			assert.Assert(t, orders[1].Order.Fence > orders[0].Order.Fence)
 		})
-		inFleet(t, idleOnes(ignores), func(f *fleet) {
-			f.need(idle)
-			time.Sleep(takeover)
+		runFleetTest(t, idleEngines(ignores), func(f *fleet) {
+			f.setDemand(zeroDemand)
+			time.Sleep(takeoverTime)
 			old := f.holder()
 			fence := old.Dump().Led[0].Fence
-			old.onCalls(once(1, isUnload, func() callFault { return old.pause(2 * time.Minute) }))
-			time.Sleep(2 * takeover)
+			old.setCallFaults(onNthCall(1, isUnload, func() callFault { return old.pause(2 * time.Minute) }))
+			time.Sleep(2 * takeoverTime)
 			assert.Equal(t, len(f.orders("e1")), 0)
-			time.Sleep(2 * takeover)
-			assert.Assert(t, f.holder() == f.other(old))
-			late := f.orders("e1")[0]
-			assert.Equal(t, late.Order.Fence, fence)
-			assert.Equal(t, late.Obeyed, ignores)
+			time.Sleep(2 * takeoverTime)
+			assert.Assert(t, f.holder() == f.otherNode(old))
+			lateOrder := f.orders("e1")[0]
+			assert.Equal(t, lateOrder.Order.Fence, fence)
+			assert.Equal(t, lateOrder.Obeyed, ignores)
 			if ignores {
-				// Noticed and corrected within a period.
-				again := f.orders("e1")[1]
-				assert.Equal(t, again.Order.Kind, endpoint.OrderLoad)
-				assert.Assert(t, again.At.Sub(late.At) <= 5*time.Second)
+				// Detected and corrected within a period.
+				correction := f.orders("e1")[1]
+				assert.Equal(t, correction.Order.Kind, endpoint.OrderLoad)
+				assert.Assert(t, correction.At.Sub(lateOrder.At) <= 5*time.Second)
 			}
-			f.serves("e1", "a", "b")
+			f.assertServes("e1", "a", "b")
 		})
 	}
 }
 
-// TestOrderUnderWayArrivesBeforeTheNextHolders delays the order of a holder that is
-// gone, on its way to an engine that ignores fencing numbers, by as much as the
-// next holder waits for: the margin and the time to settle.
-func TestOrderUnderWayArrivesBeforeTheNextHolders(t *testing.T) {
-	inFleet(t, []runner{{serves: "a", ignores: true}, {serves: "a"}}, func(f *fleet) {
-		time.Sleep(takeover)
+// TestDelayedOrderArrivesBeforeOrdersOfNextHolder delays the last order of a failed
+// holder, to an engine that ignores fencing numbers, by the time that the next
+// holder waits: the lease margin plus the settle time.
+func TestDelayedOrderArrivesBeforeOrdersOfNextHolder(t *testing.T) {
+	runFleetTest(t, []engineSpec{{serves: "a", ignoresFencing: true}, {serves: "a"}}, func(f *fleet) {
+		time.Sleep(takeoverTime)
 		old := f.holder()
 		fence := old.Dump().Led[0].Fence
-		old.onCalls(once(1, isLoad, func() callFault { return old.pause(44 * time.Second) }))
+		old.setCallFaults(onNthCall(1, isLoad, func() callFault { return old.pause(44 * time.Second) }))
 		f.engines["e1"].Crash()
-		time.Sleep(2 * takeover)
-		f.serves("e1", "a")
+		time.Sleep(2 * takeoverTime)
+		f.assertServes("e1", "a")
 		orders := f.orders("e1")
 		assert.Equal(t, orders[1].Order.Fence, fence)
 		for _, r := range orders {
@@ -136,8 +137,8 @@
 	})
 }
 
-func TestOnlyOneHolderGivesOrders(t *testing.T) {
-	inFleet(t, []runner{{serves: "a"}, {serves: "a", ignores: true}, {serves: "a b"}, {serves: "b"}}, func(f *fleet) {
+func TestOnlyOneHolderSendsOrders(t *testing.T) {
+	runFleetTest(t, []engineSpec{{serves: "a"}, {serves: "a", ignoresFencing: true}, {serves: "a b"}, {serves: "b"}}, func(f *fleet) {
 		for i := range 40 {
 			n := f.nodes[i%2]
 			n.client.SetDown(i%3 != 0)
@@ -147,21 +148,21 @@
 		for _, n := range f.nodes {
 			n.client.SetDown(false)
 		}
-		time.Sleep(takeover)
+		time.Sleep(takeoverTime)
 		for id := range f.engines {
 			for _, r := range f.engines[id].OrderLog() {
 				assert.Assert(t, !r.Old, "%s: %v", id, r)
 			}
 		}
 		for _, id := range []domain.EndpointID{"e1", "e2"} {
-			f.serves(id, "a")
+			f.assertServes(id, "a")
 		}
 	})
 }
 
 func TestStoreDown(t *testing.T) {
-	inFleet(t, []runner{{serves: "a"}, {serves: "a"}}, func(f *fleet) {
-		time.Sleep(takeover)
+	runFleetTest(t, []engineSpec{{serves: "a"}, {serves: "a"}}, func(f *fleet) {
+		time.Sleep(takeoverTime)
 		f.store.SetDown(true)
 		f.engines["e1"].Crash()
 		time.Sleep(15 * time.Second)
@@ -172,8 +173,8 @@
 		time.Sleep(10 * time.Minute)
 		assert.Equal(t, len(f.orders("e1")), 2)
 		f.store.SetDown(false)
-		time.Sleep(takeover)
-		f.serves("e1", "a")
+		time.Sleep(takeoverTime)
+		f.assertServes("e1", "a")
 		assert.Equal(t, len(f.orders("e1")), 3)
 	})
 }
@@ -182,23 +183,23 @@
 	cases := []struct {
 		name  string
 		fault callFault
-		// tries are the loads that were given after a restart, orders those that
+		// tries is the number of loads sent after a restart, orders the number that
 		// ever arrived.
 		tries, orders int
 	}{
-		{"sound", callFault{}, 1, 2},
+		{"no fault", callFault{}, 1, 2},
 		{"answer lost", callFault{answerLost: true}, 1, 2},
 		{"order lost", callFault{lost: true}, 2, 2},
-		{"order lost after its timeout", callFault{lost: true, hold: 3 * time.Second}, 2, 2},
+		{"order lost after its timeout", callFault{lost: true, delay: 3 * time.Second}, 2, 2},
 	}
 	for _, c := range cases {
-		inFleet(t, []runner{{serves: "a"}}, func(f *fleet) {
-			time.Sleep(takeover)
+		runFleetTest(t, []engineSpec{{serves: "a"}}, func(f *fleet) {
+			time.Sleep(takeoverTime)
 			tries := 0
 			var first time.Time
 			for _, n := range f.nodes {
-				n.onCalls(func(made call) callFault {
-					if !isLoad(made) {
+				n.setCallFaults(func(attempt call) callFault {
+					if !isLoad(attempt) {
 						return callFault{}
 					}
 					tries++
@@ -206,27 +207,28 @@
 						first = time.Now()
 						return c.fault
 					}
-					// The lost one may still be on its way for as long again.
-					assert.Check(t, time.Since(first) >= c.fault.hold+3*time.Second, c.name)
+					// The lost order may still arrive for this long.
+					assert.Check(t, time.Since(first) >= c.fault.delay+3*time.Second, c.name)
 					return callFault{}
 				})
 			}
 			f.engines["e1"].Crash()
-			time.Sleep(takeover)
-			f.serves("e1", "a")
+			time.Sleep(takeoverTime)
+			f.assertServes("e1", "a")
 			assert.Equal(t, tries, c.tries, c.name)
 			assert.Equal(t, len(f.orders("e1")), c.orders, c.name)
 		})
 	}
 }
 
-// TestEngineForgets restarts an engine, which is told again, and fenced again.
-func TestEngineForgets(t *testing.T) {
-	inFleet(t, []runner{{serves: "a"}, {serves: "a"}}, func(f *fleet) {
-		time.Sleep(takeover)
+// TestRestartedEngineIsLoadedAndFencedAgain restarts an engine, which loses its
+// models and its fencing number.
+func TestRestartedEngineIsLoadedAndFencedAgain(t *testing.T) {
+	runFleetTest(t, []engineSpec{{serves: "a"}, {serves: "a"}}, func(f *fleet) {
+		time.Sleep(takeoverTime)
 		f.engines["e1"].Crash()
 		time.Sleep(time.Minute)
-		f.serves("e1", "a")
+		f.assertServes("e1", "a")
 		state, err := f.engines["e1"].State(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, state.Fence, f.holder().Dump().Led[0].Fence)
@@ -235,33 +237,34 @@
 	})
 }
 
-// TestOvertakenHolderStepsDown lets an engine obey a greater number: the holder
-// stops, and comes back with a greater one still.
-func TestOvertakenHolderStepsDown(t *testing.T) {
+// TestSupersededHolderStepsDown makes an engine accept a greater fencing number:
+// the holder must step down and come back with a greater number still.
+func TestSupersededHolderStepsDown(t *testing.T) {
 	for _, ignores := range []bool{false, true} {
-		inFleet(t, []runner{{serves: "a", ignores: ignores}, {serves: "a"}}, func(f *fleet) {
+		runFleetTest(t, []engineSpec{{serves: "a", ignoresFencing: ignores}, {serves: "a"}}, func(f *fleet) {
 			unload := func(fence uint64) {
 				order := endpoint.Order{Fence: fence, Kind: endpoint.OrderUnload, Model: "a"}
 				assert.NilError(t, f.engines["e1"].Order(t.Context(), order))
 			}
-			time.Sleep(takeover)
+			time.Sleep(takeoverTime)
 			revision, err := f.store.NewClient().CompareAndSwap(t.Context(), "other", 0, nil, 0)
 			assert.NilError(t, err)
 			assert.Assert(t, uint64(revision) > f.holder().Dump().Led[0].Fence)
 			unload(uint64(revision))
-			time.Sleep(takeover)
-			f.serves("e1", "a")
+			time.Sleep(takeoverTime)
+			f.assertServes("e1", "a")
 			assert.Assert(t, f.holder().Dump().Led[0].Fence > uint64(revision))
-			// A greater number is a later holder's word also if nothing is to be done.
+			// A greater number means a later holder even if there is no order to
+			// send.
 			fence := f.holder().Dump().Led[0].Fence + 1
 			role := endpoint.Order{Fence: fence, Kind: endpoint.OrderSetRole, Role: endpoint.RoleMixed}
 			assert.NilError(t, f.engines["e1"].Order(t.Context(), role))
-			time.Sleep(takeover)
+			time.Sleep(takeoverTime)
 			assert.Assert(t, f.holder().Dump().Led[0].Fence > fence)
 			before := f.store.Counts()
 			unload(1 << 40)
 			time.Sleep(10 * time.Minute)
-			f.serves("e1")
+			f.assertServes("e1")
 			after := f.store.Counts()
 			calls := after.Writes + after.Reads + after.Watches - before.Writes - before.Reads - before.Watches
 			assert.Assert(t, calls < 600, "%d calls in ten minutes", calls)
@@ -269,14 +272,14 @@
 	}
 }
 
-// TestRefusedHolderStopsAtOnce lets an engine obey a greater number after it was
-// read, before the order.
-func TestRefusedHolderStopsAtOnce(t *testing.T) {
-	inFleet(t, []runner{{serves: "a"}, {serves: "a"}}, func(f *fleet) {
-		time.Sleep(takeover)
+// TestHolderStopsOnStaleFenceError makes an engine accept a greater fencing number
+// between the state read and the order.
+func TestHolderStopsOnStaleFenceError(t *testing.T) {
+	runFleetTest(t, []engineSpec{{serves: "a"}, {serves: "a"}}, func(f *fleet) {
+		time.Sleep(takeoverTime)
 		old := f.holder()
 		raised := make(chan struct{})
-		old.onCalls(once(1, isLoad, func() callFault {
+		old.setCallFaults(onNthCall(1, isLoad, func() callFault {
 			role := endpoint.Order{Fence: 1 << 40, Kind: endpoint.OrderSetRole, Role: endpoint.RoleMixed}
 			_ = f.engines["e1"].Order(context.Background(), role)
 			close(raised)
@@ -289,9 +292,9 @@
 	})
 }
 
-func TestLeavingNodeGivesTheLeaseUp(t *testing.T) {
-	inFleet(t, []runner{{serves: "a"}}, func(f *fleet) {
-		time.Sleep(takeover)
+func TestLeavingNodeReleasesLease(t *testing.T) {
+	runFleetTest(t, []engineSpec{{serves: "a"}}, func(f *fleet) {
+		time.Sleep(takeoverTime)
 		old := f.holder()
 		peers := slices.Clone(f.Current().Peers)
 		for i := range peers {
@@ -301,63 +304,64 @@
 		}
 		f.members.Store(&membership.Snapshot{Peers: peers})
 		time.Sleep(10 * time.Second)
-		assert.Assert(t, f.holder() == f.other(old))
+		assert.Assert(t, f.holder() == f.otherNode(old))
 		assert.Equal(t, len(old.Dump().Campaigns), 0)
 	})
 }
 
-// TestNeedlessOrderIsNotGiven loads an engine by another hand while the holder is
-// busy with the engine before it.
-func TestNeedlessOrderIsNotGiven(t *testing.T) {
-	inFleet(t, []runner{{serves: "a", ignores: true}, {serves: "a", ignores: true}}, func(f *fleet) {
-		time.Sleep(takeover)
-		f.holder().onCalls(once(1, isLoad, func() callFault {
+// TestUnneededOrderIsNotSent loads a model on an engine by another client while the
+// holder is busy with the previous engine.
+func TestUnneededOrderIsNotSent(t *testing.T) {
+	runFleetTest(t, []engineSpec{{serves: "a", ignoresFencing: true}, {serves: "a", ignoresFencing: true}}, func(f *fleet) {
+		time.Sleep(takeoverTime)
+		f.holder().setCallFaults(onNthCall(1, isLoad, func() callFault {
 			_ = f.engines["e2"].Order(context.Background(), endpoint.Order{Kind: endpoint.OrderLoad, Model: "a"})
 			return callFault{}
 		}))
 		f.engines["e1"].Crash()
 		f.engines["e2"].Crash()
-		time.Sleep(takeover)
-		f.serves("e1", "a")
-		f.serves("e2", "a")
+		time.Sleep(takeoverTime)
+		f.assertServes("e1", "a")
+		f.assertServes("e2", "a")
 		assert.Equal(t, len(f.orders("e1")), 2)
 		assert.Equal(t, len(f.orders("e2")), 2)
 	})
 }
 
-// TestDemandReachesTheHolder has the pools at the other node.
+// TestDemandReachesTheHolder reports the demand from the node that does not hold
+// the lease.
 func TestDemandReachesTheHolder(t *testing.T) {
-	inFleet(t, idleOnes(false), func(f *fleet) {
-		time.Sleep(takeover)
-		holder, other := f.holder(), f.other(f.holder())
-		assert.Equal(t, len(holder.board.current(time.Now())), 0)
+	runFleetTest(t, idleEngines(false), func(f *fleet) {
+		time.Sleep(takeoverTime)
+		holder, other := f.holder(), f.otherNode(f.holder())
+		assert.Equal(t, len(holder.demand.current(time.Now())), 0)
 		other.mu.Lock()
-		other.loads = idle
+		other.modelDemand = zeroDemand
 		other.mu.Unlock()
 		time.Sleep(15 * time.Minute)
 		assert.Assert(t, f.holder() == holder)
 		assert.Equal(t, len(f.orders("e1")), 1)
-		other.end()
+		other.cancel()
 		time.Sleep(time.Minute)
-		assert.Equal(t, len(holder.board.current(time.Now())), 0)
+		assert.Equal(t, len(holder.demand.current(time.Now())), 0)
 	})
 }
 
-// TestUnloadIsConfirmedByAWitness takes the other runner away between the reading of
-// the engines and the order.
-func TestUnloadIsConfirmedByAWitness(t *testing.T) {
-	inFleet(t, idleOnes(false), func(f *fleet) {
-		f.need(idle)
+// TestUnloadRequiresAnotherReadyReplica makes the other replica unavailable between
+// the planning of an unload and the order.
+func TestUnloadRequiresAnotherReadyReplica(t *testing.T) {
+	runFleetTest(t, idleEngines(false), func(f *fleet) {
+		f.setDemand(zeroDemand)
 		time.Sleep(9 * time.Minute)
 		for _, n := range f.nodes {
-			n.onCalls(once(1, confirming("e1"), func() callFault {
+			n.setCallFaults(onNthCall(1, isConfirmingRead("e1"), func() callFault {
 				f.engines["e2"].SetFaults(engine.Faults{Refuse: true})
 				return callFault{}
 			}))
 		}
 		time.Sleep(3 * time.Minute)
 		assert.Equal(t, len(f.orders("e1")), 0)
-		f.serves("e1", "a", "b")
+		f.assertServes("e1", "a", "b")
 	})
 }
 
@@ -373,20 +377,20 @@
 	add("q1", "q", membership.StatusAlive)
 	add("r1", "r", membership.StatusLeaving)
 	add("s1", "s", membership.StatusUnreachable)
-	firsts := make(map[domain.NodeID]bool)
+	firstNodes := make(map[domain.NodeID]bool)
 	for _, group := range []string{"a", "b", "c", "d", "e", "f"} {
 		chosen := candidates(group, &members, 3)
 		assert.Equal(t, len(chosen), 3)
-		centres := make(map[domain.DataCentre]int)
+		perDC := make(map[domain.DataCentre]int)
 		for _, m := range chosen {
-			centres[m.DataCentre]++
+			perDC[m.DataCentre]++
 		}
-		assert.DeepEqual(t, centres, map[domain.DataCentre]int{"p": 2, "q": 1})
-		firsts[chosen[0].Node] = true
+		assert.DeepEqual(t, perDC, map[domain.DataCentre]int{"p": 2, "q": 1})
+		firstNodes[chosen[0].Node] = true
 	}
-	assert.Assert(t, len(firsts) > 1)
+	assert.Assert(t, len(firstNodes) > 1)
 
-	inFleet(t, []runner{{serves: "c"}, {serves: "b a"}, {serves: "d"}, {serves: "c b"}}, func(f *fleet) {
+	runFleetTest(t, []engineSpec{{serves: "c"}, {serves: "b a"}, {serves: "d"}, {serves: "c b"}}, func(f *fleet) {
 		l := newLayout(f.table.Current())
 		assert.Equal(t, len(l.groups), 2)
 		assert.DeepEqual(t, l.byModel["c"].models, []string{"a", "b", "c"})
--- a/coordinator/sim_test.go
+++ b/coordinator/sim_test.go
@@ -15,45 +15,45 @@
 // simPeriod is the time between two calls of Plan.
 const simPeriod = 5 * time.Second
 
-// free is a weight store without a limit.
-type free struct{}
+// unlimitedLoads is a LoadBudget without a limit.
+type unlimitedLoads struct{}
 
-func (free) Take(time.Time, string) bool { return true }
+func (unlimitedLoads) Take(time.Time, string) bool { return true }
 
-// sim carries out a planner's orders on engines that do as they are told. After
-// each order it checks what must never happen.
+// sim carries out the orders of a planner on simulated engines. Before each order
+// it checks that an unload leaves another ready replica.
 type sim struct {
 	planner *Planner
 	engines []Engine
 	demand  map[ModelLocation]ModelDemand
-	weights LoadBudget
-	// loadTime is how long an engine loads, failing engines never do.
-	loadTime time.Duration
-	failing  map[domain.EndpointID]bool
-	now      time.Time
-	due      []dueLoad
-	steps    []Step
-	broken   string
-	// maxLoading is the most engines that were loading at a time.
+	budget  LoadBudget
+	// loadTime is the duration of a load; failing engines never begin one.
+	loadTime     time.Duration
+	failing      map[domain.EndpointID]bool
+	now          time.Time
+	pendingLoads []pendingLoad
+	steps        []Step
+	violation    string
+	// maxLoading is the greatest number of loads in progress at a time.
 	maxLoading int
 }
 
-type dueLoad struct {
-	engine int
-	model  string
-	at     time.Time
+type pendingLoad struct {
+	engine  int
+	model   string
+	readyAt time.Time
 }
 
 func newSim(options PlanOptions, engines ...Engine) *sim {
 	return &sim{
-		planner: NewPlanner(options), engines: engines, demand: make(map[ModelLocation]ModelDemand), weights: free{},
+		planner: NewPlanner(options), engines: engines, demand: make(map[ModelLocation]ModelDemand), budget: unlimitedLoads{},
 		loadTime: 10 * time.Second, failing: make(map[domain.EndpointID]bool), now: time.Unix(0, 0),
 	}
 }
 
-// machine is an engine "dc/number" that may serve the models and has those marked
-// with a star.
-func machine(id, dc string, models ...string) Engine {
+// testEngine returns an engine that may serve the models and has those marked with
+// a star ready.
+func testEngine(id, dc string, models ...string) Engine {
 	e := Engine{ID: domain.EndpointID(id), DataCentre: domain.DataCentre(dc), Known: true, OrdersAllowed: true}
 	for _, m := range models {
 		name, loaded := m, false
@@ -69,18 +69,17 @@
 	return e
 }
 
-// need sets the demand of a model in a data centre.
-func (s *sim) need(model, dc string, waiting, tokens int) *sim {
+func (s *sim) setDemand(model, dc string, waiting, tokens int) *sim {
 	s.demand[ModelLocation{model, domain.DataCentre(dc)}] = ModelDemand{Waiting: waiting, Tokens: tokens, Running: min(tokens, 1)}
 	return s
 }
 
-// run plans for a time, and returns the orders of that time as "kind model engine".
+// run plans for a time and returns the orders of that time as "kind model engine".
 func (s *sim) run(d time.Duration) []string {
 	first := len(s.steps)
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simPeriod) {
 		s.finishLoads()
-		for _, step := range s.planner.Plan(s.now, s.engines, s.demand, s.weights) {
+		for _, step := range s.planner.Plan(s.now, s.engines, s.demand, s.budget) {
 			s.check(step)
 			s.apply(step)
 		}
@@ -102,7 +101,7 @@
 			return
 		}
 	}
-	s.broken = fmt.Sprintf("last runner: %s %s at %v", step.Order.Model, step.Endpoint, s.now)
+	s.violation = fmt.Sprintf("last replica unloaded: %s %s at %v", step.Order.Model, step.Endpoint, s.now)
 }
 
 func (s *sim) index(id domain.EndpointID) int {
@@ -115,7 +114,7 @@
 	models := slices.DeleteFunc(slices.Clone(s.engines[i].State.Models), func(m endpoint.ModelState) bool { return m.Model == step.Order.Model })
 	if step.Order.Kind == endpoint.OrderLoad && !s.failing[step.Endpoint] {
 		models = append(models, endpoint.ModelState{Model: step.Order.Model, Version: step.Order.Version})
-		s.due = append(s.due, dueLoad{i, step.Order.Model, s.now.Add(s.loadTime)})
+		s.pendingLoads = append(s.pendingLoads, pendingLoad{i, step.Order.Model, s.now.Add(s.loadTime)})
 	}
 	s.engines[i].State.Models = models
 	s.maxLoading = max(s.maxLoading, s.loading())
@@ -134,8 +133,8 @@
 }
 
 func (s *sim) finishLoads() {
-	s.due = slices.DeleteFunc(s.due, func(d dueLoad) bool {
-		if s.now.Before(d.at) {
+	s.pendingLoads = slices.DeleteFunc(s.pendingLoads, func(d pendingLoad) bool {
+		if s.now.Before(d.readyAt) {
 			return false
 		}
 		models := slices.Clone(s.engines[d.engine].State.Models)
@@ -149,13 +148,13 @@
 	})
 }
 
-// forget is an engine's restart.
-func (s *sim) forget(i int) {
+// restartEngine makes an engine lose its models and its pending loads.
+func (s *sim) restartEngine(i int) {
 	s.engines[i].State.Models = nil
-	s.due = slices.DeleteFunc(s.due, func(d dueLoad) bool { return d.engine == i })
+	s.pendingLoads = slices.DeleteFunc(s.pendingLoads, func(d pendingLoad) bool { return d.engine == i })
 }
 
-func (s *sim) sound(t *testing.T) {
+func (s *sim) assertNoViolation(t *testing.T) {
 	t.Helper()
-	assert.Equal(t, s.broken, "")
+	assert.Equal(t, s.violation, "")
 }
--- a/coordinator/step.go
+++ b/coordinator/step.go
@@ -5,11 +5,11 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Step is an order to give next. Its Fence is filled in by the holder.
+// Step is a planned order. The holder of the lease fills in its fencing number.
 type Step struct {
 	Endpoint domain.EndpointID
 	Order    endpoint.Order
-	// Witnesses are engines of which one must have the model ready when it is
-	// unloaded here; none for a load.
+	// OtherReplicas are engines of which at least one must have the model ready
+	// when it is unloaded here; none for a load.
 	OtherReplicas []domain.EndpointID
 }
--- a/coordinator/target.go
+++ b/coordinator/target.go
@@ -4,32 +4,32 @@
 	"time"
 )
 
-// target is what an engine should serve.
+// target is the set of models that an engine should serve.
 type target struct {
-	models map[string]*wanted
-	// avoid tells until when a model is not tried here.
-	avoid map[string]time.Time
+	models map[string]*targetModel
+	// avoidUntil is the time until which a model is not placed on this engine.
+	avoidUntil map[string]time.Time
 }
 
-// wanted is a model of a target.
-type wanted struct {
+// targetModel is a model of a target.
+type targetModel struct {
 	version string
-	// since is when the engine last had it, or when it was first wanted.
-	since time.Time
+	// lastSeen is when the engine last had the model, or when the model was added.
+	lastSeen time.Time
 }
 
 func newTarget() *target {
-	return &target{models: make(map[string]*wanted), avoid: make(map[string]time.Time)}
+	return &target{models: make(map[string]*targetModel), avoidUntil: make(map[string]time.Time)}
 }
 
 func (t *target) wants(model string) bool { return t.models[model] != nil }
 
 func (t *target) add(now time.Time, model, version string) {
-	t.models[model] = &wanted{version: version, since: now}
+	t.models[model] = &targetModel{version: version, lastSeen: now}
 }
 
-// adoptTarget takes what the engine has as its target.
-func adoptTarget(now time.Time, e *Engine) *target {
+// initialTarget returns a target of the models that the engine has.
+func initialTarget(now time.Time, e *Engine) *target {
 	t := newTarget()
 	for _, m := range e.State.Models {
 		if e.allows(m.Model) {
@@ -39,37 +39,38 @@
 	return t
 }
 
-// refresh brings the target in line with the engine's row, and notes what the
-// engine has.
+// refresh brings the target in line with the row of the engine and records which
+// models the engine has.
 func (t *target) refresh(now time.Time, e *Engine) {
 	for model := range t.models {
 		if !e.allows(model) {
 			delete(t.models, model)
 		}
 	}
-	if e.fixed() && !t.wants(e.Models[0]) {
+	if e.singleModel() && !t.wants(e.Models[0]) {
 		t.add(now, e.Models[0], "")
 	}
-	for model, w := range t.models {
-		if m, ok := e.has(model); ok {
-			w.since, w.version = now, m.Version
+	for model, m := range t.models {
+		if state, ok := e.modelState(model); ok {
+			m.lastSeen, m.version = now, state.Version
 		}
 	}
 }
 
-// giveUp drops what the engine has failed to begin to load for too long.
-func (t *target) giveUp(now time.Time, e *Engine, patience time.Duration) {
-	for model, w := range t.models {
-		if e.fixed() || now.Sub(w.since) <= patience {
+// dropFailedLoads removes the models that the engine has not begun to load within
+// the timeout.
+func (t *target) dropFailedLoads(now time.Time, e *Engine, timeout time.Duration) {
+	for model, m := range t.models {
+		if e.singleModel() || now.Sub(m.lastSeen) <= timeout {
 			continue
 		}
 		delete(t.models, model)
-		t.avoid[model] = now.Add(patience)
+		t.avoidUntil[model] = now.Add(timeout)
 	}
 }
 
-// occupied counts the models that the engine has or should have.
-func (t *target) occupied(e *Engine) int {
+// modelCount returns the number of models that the engine has or should have.
+func (t *target) modelCount(e *Engine) int {
 	count := len(t.models)
 	for _, m := range e.State.Models {
 		if !t.wants(m.Model) {
--- a/coordinator/term.go
+++ b/coordinator/term.go
@@ -14,49 +14,50 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// readsAtOnce bounds the engines that are read at a time.
-const readsAtOnce = 16
+// maxConcurrentReads bounds the state reads in progress at a time.
+const maxConcurrentReads = 16
 
-// term is one holding of one group's lease.
+// term is one uninterrupted holding of the lease of a group.
 type term struct {
-	options Options
-	lease   FencedLease
-	fence   uint64
-	planner *Planner
-	meters  *meters
-	// rows returns the group's engines by the configuration in force.
-	rows   func() []*config.EndpointRow
-	demand func(now time.Time) map[ModelLocation]ModelDemand
-	begun  time.Time
-	// silent tells until when an engine gets no order, because one with an unknown
-	// outcome may still arrive.
-	silent map[domain.EndpointID]time.Time
-
-	mu   sync.Mutex
-	last GroupDump
+	options  Options
+	lease    FencedLease
+	fence    uint64
+	planner  *Planner
+	counters *counters
+	// rows returns the engines of the group in the current configuration.
+	rows      func() []*config.EndpointRow
+	demand    func(now time.Time) map[ModelLocation]ModelDemand
+	startedAt time.Time
+	// blockedUntil is the time until which an engine gets no order, because an
+	// earlier one with an unknown outcome may still arrive.
+	blockedUntil map[domain.EndpointID]time.Time
+
+	mu       sync.Mutex
+	lastDump GroupDump
 }
 
-func (s *Service) newTerm(name string, held FencedLease) *term {
+func (s *Service) newTerm(name string, lease FencedLease) *term {
 	return &term{
-		options: s.options,
-		lease:   held,
-		fence:   uint64(held.Fencing()),
-		planner: NewPlanner(s.options.Plan),
-		meters:  s.meters,
-		rows:    func() []*config.EndpointRow { return s.rowsOf(name) },
-		demand:  s.board.current,
-		begun:   time.Now(),
-		silent:  make(map[domain.EndpointID]time.Time),
+		options:      s.options,
+		lease:        lease,
+		fence:        uint64(lease.Fencing()),
+		planner:      NewPlanner(s.options.Plan),
+		counters:     s.counters,
+		rows:         func() []*config.EndpointRow { return s.engineRows(name) },
+		demand:       s.demand.current,
+		startedAt:    time.Now(),
+		blockedUntil: make(map[domain.EndpointID]time.Time),
 	}
 }
 
-// run works until the lease or the context ends, or an engine has obeyed a later
-// holder. It returns ErrSuperseded or ErrLeaseNotHeld, or the context's error.
+// run works until the lease or the context ends, or an engine has accepted the
+// fencing number of a later holder. It returns ErrSuperseded or ErrLeaseNotHeld, or
+// the error of the context.
 func (t *term) run(ctx context.Context) error {
 	ticker := time.NewTicker(t.options.Period)
 	defer ticker.Stop()
 	for {
-		if err := t.period(ctx); err != nil {
+		if err := t.runPeriod(ctx); err != nil {
 			return err
 		}
 		select {
@@ -67,28 +68,28 @@
 	}
 }
 
-// period reads all engines, lets the planner decide, and gives its orders.
-func (t *term) period(ctx context.Context) error {
-	engines := t.read(ctx, t.rows())
-	if err := t.open(ctx, engines); err != nil {
+// runPeriod reads the state of all engines, plans, and carries out the plan.
+func (t *term) runPeriod(ctx context.Context) error {
+	engines := t.readEngines(ctx, t.rows())
+	if err := t.checkOrdersAllowed(ctx, engines); err != nil {
 		return err
 	}
 	now := time.Now()
 	steps := t.planner.Plan(now, engines, t.demand(now), t.options.LoadBudget)
-	t.note(engines, steps)
+	t.recordDump(engines, steps)
 	for _, step := range steps {
-		if err := t.give(ctx, step); err != nil {
+		if err := t.execute(ctx, step); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// read reads what all engines say that they serve.
-func (t *term) read(ctx context.Context, rows []*config.EndpointRow) []Engine {
+// readEngines reads the state of all engines concurrently.
+func (t *term) readEngines(ctx context.Context, rows []*config.EndpointRow) []Engine {
 	engines := make([]Engine, len(rows))
 	var group errgroup.Group
-	group.SetLimit(readsAtOnce)
+	group.SetLimit(maxConcurrentReads)
 	for i, row := range rows {
 		group.Go(func() error {
 			engines[i] = t.readEngine(ctx, row)
@@ -100,8 +101,8 @@
 }
 
 func (t *term) readEngine(ctx context.Context, row *config.EndpointRow) Engine {
-	e := Engine{ID: row.ID, DataCentre: row.DataCentre, Models: modelsOf(row), Drain: row.Drain}
-	state, err := t.state(ctx, row.ID)
+	e := Engine{ID: row.ID, DataCentre: row.DataCentre, Models: modelsOfRow(row), Drain: row.Drain}
+	state, err := t.readState(ctx, row.ID)
 	if err != nil {
 		return e
 	}
@@ -109,8 +110,8 @@
 	return e
 }
 
-// state reads one engine back.
-func (t *term) state(ctx context.Context, id domain.EndpointID) (endpoint.EngineState, error) {
+// readState reads the state of one engine.
+func (t *term) readState(ctx context.Context, id domain.EndpointID) (endpoint.EngineState, error) {
 	orders, ok := t.options.Engines.Orders(id)
 	if !ok {
 		return endpoint.EngineState{}, errNoOrders
@@ -119,22 +120,22 @@
 	defer cancel()
 	state, err := orders.State(ctx)
 	if err != nil {
-		t.meters.unread.Inc()
+		t.counters.readFailures.Inc()
 	}
 	return state, err
 }
 
-// errNoOrders means that the endpoint takes no orders.
+// errNoOrders means that the endpoint has no order interface.
 var errNoOrders = errors.New("coordinator: endpoint takes no orders")
 
-// open finds out which engines may be given orders. An engine that checks fencing
-// numbers first obeys one of this holder that changes nothing: from then on it
-// refuses whatever a former holder sent. One that ignores them is left alone for
-// the settle time.
-func (t *term) open(ctx context.Context, engines []Engine) error {
-	checks := make(map[domain.EndpointID]bool)
+// checkOrdersAllowed determines which engines may be sent orders. An engine that
+// checks fencing numbers first gets an order of this holder that changes nothing:
+// once it has accepted that, it refuses late orders of former holders. An engine
+// that ignores fencing numbers gets no order during the settle time.
+func (t *term) checkOrdersAllowed(ctx context.Context, engines []Engine) error {
+	checksFencing := make(map[domain.EndpointID]bool)
 	for _, row := range t.rows() {
-		checks[row.ID] = row.ChecksFencing
+		checksFencing[row.ID] = row.ChecksFencing
 	}
 	for i := range engines {
 		e := &engines[i]
@@ -142,39 +143,39 @@
 			continue
 		}
 		if e.State.Fence > t.fence {
-			return t.overtaken(e.ID, e.State.Fence)
+			return t.supersededError(e.ID, e.State.Fence)
 		}
-		silent := time.Now().Before(t.silent[e.ID])
-		if !checks[e.ID] {
-			e.OrdersAllowed = !silent && time.Since(t.begun) >= t.options.settleTime()
+		blocked := time.Now().Before(t.blockedUntil[e.ID])
+		if !checksFencing[e.ID] {
+			e.OrdersAllowed = !blocked && time.Since(t.startedAt) >= t.options.settleTime()
 			continue
 		}
-		fenced, err := t.raise(ctx, e)
+		fenced, err := t.raiseFence(ctx, e)
 		if err != nil {
 			return err
 		}
-		e.OrdersAllowed = fenced && !silent
+		e.OrdersAllowed = fenced && !blocked
 	}
 	return nil
 }
 
-// raise makes the engine obey this holder's fencing number, by an order to be
-// what it is.
-func (t *term) raise(ctx context.Context, e *Engine) (bool, error) {
+// raiseFence raises the fencing number of the engine to that of this holder, by an
+// order to keep its current role.
+func (t *term) raiseFence(ctx context.Context, e *Engine) (bool, error) {
 	if e.State.Fence == t.fence {
 		return true, nil
 	}
 	if e.State.Role == "" {
-		return true, nil // Nothing to say that changes nothing: the first real order raises it.
+		return true, nil // No order would change nothing; the first load or unload raises the number.
 	}
 	order := endpoint.Order{Kind: endpoint.OrderSetRole, Role: e.State.Role}
-	err := t.order(ctx, e.ID, order)
+	err := t.sendOrder(ctx, e.ID, order)
 	if errors.Is(err, ErrSuperseded) || errors.Is(err, ErrLeaseNotHeld) {
 		return false, err
 	}
 	return err == nil, nil
 }
 
-func (t *term) overtaken(id domain.EndpointID, fence uint64) error {
-	return fmt.Errorf("%w: %s has obeyed %d, this holder has %d", ErrSuperseded, id, fence, t.fence)
+func (t *term) supersededError(id domain.EndpointID, fence uint64) error {
+	return fmt.Errorf("%w: %s has accepted fencing number %d, this holder has %d", ErrSuperseded, id, fence, t.fence)
 }
