--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,5 +1,5 @@
-// Package boottime tells time that goes on while the machine is suspended and never jumps. Go's steady clock stands
-// still during a suspension and the time of day may be set, so neither can bound the age of what a process knows.
+// Package boottime reads a clock that never jumps and goes on while the machine is suspended. The monotonic clock of Go
+// stops during a suspension and the wall clock may be set, so neither can bound the age of data held by a process.
 package boottime
 
 import (
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is the time since the machine booted, suspensions included.
+// Instant is the time since the machine booted, including suspensions.
 type Instant time.Duration
 
 // Clock returns the current instant. Tests replace it.
@@ -24,8 +24,6 @@
 	return Instant(ts.Nano())
 }
 
-// Add returns the instant d later.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
-// Sub returns the time from o to i.
 func (i Instant) Sub(o Instant) time.Duration { return time.Duration(i - o) }
--- a/defaults/defaults.go
+++ b/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills in options that were left out.
+// Package defaults sets the default values of options.
 package defaults
 
-// Set gives the field the value if it is zero.
+// Set sets the field to the value if it is zero.
 func Set[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -9,7 +9,7 @@
 	}
 }
 
-// Positive returns the value if it is above zero, else the fallback.
+// Positive returns the value if it is positive, otherwise the fallback.
 func Positive[T ~int | ~int64](value, fallback T) T {
 	if value > 0 {
 		return value
--- a/domain/doc.go
+++ b/domain/doc.go
@@ -1,4 +1,5 @@
-// Package domain holds the words that every other package shares: identifiers
-// of hosts, organisations and endpoints, tiers of service, request keys and the
-// outcomes a caller can be told. It does no I/O and depends on nothing else.
+// Package domain defines the types shared by all packages: identifiers of hosts,
+// organisations and endpoints, tiers of service, request keys and the request
+// outcomes reported to callers. It does no I/O and imports no other package of the
+// module.
 package domain
--- a/domain/escape.go
+++ b/domain/escape.go
@@ -2,5 +2,6 @@
 
 import "net/url"
 
-// escape makes a part of a composite name safe to join with colons.
+// escape encodes a part of a composite name so that parts can be joined with
+// colons.
 func escape(s string) string { return url.QueryEscape(s) }
--- a/domain/outcome.go
+++ b/domain/outcome.go
@@ -1,15 +1,16 @@
 package domain
 
-// Outcome is what a caller is told about its request when there is no answer.
+// Outcome is reported to a caller about its request when there is no answer.
 type Outcome string
 
 const (
-	// OutcomeNotRun is a promise: the request was not dispatched to any endpoint
-	// and this attempt will not be.
+	// OutcomeNotRun guarantees that the request was not dispatched to any endpoint
+	// and that this attempt will not dispatch it.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown means that nobody reachable can tell.
+	// OutcomeUnknown means that no reachable node knows whether the request was
+	// run.
 	OutcomeUnknown Outcome = "unknown"
 	// OutcomeRan means that the request was dispatched to an endpoint. The answer
-	// may be incomplete or no longer held.
+	// may be incomplete or no longer stored.
 	OutcomeRan Outcome = "ran"
 )
--- a/session/authority.go
+++ b/session/authority.go
@@ -15,34 +15,33 @@
 )
 
 const (
-	// DefaultLifetime is how long a session may be used.
+	// DefaultLifetime is how long a session is valid.
 	DefaultLifetime = 24 * time.Hour
-	// MinSecretBytes is the shortest secret accepted.
+	// MinSecretBytes is the minimum length of a secret.
 	MinSecretBytes = 32
-	// MaxTokenBytes bounds the text that Verify looks at.
+	// MaxTokenBytes is the maximum length of a token that Verify decodes.
 	MaxTokenBytes = 1024
-	// clockSkew is how far the clocks of two nodes may lie apart.
+	// clockSkew is the tolerated difference between the clocks of two nodes.
 	clockSkew = 5 * time.Minute
 
-	prefix = "hrs1."
+	tokenPrefix = "hrs1."
 )
 
 var encoding = base64.RawURLEncoding
 
-// Authority issues and verifies tokens, authenticated with HMAC-SHA256. All
-// nodes share the secrets. Expiry is the one thing that goes by the wall clock:
-// it decides only whether a session may go on being used, never whether a
-// request was run.
+// Authority issues and verifies tokens, authenticated with HMAC-SHA256. All nodes
+// share the secrets. Only expiry depends on the wall clock: it decides whether a
+// session may still be used, never whether a request was run.
 type Authority struct {
 	secrets  [][]byte
 	lifetime time.Duration
 }
 
 // NewAuthority returns an authority that signs with the first secret and accepts
-// tokens made with any, so that secrets can be changed without ending sessions:
-// add the new one at the end everywhere, move it to the front everywhere, then
-// drop the old one after a lifetime. A zero lifetime means DefaultLifetime. It
-// returns ErrInvalidSecret.
+// tokens signed with any, so that secrets can be rotated without ending sessions:
+// append the new secret on all nodes, move it to the front on all nodes, and remove
+// the old one after a lifetime. A zero lifetime means DefaultLifetime. NewAuthority
+// returns ErrInvalidSecret if a secret is too short or there is none.
 func NewAuthority(secrets [][]byte, lifetime time.Duration) (*Authority, error) {
 	if len(secrets) == 0 {
 		return nil, ErrInvalidSecret
@@ -58,7 +57,7 @@
 	return &Authority{secrets: secrets, lifetime: lifetime}, nil
 }
 
-// Issue starts a session and returns its token.
+// Issue creates a session and returns it with its token.
 func (a *Authority) Issue(home domain.DataCentre, organisation domain.OrganisationID, now time.Time) (Session, string, error) {
 	session := Session{
 		ID:           uuid.NewString(),
@@ -71,18 +70,18 @@
 		return Session{}, "", fmt.Errorf("session: encode: %w", err)
 	}
 	mac := sign(a.secrets[0], payload)
-	return session, prefix + encoding.EncodeToString(payload) + "." + encoding.EncodeToString(mac), nil
+	return session, tokenPrefix + encoding.EncodeToString(payload) + "." + encoding.EncodeToString(mac), nil
 }
 
-// Verify returns what the token says if it was issued with one of the secrets,
-// has not expired and belongs to the organisation; else ErrMalformed, ErrInvalidSignature,
-// ErrExpired or ErrWrongOrganisation.
+// Verify returns the session of the token if the token is signed with one of the
+// secrets, has not expired and belongs to the organisation; otherwise it returns
+// ErrMalformed, ErrInvalidSignature, ErrWrongOrganisation or ErrExpired.
 func (a *Authority) Verify(token string, organisation domain.OrganisationID, now time.Time) (Session, error) {
-	payload, mac, err := split(token)
+	payload, mac, err := splitToken(token)
 	if err != nil {
 		return Session{}, err
 	}
-	if !a.genuine(payload, mac) {
+	if !a.validMAC(payload, mac) {
 		return Session{}, ErrInvalidSignature
 	}
 	var session Session
@@ -98,7 +97,7 @@
 	return session, nil
 }
 
-func (a *Authority) genuine(payload, mac []byte) bool {
+func (a *Authority) validMAC(payload, mac []byte) bool {
 	for _, secret := range a.secrets {
 		if hmac.Equal(mac, sign(secret, payload)) {
 			return true
@@ -107,19 +106,19 @@
 	return false
 }
 
-func split(token string) (payload, mac []byte, err error) {
-	rest, ok := strings.CutPrefix(token, prefix)
+func splitToken(token string) (payload, mac []byte, err error) {
+	rest, ok := strings.CutPrefix(token, tokenPrefix)
 	if !ok || len(token) > MaxTokenBytes {
 		return nil, nil, ErrMalformed
 	}
-	first, second, ok := strings.Cut(rest, ".")
+	encodedPayload, encodedMAC, ok := strings.Cut(rest, ".")
 	if !ok {
 		return nil, nil, ErrMalformed
 	}
-	if payload, err = encoding.DecodeString(first); err != nil {
+	if payload, err = encoding.DecodeString(encodedPayload); err != nil {
 		return nil, nil, ErrMalformed
 	}
-	if mac, err = encoding.DecodeString(second); err != nil {
+	if mac, err = encoding.DecodeString(encodedMAC); err != nil {
 		return nil, nil, ErrMalformed
 	}
 	return payload, mac, nil
@@ -127,7 +126,7 @@
 
 func sign(secret, payload []byte) []byte {
 	mac := hmac.New(sha256.New, secret)
-	mac.Write([]byte(prefix))
+	mac.Write([]byte(tokenPrefix))
 	mac.Write(payload)
 	return mac.Sum(nil)
 }
--- a/session/authority_test.go
+++ b/session/authority_test.go
@@ -27,7 +27,7 @@
 
 func TestVerify(t *testing.T) {
 	issuer := authority(t, oldSecret)
-	made, token, err := issuer.Issue("palermo", "cucine", issued)
+	want, token, err := issuer.Issue("palermo", "cucine", issued)
 	assert.NilError(t, err)
 	_, other, err := issuer.Issue("palermo", "pryce", issued)
 	assert.NilError(t, err)
@@ -42,7 +42,7 @@
 		after        time.Duration
 		want         error
 	}{
-		{"good", issuer, token, "cucine", time.Minute, nil},
+		{"valid", issuer, token, "cucine", time.Minute, nil},
 		{"secret rotated", authority(t, newSecret, oldSecret), token, "cucine", time.Minute, nil},
 		{"secret dropped", authority(t, newSecret), token, "cucine", time.Minute, session.ErrInvalidSignature},
 		{"other organisation", issuer, token, "pryce", time.Minute, session.ErrWrongOrganisation},
@@ -59,7 +59,7 @@
 			got, err := test.verifier.Verify(test.token, test.organisation, issued.Add(test.after))
 			assert.ErrorIs(t, err, test.want)
 			if test.want == nil {
-				assert.Equal(t, got, made)
+				assert.Equal(t, got, want)
 			}
 		})
 	}
--- a/session/session.go
+++ b/session/session.go
@@ -6,20 +6,19 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Header is the HTTP header that carries the token, both ways.
+// Header is the HTTP header that carries the token in requests and responses.
 const Header = "Hawthornrill-Session"
 
-// Session is what a token says.
+// Session is the payload of a token.
 type Session struct {
-	// ID is unique.
+	// ID is unique over all sessions.
 	ID string `cbor:"1,keyasint"`
-	// Organisation is the only one that may use the session.
+	// Organisation is the only organisation that may use the session.
 	Organisation domain.OrganisationID `cbor:"2,keyasint"`
-	// Home is the data centre that decides the session's request keys.
+	// Home is the data centre that decides the request keys of the session.
 	Home domain.DataCentre `cbor:"3,keyasint"`
 	// Expires is in seconds since 1970.
 	Expires int64 `cbor:"4,keyasint"`
 }
 
-// ExpiresAt returns the expiry as a time.
 func (s Session) ExpiresAt() time.Time { return time.Unix(s.Expires, 0) }
