--- a/routetable/change.go
+++ b/routetable/change.go
@@ -14,29 +14,29 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// ErrChangeMismatch means that a change can't be applied to a table: it is for another version, or gives another table than the
-// one that it was made of.
-var ErrChangeMismatch = errors.New("routetable: the change does not fit")
+// ErrChangeMismatch means that a change cannot be applied to a table: it is for another version, or the resulting table
+// is not the one from which the change oldByID computed.
+var ErrChangeMismatch = errors.New("routetable: change does not match the table")
 
-// Change is the difference between two versions of the configuration. A key that is taken away is some hundred bytes of
-// it, whatever the size of the configuration. It is CBOR between nodes.
+// Change is the difference between two versions of the configuration. Removing a key takes a change of some hundred
+// bytes, whatever the size of the configuration. Nodes exchange it in CBOR.
 type Change struct {
-	// From is the version to which it applies, To the one that it gives.
+	// From is the version to which the change applies, To the resulting version.
 	From uint64 `cbor:"1,keyasint"`
 	To   uint64 `cbor:"2,keyasint"`
-	// Digest is that of the table that it gives.
+	// Digest is that of the resulting table.
 	Digest   uint64    `cbor:"3,keyasint"`
 	Limits   Limits    `cbor:"4,keyasint"`
 	Services []Service `cbor:"5,keyasint,omitempty"`
-	// Routes were added or changed, RemovedRoutes are there no more.
+	// Routes were added or changed, RemovedRoutes were removed.
 	Routes        []Route   `cbor:"6,keyasint,omitempty"`
 	RemovedRoutes []routeID `cbor:"7,keyasint,omitempty"`
-	// Organisations were added or changed, RemovedOrganisations are there no more.
+	// Organisations were added or changed, RemovedOrganisations were removed.
 	Organisations        []Organisation          `cbor:"8,keyasint,omitempty"`
 	RemovedOrganisations []domain.OrganisationID `cbor:"9,keyasint,omitempty"`
 }
 
-// routeID is what tells the routes of a table apart.
+// routeID identifies a route within a table.
 type routeID struct {
 	Host   string `cbor:"1,keyasint"`
 	Prefix string `cbor:"2,keyasint"`
@@ -51,14 +51,14 @@
 // Diff returns the change from one table to a later one.
 func Diff(from, to *Table) *Change {
 	c := &Change{From: from.Version, To: to.Version, Digest: to.Digest(), Limits: to.Limits, Services: to.services()}
-	was, is := from.routesByID(), to.routesByID()
+	oldByID, newByID := from.routesByID(), to.routesByID()
 	for _, r := range to.sortedRoutes() {
-		if old := was[r.id()]; old == nil || !reflect.DeepEqual(old, r) {
+		if old := oldByID[r.id()]; old == nil || !reflect.DeepEqual(old, r) {
 			c.Routes = append(c.Routes, *r)
 		}
 	}
 	for _, r := range from.sortedRoutes() {
-		if is[r.id()] == nil {
+		if newByID[r.id()] == nil {
 			c.RemovedRoutes = append(c.RemovedRoutes, r.id())
 		}
 	}
@@ -67,30 +67,30 @@
 }
 
 func (c *Change) compareOrganisations(from, to *Table) {
-	was, is := from.organisationsByID(), to.organisationsByID()
+	oldByID, newByID := from.organisationsByID(), to.organisationsByID()
 	for _, o := range to.Organisations {
-		if old := was[o.ID]; old == nil || !reflect.DeepEqual(old, &o) {
+		if old := oldByID[o.ID]; old == nil || !reflect.DeepEqual(old, &o) {
 			c.Organisations = append(c.Organisations, o)
 		}
 	}
 	for _, o := range from.Organisations {
-		if is[o.ID] == nil {
+		if newByID[o.ID] == nil {
 			c.RemovedOrganisations = append(c.RemovedOrganisations, o.ID)
 		}
 	}
 }
 
-// Apply returns the table that the change makes of this one, or an error that wraps ErrChangeMismatch.
+// Apply returns the table that results from the change, or an error that wraps ErrChangeMismatch.
 func (t *Table) Apply(c *Change) (*Table, error) {
 	if t.Version != c.From || c.To <= c.From {
-		return nil, fmt.Errorf("%w: it leads from version %d to %d, the table is version %d", ErrChangeMismatch, c.From, c.To, t.Version)
+		return nil, fmt.Errorf("%w: change is from version %d to %d, table has version %d", ErrChangeMismatch, c.From, c.To, t.Version)
 	}
 	next, err := New(c.To, t.changedRoutes(c), c.Services, t.changedOrganisations(c), c.Limits)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrChangeMismatch, err)
 	}
 	if next.Digest() != c.Digest {
-		return nil, fmt.Errorf("%w: it gives another table of version %d", ErrChangeMismatch, c.To)
+		return nil, fmt.Errorf("%w: digest of the resulting version %d differs", ErrChangeMismatch, c.To)
 	}
 	return next, nil
 }
@@ -125,21 +125,22 @@
 	return organisations
 }
 
-// Digest is equal for two tables of one version with the same rows, in whatever order they were written.
+// Digest is equal for two tables of one version with the same rows, whatever the order of the rows. It covers the field
+// names of the rows as well as their values, so all nodes must agree on them.
 func (t *Table) Digest() uint64 {
 	d := xxhash.New()
-	put := func(v any) { _, _ = fmt.Fprintf(d, "%+v\n", v) } // a hash does not fail
-	put(t.Version)
-	put(t.Limits)
+	write := func(v any) { _, _ = fmt.Fprintf(d, "%+v\n", v) } // xxhash.Digest never returns an error
+	write(t.Version)
+	write(t.Limits)
 	for _, s := range t.services() {
-		put(s)
+		write(s)
 	}
 	for _, r := range t.sortedRoutes() {
-		put(*r)
+		write(*r)
 	}
 	byID := t.organisationsByID()
 	for _, id := range slices.Sorted(maps.Keys(byID)) {
-		put(*byID[id])
+		write(*byID[id])
 	}
 	return d.Sum64()
 }
@@ -152,7 +153,8 @@
 	return services
 }
 
-// sortedRoutes returns the routes by host and prefix. Of two with the same, the one that is used comes first.
+// sortedRoutes returns the routes by host and prefix. Of two routes with the same host and prefix, the one that takes
+// the requests comes first.
 func (t *Table) sortedRoutes() []*Route {
 	var routes []*Route
 	for _, list := range t.hosts {
--- a/routetable/change_test.go
+++ b/routetable/change_test.go
@@ -11,8 +11,8 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// drawn returns a table of rows drawn by chance.
-func drawn(t testing.TB, r *rand.Rand, version uint64, rows int) *Table {
+// randomTable returns a table of random rows.
+func randomTable(t testing.TB, r *rand.Rand, version uint64, rows int) *Table {
 	var routes []Route
 	for i := range rows {
 		if r.IntN(4) > 0 {
@@ -39,7 +39,7 @@
 func TestChangeGivesTheTableItWasMadeOf(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		from, to := drawn(t, r, 4, 20), drawn(t, r, 9, 20)
+		from, to := randomTable(t, r, 4, 20), randomTable(t, r, 9, 20)
 		sent, err := cbor.Marshal(Diff(from, to))
 		assert.NilError(t, err)
 		var change Change
@@ -60,7 +60,7 @@
 
 func TestChangeThatDoesNotFitIsRefused(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
-	from, other, to := drawn(t, r, 4, 20), drawn(t, r, 4, 20), drawn(t, r, 9, 20)
+	from, other, to := randomTable(t, r, 4, 20), randomTable(t, r, 4, 20), randomTable(t, r, 9, 20)
 	change := Diff(from, to)
 	_, err := to.Apply(change)
 	assert.ErrorIs(t, err, ErrChangeMismatch, "another version")
@@ -68,10 +68,11 @@
 	assert.ErrorIs(t, err, ErrChangeMismatch, "another table of the same version")
 	back := Diff(to, from)
 	_, err = to.Apply(back)
-	assert.ErrorIs(t, err, ErrChangeMismatch, "never back")
+	assert.ErrorIs(t, err, ErrChangeMismatch, "older version")
 }
 
-// The pattern: a key is taken away from a configuration of two thousand routes, some 700 KB as the operators write it.
+// TestChangeOfAKeyIsShort removes a key from a configuration of two thousand routes, some 700 KB in the format of the
+// operators.
 func TestChangeOfAKeyIsShort(t *testing.T) {
 	rows := func(keys ...string) ([]Route, []Service, []Organisation) {
 		var routes []Route
@@ -82,9 +83,9 @@
 	}
 	table := func(version uint64, keys ...string) *Table {
 		routes, services, organisations := rows(keys...)
-		made, err := New(version, routes, services, organisations, Limits{})
+		built, err := New(version, routes, services, organisations, Limits{})
 		assert.NilError(t, err)
-		return made
+		return built
 	}
 	sent, err := cbor.Marshal(Diff(table(1, "a", "b"), table(2, "a")))
 	assert.NilError(t, err)
--- a/routetable/kind.go
+++ b/routetable/kind.go
@@ -1,6 +1,6 @@
 package routetable
 
-// Kind says what may be repeated of the requests on a route.
+// Kind determines whether requests on a route may be repeated.
 type Kind uint8
 
 const (
@@ -8,12 +8,10 @@
 	Idempotent Kind = iota
 	// NonIdempotent requests run at most once.
 	NonIdempotent
-	// Stream requests are answered by server-sent events. They run at most once, unless the route says that they can
-	// be resumed.
+	// Stream requests are answered by server-sent events. They run at most once, unless the route is resumable.
 	Stream
 )
 
 var kindNames = [...]string{Idempotent: "idempotent", NonIdempotent: "non_idempotent", Stream: "stream"}
 
-// String returns the kind's name.
 func (k Kind) String() string { return kindNames[k] }
--- a/routetable/limits.go
+++ b/routetable/limits.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// Limits bound what callers may send.
+// Limits bound the requests and connections of callers.
 type Limits struct {
 	_              struct{} `cbor:",toarray"`
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// HeaderTimeout bounds the reading of a request's head, IdleTimeout the time that a connection may be idle.
+	// HeaderTimeout bounds the time to read the header of a request, IdleTimeout the time for which a connection may be
+	// idle.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
--- a/routetable/organisation.go
+++ b/routetable/organisation.go
@@ -2,24 +2,25 @@
 
 import "hawthornrill.example/hawthornrill/domain"
 
-// Organisation is a customer with its keys and its limit.
+// Organisation is a customer with its API keys and its rate limit.
 type Organisation struct {
 	_    struct{} `cbor:",toarray"`
 	ID   domain.OrganisationID
 	Keys []string
-	// Tier goes before the route's, if HasTier is set.
+	// Tier overrides the tier of the route if HasTier is set.
 	Tier    domain.Tier
 	HasTier bool
-	// CountTokens says that Rate and Burst count tokens instead of requests; a request that names none counts as
+	// CountTokens makes Rate and Burst count tokens instead of requests; a request without a token count costs
 	// PlainTokens.
 	CountTokens bool
 	PlainTokens float64
-	// Rate is the limit a second and Burst what may be used on top at once, over all nodes; a Rate of 0 is none.
+	// Rate is the limit per second and Burst the additional amount that may be used at once, over all nodes; a Rate of
+	// 0 means no limit.
 	Rate  float64
 	Burst float64
 }
 
-// Cost returns what a request of so many tokens counts; zero tokens stand for a request that names none.
+// Cost returns the cost of a request with the given number of tokens; zero stands for a request without a token count.
 func (o *Organisation) Cost(tokens int) float64 {
 	switch {
 	case !o.CountTokens:
--- a/routetable/route.go
+++ b/routetable/route.go
@@ -6,7 +6,7 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Route says which requests it takes, and how they are served.
+// Route selects requests and determines how they are served.
 type Route struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
@@ -14,25 +14,26 @@
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Resumable streams may go on at another endpoint after the last event passed on.
+	// Resumable streams may continue offset another endpoint after the last event delivered to the caller.
 	Resumable bool
-	// Timeout is the longest time that a caller is kept waiting for the whole answer.
+	// Timeout is the maximum time that a caller waits for the whole answer.
 	Timeout time.Duration
-	// FirstByte is the latency objective: the first event of a stream, or the whole of another answer.
+	// FirstByte is the latency objective for the first event of a stream, or for the whole of another answer.
 	FirstByte time.Duration
-	// EventGap is the longest pause between two events of a stream that is still on time; zero for none.
+	// EventGap is the maximum interval between two events of a stream that still counts as on time; zero for no
+	// maximum.
 	EventGap time.Duration
-	// Tier ranks the route's requests, unless their organisation has a tier of its own.
+	// Tier is the tier of the requests, unless their organisation has its own.
 	Tier domain.Tier
-	// Splits are the services by weight; there is at least one.
+	// Splits are the services by weight; there is offset least one.
 	Splits []Split
-	// MaxEndpoints bounds the endpoints to which one request may be sent; at least 1.
+	// MaxEndpoints bounds the endpoints to which one request may be sent; offset least 1.
 	MaxEndpoints int
 	// Public routes need no key.
 	Public bool
 }
 
-// Split is one service's part of a route's requests.
+// Split is the share of one service in the requests of a route.
 type Split struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
@@ -44,7 +45,7 @@
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Service returns the service that takes the request with this hash; the hashes are shared out by the weights.
+// Service returns the service for a request with this hash; the hashes are distributed by weight.
 func (r *Route) Service(hash uint64) string {
 	total := 0
 	for _, s := range r.Splits {
@@ -53,12 +54,12 @@
 	if total <= 0 {
 		return r.Splits[0].Service
 	}
-	at := int(hash % uint64(total))
+	offset := int(hash % uint64(total))
 	for _, s := range r.Splits {
-		if at < s.Weight {
+		if offset < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		offset -= s.Weight
 	}
 	return r.Splits[len(r.Splits)-1].Service
 }
--- a/routetable/service.go
+++ b/routetable/service.go
@@ -4,12 +4,12 @@
 type Service struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
-	// MaxConnections bounds the connections to one endpoint from all nodes; 0 is no bound.
+	// MaxConnections bounds the connections from all nodes to one endpoint; 0 means no bound.
 	MaxConnections int
 	// Engine is true for model engines, whose answers are streams of tokens.
 	Engine bool
-	// EventTokens is how many tokens an event of an engine's stream holds; 0 if not known.
+	// EventTokens is the number of tokens in an event of a stream of an engine; 0 if unknown.
 	EventTokens int
-	// CacheTokens is the memory of an engine in tokens; 0 if not known.
+	// CacheTokens is the size of the KV cache of an engine in tokens; 0 if unknown.
 	CacheTokens int
 }
--- a/routetable/table.go
+++ b/routetable/table.go
@@ -1,5 +1,5 @@
-// Package routetable is the accepted configuration of the request path: routes, services, organisations with their
-// keys, and limits on what callers send. A Table is immutable; lookups take no lock and allocate nothing.
+// Package routetable holds the configuration of the request path: routes, services, organisations with their keys, and
+// limits for callers. A Table is immutable; lookups take no lock and allocate nothing.
 package routetable
 
 import (
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// ErrInvalid means that a configuration can't be put into force; it is wrapped with the row at fault.
+// ErrInvalid means that a configuration is invalid; it is wrapped with the row at fault.
 var ErrInvalid = errors.New("routetable: invalid configuration")
 
 // Table is one version of the configuration.
@@ -24,7 +24,7 @@
 	keys  map[string]*Organisation
 }
 
-// New checks the rows and makes them a table. The slices must not be changed afterwards.
+// New validates the rows and returns a table of them. The slices must not be changed afterwards.
 func New(version uint64, routes []Route, services []Service, organisations []Organisation, limits Limits) (*Table, error) {
 	t := &Table{
 		Version:       version,
@@ -59,21 +59,21 @@
 	}
 	for _, s := range r.Splits {
 		if _, ok := t.Services[s.Service]; !ok {
-			return fmt.Errorf("%w: route %q names the service %q, which is not there", ErrInvalid, r.Name, s.Service)
+			return fmt.Errorf("%w: route %q names the unknown service %q", ErrInvalid, r.Name, s.Service)
 		}
 	}
 	if !strings.HasPrefix(r.Prefix, "/") {
-		return fmt.Errorf("%w: route %q has the prefix %q, which does not begin with a slash", ErrInvalid, r.Name, r.Prefix)
+		return fmt.Errorf("%w: route %q: prefix %q does not begin with a slash", ErrInvalid, r.Name, r.Prefix)
 	}
 	r.MaxEndpoints = max(r.MaxEndpoints, 1)
 	t.hosts[r.Host] = append(t.hosts[r.Host], r)
 	return nil
 }
 
-// Route returns the route with the longest prefix of the path at the host, or nil. Host may carry a port.
+// Route returns the route with the longest prefix of the path at the host, or nil. The host may include a port.
 func (t *Table) Route(host, path string) *Route {
-	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
-		host = host[:at]
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
+		host = host[:colon]
 	}
 	for _, r := range t.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -83,13 +83,12 @@
 	return nil
 }
 
-// Organisation returns the holder of the key, or nil.
+// Organisation returns the organisation that owns the key, or nil.
 func (t *Table) Organisation(key string) *Organisation { return t.keys[key] }
 
-// RequiresKeys reports whether requests on routes that are not public must carry a key.
+// RequiresKeys reports whether requests on non-public routes must carry a key.
 func (t *Table) RequiresKeys() bool { return len(t.Organisations) > 0 }
 
-// Routes returns the number of routes.
 func (t *Table) RouteCount() int {
 	n := 0
 	for _, list := range t.hosts {
--- a/routetable/table_test.go
+++ b/routetable/table_test.go
@@ -10,13 +10,13 @@
 func table(t *testing.T) *Table {
 	t.Helper()
 	one := []Split{{Service: "s", Weight: 1}}
-	made, err := New(7, []Route{
+	built, err := New(7, []Route{
 		{Name: "short", Host: "h", Prefix: "/a/", Splits: one},
 		{Name: "long", Host: "h", Prefix: "/a/b/", Splits: one},
 		{Name: "other", Host: "i", Prefix: "/", Splits: one},
 	}, []Service{{Name: "s"}}, []Organisation{{ID: "o", Keys: []string{"k1", "k2"}}}, Limits{})
 	assert.NilError(t, err)
-	return made
+	return built
 }
 
 func TestLongestPrefixOfTheHost(t *testing.T) {
@@ -29,10 +29,10 @@
 		{"i", "/a/b/", "other"},
 		{"j", "/", ""},
 	}
-	made := table(t)
+	built := table(t)
 	for _, test := range tests {
 		name := ""
-		if r := made.Route(test.host, test.path); r != nil {
+		if r := built.Route(test.host, test.path); r != nil {
 			name = r.Name
 		}
 		assert.Equal(t, name, test.route, "%s%s", test.host, test.path)
@@ -40,10 +40,10 @@
 }
 
 func TestSeveralKeysAnOrganisation(t *testing.T) {
-	made := table(t)
-	assert.Equal(t, made.Organisation("k1"), made.Organisation("k2"))
-	assert.Assert(t, made.Organisation("") == nil)
-	assert.Assert(t, made.RequiresKeys())
+	built := table(t)
+	assert.Equal(t, built.Organisation("k1"), built.Organisation("k2"))
+	assert.Assert(t, built.Organisation("") == nil)
+	assert.Assert(t, built.RequiresKeys())
 }
 
 func TestSplitsByWeight(t *testing.T) {
