--- a/coordinator/readiness.go
+++ b/coordinator/readiness.go
@@ -8,7 +8,7 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Readiness tells which engines have a model ready, by their recent state reads.
+// Readiness records which engines have a model ready, by their recent state reads.
 // The reader of an engine, the owner of the pool of the endpoint, records the
 // states.
 type Readiness struct {
