--- a/coordinator/options.go
+++ b/coordinator/options.go
@@ -47,8 +47,8 @@
 	// OrderTimeout bounds an order or a state read (3 s). It must be less than
 	// LeaseMargin.
 	OrderTimeout time.Duration
-	// LeaseTTL and LeaseMargin are the TTL of the lease and its safety margin (30
-	// s, 6 s).
+	// LeaseTTL and LeaseMargin are the TTL of the lease and its safety margin
+	// (30 s, 6 s).
 	LeaseTTL    time.Duration
 	LeaseMargin time.Duration
 	// StepDownBackoff is the mean time for which a superseded holder does not
