--- a/cmd/hawthornrill-demo/platformsample.go
+++ b/cmd/hawthornrill-demo/platformsample.go
@@ -129,9 +129,9 @@
 		Listen: entrynode.Listen{
 			Callers: platformtest.FreeAddress(), Ready: platformtest.FreeAddress(), Peers: platformtest.FreeAddress(),
 		},
-		Retry:  entrynode.Retry{Ratio: 1, WindowS: 10, Slack: 10},
-		Limit:  entrynode.Limit{WindowS: 8},
-		Notice: entrynode.Notice{GraceS: 5},
+		Retry:    entrynode.Retry{Ratio: 1, WindowS: 10, Slack: 10},
+		Limit:    entrynode.Limit{WindowS: 8},
+		Shutdown: entrynode.Shutdown{GraceS: 5},
 	}
 }
 
--- a/cmd/hawthornrill-entry/main_test.go
+++ b/cmd/hawthornrill-entry/main_test.go
@@ -85,11 +85,11 @@
 	s.t.Helper()
 	settings := entrynode.Settings{
 		Node: domain.NodeID(name), DataCentre: "d", Store: s.address,
-		Listen: entrynode.Listen{Callers: platformtest.FreeAddress(), Ready: platformtest.FreeAddress(), Peers: platformtest.FreeAddress(), Operators: platformtest.FreeAddress()},
-		Keys:   entrynode.Keys{Strict: true, MaxAgeMS: 5000},
-		Retry:  entrynode.Retry{Ratio: 1, WindowS: 10, Slack: 100},
-		Limit:  entrynode.Limit{WindowS: 8},
-		Notice: entrynode.Notice{GraceS: 20},
+		Listen:   entrynode.Listen{Callers: platformtest.FreeAddress(), Ready: platformtest.FreeAddress(), Peers: platformtest.FreeAddress(), Operators: platformtest.FreeAddress()},
+		Keys:     entrynode.Keys{Strict: true, MaxAgeMS: 5000},
+		Retry:    entrynode.Retry{Ratio: 1, WindowS: 10, Slack: 100},
+		Limit:    entrynode.Limit{WindowS: 8},
+		Shutdown: entrynode.Shutdown{GraceS: 20},
 	}
 	client := platform.NewClient(settings.Store, onesend.New(onesend.Options{DialTimeout: storeDial, SilentTimeout: storeSilence}))
 	node, err := entrynode.New(settings, entrynode.Adapters{Protocol: platform.Heads{}, Source: client, Registry: client}, zerolog.Nop())
--- a/entry/badinput_test.go
+++ b/entry/badinput_test.go
@@ -22,7 +22,7 @@
 
 func TestBadInput(t *testing.T) {
 	const chat = "/v1/chat/completions"
-	d := newDeployment(t, schedulertest.Script{Tokens: 3}, scheduler.Options{}, entry.Options{MaxBodyBytes: 8000, MaxCallBytes: 1000})
+	d := newDeployment(t, schedulertest.Script{Tokens: 3}, scheduler.Options{}, entry.Options{MaxBodyBytes: 8000, MaxServiceBodyBytes: 1000})
 	defer d.close()
 	foreign, forged, stale := tokens(t, d.sessions)
 	message := func(text string) string {
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -99,7 +99,7 @@
 	}
 	s := world.NewScheduler(link, scheduler.Options{})
 	e := echo.New()
-	entry.New(entry.Parts{Self: link.Self(), Config: config.NewStaticView(snapshot()), Sessions: sessions, Scheduler: s}, entry.Options{}).Register(e)
+	entry.New(entry.Dependencies{Self: link.Self(), Config: config.NewStaticView(snapshot()), Sessions: sessions, Scheduler: s}, entry.Options{}).Register(e)
 	b.Cleanup(func() {
 		s.Close()
 		network.Close()
--- a/entry/call.go
+++ b/entry/call.go
@@ -123,7 +123,7 @@
 // that can still be told; a response that breaks later breaks the connection,
 // so that the caller can't take a part for the whole.
 func (s *Server) writeResponse(c echo.Context, handle *scheduler.Handle) *Problem {
-	reader := newAnswerReader(c.Request(), handle, answer.Position{NeedHead: true}, s.options.KeepAlive)
+	reader := newAnswerReader(c.Request(), handle, answer.Position{NeedHead: true}, s.options.KeepAliveInterval)
 	defer reader.close()
 	begun := false
 	for {
--- a/entry/callbody.go
+++ b/entry/callbody.go
@@ -32,8 +32,8 @@
 // a longer one is read while the call is being sent.
 func (s *Server) openCallBody(c echo.Context) (body callBody, release func(), err error) {
 	r := c.Request()
-	if r.ContentLength > s.options.MaxCallBytes {
-		return callBody{}, nil, tooLarge(s.options.MaxCallBytes)
+	if r.ContentLength > s.options.MaxServiceBodyBytes {
+		return callBody{}, nil, tooLarge(s.options.MaxServiceBodyBytes)
 	}
 	if r.ContentLength == 0 || r.Body == nil || r.Body == http.NoBody {
 		return callBody{reader: http.NoBody}, func() {}, nil
@@ -45,7 +45,7 @@
 	start, err := io.ReadAll(io.LimitReader(r.Body, heldCall))
 	if err != nil {
 		release()
-		return callBody{}, nil, bodyProblem(err, s.options.MaxCallBytes)
+		return callBody{}, nil, bodyProblem(err, s.options.MaxServiceBodyBytes)
 	}
 	body = callBody{reader: bytes.NewReader(start), length: int64(len(start)), start: start}
 	if len(start) < heldCall {
@@ -54,7 +54,7 @@
 	// The caller may get the response while it still sends.
 	_ = http.NewResponseController(c.Response()).EnableFullDuplex()
 	rest := &boundedReader{reader: r.Body}
-	rest.left.Store(s.options.MaxCallBytes - heldCall)
+	rest.left.Store(s.options.MaxServiceBodyBytes - heldCall)
 	body.reader = io.MultiReader(body.reader, rest)
 	body.length = r.ContentLength
 	body.streamed = true
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -76,7 +76,7 @@
 	link := d.network.Node(schedulertest.Member(name))
 	s := world.NewScheduler(link, options)
 	e := echo.New()
-	entry.New(entry.Parts{Self: link.Self(), Config: d.view, Sessions: d.sessions, Scheduler: s}, entryOptions).Register(e)
+	entry.New(entry.Dependencies{Self: link.Self(), Config: d.view, Sessions: d.sessions, Scheduler: s}, entryOptions).Register(e)
 	return &node{scheduler: s, peer: link, handler: e}
 }
 
@@ -150,7 +150,7 @@
 				if script.Interval == 0 {
 					script.Interval = 20 * time.Millisecond
 				}
-				d := newDeployment(t, script, scheduler.Options{}, entry.Options{KeepAlive: time.Hour})
+				d := newDeployment(t, script, scheduler.Options{}, entry.Options{KeepAliveInterval: time.Hour})
 				defer d.close()
 				w := d.do("a", ask("POST", "/v1/chat/completions", chatBody, "Idempotency-Key", "k1"))
 				assert.Equal(t, w.Code, http.StatusOK)
--- a/entry/requests.go
+++ b/entry/requests.go
@@ -119,7 +119,7 @@
 }
 
 func (s *Server) readAll(r *http.Request, handle *scheduler.Handle) (*answer.Head, []answer.Chunk, answer.End, error) {
-	reader := newAnswerReader(r, handle, answer.Position{NeedHead: true}, s.options.KeepAlive)
+	reader := newAnswerReader(r, handle, answer.Position{NeedHead: true}, s.options.KeepAliveInterval)
 	defer reader.close()
 	var head *answer.Head
 	var chunks []answer.Chunk
--- a/entry/server.go
+++ b/entry/server.go
@@ -11,8 +11,8 @@
 	"hawthornrill.example/hawthornrill/session"
 )
 
-// Parts are what the entry needs.
-type Parts struct {
+// Dependencies are what the entry needs.
+type Dependencies struct {
 	// Self is this node's own life, which minted keys name.
 	Self      domain.Member
 	Config    config.View
@@ -22,16 +22,16 @@
 
 // Server answers callers.
 type Server struct {
-	parts   Parts
+	parts   Dependencies
 	options Options
 	bodies  budget
 	places  atomic.Pointer[places]
 }
 
 // New returns a server; zero options mean defaults.
-func New(parts Parts, options Options) *Server {
+func New(parts Dependencies, options Options) *Server {
 	options = options.withDefaults()
-	return &Server{parts: parts, options: options, bodies: budget{limit: options.MaxHeldBytes}}
+	return &Server{parts: parts, options: options, bodies: budget{limit: options.MaxBufferedBytes}}
 }
 
 // Register adds the callers' routes and makes errors problem documents.
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -34,7 +34,7 @@
 // first event an error still has its HTTP status; after that it is an event of
 // type "error" with the problem document as data.
 func (s *Server) streamEvents(c echo.Context, handle *scheduler.Handle, id identity, position answer.Position) error {
-	silence := s.options.KeepAlive
+	silence := s.options.KeepAliveInterval
 	if id.minted {
 		silence = s.options.HeaderDelay
 	}
@@ -56,7 +56,7 @@
 		if stream.write(batch) != nil || batch.End != nil {
 			return nil
 		}
-		reader.setSilence(s.options.KeepAlive)
+		reader.setSilence(s.options.KeepAliveInterval)
 	}
 }
 
--- a/entry/whole.go
+++ b/entry/whole.go
@@ -13,7 +13,7 @@
 
 // collect reads a model's answer to its end.
 func (s *Server) collect(r *http.Request, handle *scheduler.Handle) (*completion, *Problem) {
-	reader := newAnswerReader(r, handle, answer.Position{}, s.options.KeepAlive)
+	reader := newAnswerReader(r, handle, answer.Position{}, s.options.KeepAliveInterval)
 	defer reader.close()
 	whole := newCompletion()
 	for {
--- a/entrynode/leave.go
+++ b/entrynode/leave.go
@@ -34,7 +34,7 @@
 	listener.closing.Store(true)
 	n.callers.SetKeepAlivesEnabled(false)
 	time.Sleep(noticeTime)
-	left := seconds(n.settings.Notice.GraceS) - graceMargin - time.Since(began)
+	left := seconds(n.settings.Shutdown.GraceS) - graceMargin - time.Since(began)
 	ctx, cancel := context.WithTimeout(context.Background(), max(left, 0))
 	defer cancel()
 	err := errors.Join(n.callers.Shutdown(ctx), listener.awaitSpared(ctx))
--- a/entrynode/leave_test.go
+++ b/entrynode/leave_test.go
@@ -15,7 +15,7 @@
 func TestLeavingNodeTakesConnectionsUntilTheBalancerHasNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &Node{callers: &http.Server{}, gateway: &gateway.Gateway{}, log: zerolog.Nop()}
-		n.settings.Notice.GraceS = 8
+		n.settings.Shutdown.GraceS = 8
 		began := time.Now()
 		closed := make(chan time.Duration, 1)
 		n.callers.RegisterOnShutdown(func() { closed <- time.Since(began) })
--- a/entrynode/settings.go
+++ b/entrynode/settings.go
@@ -30,7 +30,7 @@
 	Retry         Retry         `toml:"retry"`
 	Limit         Limit         `toml:"limit"`
 	Log           Log           `toml:"log"`
-	Notice        Notice        `toml:"shutdown"`
+	Shutdown      Shutdown      `toml:"shutdown"`
 }
 
 // Listen holds the addresses that the process listens on, "IP:port".
@@ -82,8 +82,8 @@
 	Level string `toml:"level"`
 }
 
-// Notice bounds a graceful end.
-type Notice struct {
+// Shutdown bounds a graceful end.
+type Shutdown struct {
 	// GraceS is the time from the signal until the process is killed.
 	GraceS float64 `toml:"grace_s"`
 }
@@ -149,8 +149,8 @@
 	if s.Limit.WindowS <= 0 {
 		s.Limit.WindowS = defaultLimitWindow.Seconds()
 	}
-	if s.Notice.GraceS <= 0 {
-		s.Notice.GraceS = defaultGrace.Seconds()
+	if s.Shutdown.GraceS <= 0 {
+		s.Shutdown.GraceS = defaultGrace.Seconds()
 	}
 	return nil
 }
--- a/node/node.go
+++ b/node/node.go
@@ -231,7 +231,7 @@
 	if err != nil {
 		return err
 	}
-	n.entry = entry.New(entry.Parts{
+	n.entry = entry.New(entry.Dependencies{
 		Self:      n.self,
 		Config:    n.config,
 		Sessions:  sessions,
