--- a/entry/badinput_test.go
+++ b/entry/badinput_test.go
@@ -24,7 +24,7 @@
 	const chat = "/v1/chat/completions"
 	d := newDeployment(t, schedulertest.Script{Tokens: 3}, scheduler.Options{}, entry.Options{MaxBodyBytes: 8000, MaxServiceBodyBytes: 1000})
 	defer d.close()
-	foreign, forged, stale := tokens(t, d.sessions)
+	foreign, forged, expired := invalidSessionTokens(t, d.sessions)
 	message := func(text string) string {
 		return `{"model":"m","messages":[{"role":"user","content":"` + text + `"}]}`
 	}
@@ -36,41 +36,41 @@
 		field   string
 		detail  string
 	}{
-		{"malformed JSON", ask("POST", chat, `{"model":"m",,}`), 400, "invalid_json", "body", "byte 14"},
-		{"cut JSON", ask("POST", chat, `{"model":"m"`), 400, "invalid_json", "body", "byte 12"},
-		{"trailing JSON", ask("POST", chat, message("a")+"{}"), 400, "invalid_json", "body", "byte 57"},
-		{"empty", ask("POST", chat, ``), 400, "invalid_json", "body", ""},
-		{"not an object", ask("POST", chat, `[]`), 400, "invalid_body", "body", "array"},
-		{"null", ask("POST", chat, `null`), 400, "invalid_body", "model", ""},
-		{"wrong type", ask("POST", chat, `{"model":"m","messages":{}}`), 400, "invalid_body", "messages", "object"},
-		{"wrong type inside", ask("POST", chat, `{"model":"m","messages":[{"role":1}]}`), 400, "invalid_body", "messages.role", "number"},
-		{"model in other case", ask("POST", chat, `{"Model":"m","messages":[{"role":"user"}]}`), 400, "invalid_body", "model", ""},
-		{"no model", ask("POST", chat, `{"messages":[{"role":"user"}]}`), 400, "invalid_body", "model", ""},
-		{"no messages", ask("POST", chat, `{"model":"m"}`), 400, "invalid_body", "messages", ""},
-		{"no role", ask("POST", chat, `{"model":"m","messages":[{}]}`), 400, "invalid_body", "messages", "message 0"},
-		{"max_tokens negative", ask("POST", chat, `{"model":"m","max_tokens":-1,"messages":[{"role":"user"}]}`), 400, "invalid_body", "max_tokens", ""},
-		{"answer too long", ask("POST", chat, `{"model":"m","max_tokens":101,"messages":[{"role":"user"}]}`), 400, "answer_too_long", "max_tokens", "100"},
-		{"prompt too long", ask("POST", chat, message(strings.Repeat("word ", 1000))), 400, "prompt_too_long", "messages", "1000"},
-		{"body too large", ask("POST", chat, message(strings.Repeat("x", 9000))), 413, "body_too_large", "body", "8000"},
-		{"body too large, no length", unsized(ask("POST", chat, message(strings.Repeat("x", 9000)))), 413, "body_too_large", "body", "8000"},
-		{"unknown model", ask("POST", chat, strings.Replace(chatBody, `"m"`, `"x"`, 1)), 404, "unknown_model", "model", `"x"`},
-		{"no API key", ask("POST", chat, chatBody, "Authorization", ""), 401, "unauthorized", "Authorization", ""},
-		{"wrong API key", ask("POST", chat, chatBody, "Authorization", "Bearer nonsense"), 401, "unauthorized", "Authorization", ""},
-		{"key too long", ask("POST", chat, chatBody, "Idempotency-Key", strings.Repeat("k", 201)), 400, "invalid_key", "Idempotency-Key", "200"},
-		{"key with space", ask("POST", chat, chatBody, "Idempotency-Key", "a b"), 400, "invalid_key", "Idempotency-Key", ""},
-		{"key not ASCII", ask("POST", chat, chatBody, "Idempotency-Key", "caffè"), 400, "invalid_key", "Idempotency-Key", ""},
-		{"timeout not a number", ask("POST", chat, chatBody, "Request-Timeout", "soon"), 400, "invalid_timeout", "Request-Timeout", ""},
-		{"timeout NaN", ask("POST", chat, chatBody, "Request-Timeout", "NaN"), 400, "invalid_timeout", "Request-Timeout", ""},
-		{"timeout too long", ask("POST", chat, chatBody, "Request-Timeout", "3601"), 400, "invalid_timeout", "Request-Timeout", "3600"},
-		{"event id", ask("POST", chat, chatBody, "Last-Event-ID", "x"), 400, "invalid_event_id", "Last-Event-ID", ""},
-		{"session malformed", ask("POST", chat, chatBody, session.Header, "nonsense"), 400, "invalid_session", session.Header, ""},
-		{"session forged", ask("POST", chat, chatBody, session.Header, forged), 403, "foreign_session", session.Header, ""},
-		{"session of another", ask("POST", chat, chatBody, session.Header, foreign), 403, "foreign_session", session.Header, ""},
-		{"session stale", ask("POST", chat, chatBody, session.Header, stale), 403, "stale_session", session.Header, "expired"},
-		{"unknown service", ask("GET", "/services/none/x", ""), 404, "unknown_service", "path", ""},
-		{"call too large", ask("POST", "/services/jobs/x", strings.Repeat("x", 1001)), 413, "body_too_large", "body", "1000"},
-		{"no such path", ask("GET", "/v2", ""), 404, "http_404", "", ""},
-		{"no such method", ask("PUT", chat, ""), 405, "http_405", "", ""},
+		{"malformed JSON", newRequest("POST", chat, `{"model":"m",,}`), 400, "invalid_json", "body", "byte 14"},
+		{"truncated JSON", newRequest("POST", chat, `{"model":"m"`), 400, "invalid_json", "body", "byte 12"},
+		{"trailing JSON", newRequest("POST", chat, message("a")+"{}"), 400, "invalid_json", "body", "byte 57"},
+		{"empty body", newRequest("POST", chat, ``), 400, "invalid_json", "body", ""},
+		{"not an object", newRequest("POST", chat, `[]`), 400, "invalid_body", "body", "array"},
+		{"null", newRequest("POST", chat, `null`), 400, "invalid_body", "model", ""},
+		{"wrong type", newRequest("POST", chat, `{"model":"m","messages":{}}`), 400, "invalid_body", "messages", "object"},
+		{"wrong type in message", newRequest("POST", chat, `{"model":"m","messages":[{"role":1}]}`), 400, "invalid_body", "messages.role", "number"},
+		{"model in other case", newRequest("POST", chat, `{"Model":"m","messages":[{"role":"user"}]}`), 400, "invalid_body", "model", ""},
+		{"no model", newRequest("POST", chat, `{"messages":[{"role":"user"}]}`), 400, "invalid_body", "model", ""},
+		{"no messages", newRequest("POST", chat, `{"model":"m"}`), 400, "invalid_body", "messages", ""},
+		{"no role", newRequest("POST", chat, `{"model":"m","messages":[{}]}`), 400, "invalid_body", "messages", "message 0"},
+		{"max_tokens negative", newRequest("POST", chat, `{"model":"m","max_tokens":-1,"messages":[{"role":"user"}]}`), 400, "invalid_body", "max_tokens", ""},
+		{"answer too long", newRequest("POST", chat, `{"model":"m","max_tokens":101,"messages":[{"role":"user"}]}`), 400, "answer_too_long", "max_tokens", "100"},
+		{"prompt too long", newRequest("POST", chat, message(strings.Repeat("word ", 1000))), 400, "prompt_too_long", "messages", "1000"},
+		{"body too large", newRequest("POST", chat, message(strings.Repeat("x", 9000))), 413, "body_too_large", "body", "8000"},
+		{"body too large, no length", withoutLength(newRequest("POST", chat, message(strings.Repeat("x", 9000)))), 413, "body_too_large", "body", "8000"},
+		{"unknown model", newRequest("POST", chat, strings.Replace(chatBody, `"m"`, `"x"`, 1)), 404, "unknown_model", "model", `"x"`},
+		{"no API key", newRequest("POST", chat, chatBody, "Authorization", ""), 401, "unauthorized", "Authorization", ""},
+		{"wrong API key", newRequest("POST", chat, chatBody, "Authorization", "Bearer nonsense"), 401, "unauthorized", "Authorization", ""},
+		{"key too long", newRequest("POST", chat, chatBody, "Idempotency-Key", strings.Repeat("k", 201)), 400, "invalid_key", "Idempotency-Key", "200"},
+		{"key with space", newRequest("POST", chat, chatBody, "Idempotency-Key", "a b"), 400, "invalid_key", "Idempotency-Key", ""},
+		{"key not ASCII", newRequest("POST", chat, chatBody, "Idempotency-Key", "caffè"), 400, "invalid_key", "Idempotency-Key", ""},
+		{"timeout not a number", newRequest("POST", chat, chatBody, "Request-Timeout", "soon"), 400, "invalid_timeout", "Request-Timeout", ""},
+		{"timeout NaN", newRequest("POST", chat, chatBody, "Request-Timeout", "NaN"), 400, "invalid_timeout", "Request-Timeout", ""},
+		{"timeout too long", newRequest("POST", chat, chatBody, "Request-Timeout", "3601"), 400, "invalid_timeout", "Request-Timeout", "3600"},
+		{"invalid event id", newRequest("POST", chat, chatBody, "Last-Event-ID", "x"), 400, "invalid_event_id", "Last-Event-ID", ""},
+		{"session malformed", newRequest("POST", chat, chatBody, session.Header, "nonsense"), 400, "invalid_session", session.Header, ""},
+		{"session signed with another secret", newRequest("POST", chat, chatBody, session.Header, forged), 403, "foreign_session", session.Header, ""},
+		{"session of another organisation", newRequest("POST", chat, chatBody, session.Header, foreign), 403, "foreign_session", session.Header, ""},
+		{"session expired", newRequest("POST", chat, chatBody, session.Header, expired), 403, "stale_session", session.Header, "expired"},
+		{"unknown service", newRequest("GET", "/services/none/x", ""), 404, "unknown_service", "path", ""},
+		{"service call too large", newRequest("POST", "/services/jobs/x", strings.Repeat("x", 1001)), 413, "body_too_large", "body", "1000"},
+		{"no such path", newRequest("GET", "/v2", ""), 404, "http_404", "", ""},
+		{"no such method", newRequest("PUT", chat, ""), 405, "http_405", "", ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -90,36 +90,36 @@
 	assert.Equal(t, len(d.capacity.Asks()), 0)
 }
 
-// unsized hides the length of a request's body.
-func unsized(r *http.Request) *http.Request {
+// withoutLength marks the length of a request's body as unknown.
+func withoutLength(r *http.Request) *http.Request {
 	r.ContentLength = -1
 	return r
 }
 
-// tokens returns a session of another organisation, one made with another secret
-// and one that has expired.
-func tokens(t *testing.T, sessions *session.Authority) (foreign, forged, stale string) {
+// invalidSessionTokens returns a token of another organisation, a token signed with
+// another secret and an expired token.
+func invalidSessionTokens(t *testing.T, sessions *session.Authority) (foreign, forged, expired string) {
 	t.Helper()
-	strange, err := session.NewAuthority([][]byte{[]byte(strings.Repeat("x", 32))}, time.Hour)
+	otherAuthority, err := session.NewAuthority([][]byte{[]byte(strings.Repeat("x", 32))}, time.Hour)
 	assert.NilError(t, err)
 	issue := func(a *session.Authority, organisation domain.OrganisationID, now time.Time) string {
 		_, token, err := a.Issue("palermo", organisation, now)
 		assert.NilError(t, err)
 		return token
 	}
-	return issue(sessions, "pryce", time.Now()), issue(strange, "cucine", time.Now()), issue(sessions, "cucine", time.Now().Add(-24*time.Hour))
+	return issue(sessions, "pryce", time.Now()), issue(otherAuthority, "cucine", time.Now()), issue(sessions, "cucine", time.Now().Add(-24*time.Hour))
 }
 
-// Refusals that depend on the time or the configuration must not say not_run of
-// a key that was run before.
-func TestRefusedAfterRun(t *testing.T) {
+// A refusal that depends on the time or the configuration must not report the
+// outcome not_run for a key under which a request was run before.
+func TestRefusalAfterRunHasUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t, schedulertest.Script{Tokens: 3}, scheduler.Options{}, entry.Options{})
 		defer d.close()
 		_, token, err := d.sessions.Issue("palermo", "cucine", time.Now())
 		assert.NilError(t, err)
 		chat := func(headers ...string) *http.Request {
-			return ask("POST", "/v1/chat/completions", chatBody, append(headers, "Idempotency-Key", "k")...)
+			return newRequest("POST", "/v1/chat/completions", chatBody, append(headers, "Idempotency-Key", "k")...)
 		}
 		assert.Equal(t, d.do("a", chat(session.Header, token)).Code, 200)
 		assert.Equal(t, d.do("a", chat()).Code, 200)
@@ -134,7 +134,7 @@
 	})
 }
 
-func TestProblemOfAnEnd(t *testing.T) {
+func TestProblemFromEnd(t *testing.T) {
 	refusal := func(err error) func(*deployment) {
 		return func(d *deployment) {
 			d.capacity.Refuse(&capacity.Refusal{Err: err, RetryAfter: 1500 * time.Millisecond})
@@ -148,10 +148,10 @@
 		outcome domain.Outcome
 		code    answer.Code
 	}{
-		"shed":        {fault: refusal(capacity.ErrShed), status: 503, retry: "2", outcome: domain.OutcomeNotRun, code: answer.CodeShed},
-		"quarantined": {fault: refusal(capacity.ErrQuarantined), status: 422, retry: "2", outcome: domain.OutcomeNotRun, code: answer.CodeQuarantined},
-		"broken":      {script: schedulertest.Script{Tokens: 9, Cuts: []uint64{0}, Forget: true}, status: 502, outcome: domain.OutcomeRan, code: answer.CodeBroken},
-		"home away": {fault: func(d *deployment) {
+		"shed":               {fault: refusal(capacity.ErrShed), status: 503, retry: "2", outcome: domain.OutcomeNotRun, code: answer.CodeShed},
+		"quarantined":        {fault: refusal(capacity.ErrQuarantined), status: 422, retry: "2", outcome: domain.OutcomeNotRun, code: answer.CodeQuarantined},
+		"engine disconnects": {script: schedulertest.Script{Tokens: 9, Cuts: []uint64{0}, Forget: true}, status: 502, outcome: domain.OutcomeRan, code: answer.CodeBroken},
+		"home unreachable": {fault: func(d *deployment) {
 			d.home.Break(schedulertest.StepClaim, schedulertest.Fault{Err: ledger.ErrUnknown})
 		}, status: 503, retry: "1", outcome: domain.OutcomeUnknown, code: answer.CodeHistoryUnknown},
 	}
@@ -165,7 +165,7 @@
 						test.fault(d)
 					}
 					body := strings.Replace(chatBody, "true", stream, 1)
-					w := d.do("a", ask("POST", "/v1/chat/completions", body, "Idempotency-Key", "k"))
+					w := d.do("a", newRequest("POST", "/v1/chat/completions", body, "Idempotency-Key", "k"))
 					var p entry.Problem
 					assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &p), w.Body)
 					assert.Equal(t, w.Code, test.status)
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -26,16 +26,16 @@
 	"hawthornrill.example/hawthornrill/session"
 )
 
-// instantEngine has all tokens at once.
+// instantEngine returns all tokens without delay.
 type instantEngine struct {
 	*schedulertest.Engine
 	tokens int
-	// hold, if set, is waited for before the second token.
-	hold chan struct{}
+	// gate, if set, blocks the second token until it is closed.
+	gate chan struct{}
 }
 
-func newInstantEngine(tokens int, hold chan struct{}) *instantEngine {
-	return &instantEngine{Engine: schedulertest.NewEngine(schedulertest.Script{}), tokens: tokens, hold: hold}
+func newInstantEngine(tokens int, gate chan struct{}) *instantEngine {
+	return &instantEngine{Engine: schedulertest.NewEngine(schedulertest.Script{}), tokens: tokens, gate: gate}
 }
 
 func (e *instantEngine) Start(context.Context, endpoint.EngineRequest) (endpoint.Stream, error) {
@@ -50,9 +50,9 @@
 var instantData = []byte(`{"id":"chatcmpl-1","object":"chat.completion.chunk","created":1760000000,"model":"m","choices":[{"index":0,"delta":{"content":" worktop"},"finish_reason":null}]}`)
 
 func (s *instantStream) Next(ctx context.Context) (endpoint.Event, error) {
-	if s.next == 1 && s.engine.hold != nil {
+	if s.next == 1 && s.engine.gate != nil {
 		select {
-		case <-s.engine.hold:
+		case <-s.engine.gate:
 		case <-ctx.Done():
 			return endpoint.Event{}, ctx.Err()
 		}
@@ -67,26 +67,26 @@
 
 func (s *instantStream) Close() error { return nil }
 
-// freeCapacity grants at once, or makes asks wait, and keeps nothing.
-type freeCapacity struct{ waiting bool }
+// stubCapacity grants at once, or blocks until the context ends. It records nothing.
+type stubCapacity struct{ waiting bool }
 
-func (c freeCapacity) Acquire(ctx context.Context, _ capacity.Ask) (capacity.Grant, error) {
+func (c stubCapacity) Acquire(ctx context.Context, _ capacity.Ask) (capacity.Grant, error) {
 	if c.waiting {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return freeGrant{}, nil
+	return stubGrant{}, nil
 }
 
-type freeGrant struct{}
+type stubGrant struct{}
 
-func (freeGrant) Endpoint() domain.EndpointID { return "e" }
-func (freeGrant) Revoked() <-chan struct{}    { return nil }
-func (freeGrant) Progress(int)                {}
-func (freeGrant) Release(capacity.Result)     {}
+func (stubGrant) Endpoint() domain.EndpointID { return "e" }
+func (stubGrant) Revoked() <-chan struct{}    { return nil }
+func (stubGrant) Progress(int)                {}
+func (stubGrant) Release(capacity.Result)     {}
 
-// newBenchNode is one node before fakes that cost next to nothing.
-func newBenchNode(b *testing.B, engine endpoint.Engine, places capacity.Client) (http.Handler, *scheduler.Scheduler) {
+// newBenchNode starts one node with fakes that take almost no time.
+func newBenchNode(b *testing.B, engine endpoint.Engine, client capacity.Client) (http.Handler, *scheduler.Scheduler) {
 	b.Helper()
 	sessions, err := session.NewAuthority([][]byte{[]byte(strings.Repeat("s", 32))}, 0)
 	assert.NilError(b, err)
@@ -94,7 +94,7 @@
 	link := network.Node(schedulertest.Member("a"))
 	world := schedulertest.World{
 		Home:      schedulertest.NewHome(),
-		Capacity:  places,
+		Capacity:  client,
 		Endpoints: schedulertest.Endpoints{Engines: map[domain.EndpointID]endpoint.Engine{"e": engine}},
 	}
 	s := world.NewScheduler(link, scheduler.Options{})
@@ -107,85 +107,86 @@
 	return e, s
 }
 
-// discard is a caller that takes everything at once.
-type discard struct {
+// discardWriter is an http.ResponseWriter that counts and discards the bytes.
+type discardWriter struct {
 	header http.Header
 	bytes  int
 }
 
-func (d *discard) Header() http.Header { return d.header }
-func (d *discard) WriteHeader(int)     {}
-func (d *discard) Flush()              {}
-func (d *discard) Write(p []byte) (int, error) {
+func (d *discardWriter) Header() http.Header { return d.header }
+func (d *discardWriter) WriteHeader(int)     {}
+func (d *discardWriter) Flush()              {}
+func (d *discardWriter) Write(p []byte) (int, error) {
 	d.bytes += len(p)
 	return len(p), nil
 }
 
-// BenchmarkSlopeAnswer measures the processor time of one streamed answer from
-// HTTP handler to engine and back, with fakes beside, by its tokens: the slope is
-// that of a token, the intercept that of a request.
+// BenchmarkSlopeAnswer measures the CPU time of one streamed answer, from HTTP
+// handler to engine and back, by the number of tokens. All other components are
+// fakes. The slope is the cost of a token, the intercept that of a request.
 func BenchmarkSlopeAnswer(b *testing.B) {
 	for _, tokens := range []int{1, 100, 300, 1000} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
-			handler, _ := newBenchNode(b, newInstantEngine(tokens, nil), freeCapacity{})
+			handler, _ := newBenchNode(b, newInstantEngine(tokens, nil), stubCapacity{})
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
 				i++
-				w := &discard{header: make(http.Header)}
-				handler.ServeHTTP(w, ask("POST", chatPath, chatBody, "Idempotency-Key", itoa(uint64(i))))
+				w := &discardWriter{header: make(http.Header)}
+				handler.ServeHTTP(w, newRequest("POST", chatPath, chatBody, "Idempotency-Key", formatUint(uint64(i))))
 				if w.bytes < tokens*len(instantData) {
-					b.Fatal("not the whole answer")
+					b.Fatal("answer is incomplete")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkSlopeOpenStreams measures the memory of streams that have begun, by
-// their number: goroutines, buffers and the HTTP handler, without its connection.
+// BenchmarkSlopeOpenStreams measures the memory of started streams by their number:
+// goroutines, buffers and the HTTP handler, without the connection.
 func BenchmarkSlopeOpenStreams(b *testing.B) {
 	for _, streams := range []int{100, 500, 1000, 2000} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
 			for b.Loop() {
-				handler, _ := newBenchNode(b, newInstantEngine(2, make(chan struct{})), freeCapacity{})
-				b.ReportMetric(perRequest(b, handler, streams, func(w *countingWriter) bool { return w.writes.Load() > 0 }), "B/stream")
+				handler, _ := newBenchNode(b, newInstantEngine(2, make(chan struct{})), stubCapacity{})
+				b.ReportMetric(memoryPerRequest(b, handler, streams, func(w *countingWriter) bool { return w.writes.Load() > 0 }), "B/stream")
 			}
 		})
 	}
 }
 
-// BenchmarkSlopeWaiting measures the memory of requests that wait for a place.
+// BenchmarkSlopeWaiting measures the memory of requests that wait for capacity.
 func BenchmarkSlopeWaiting(b *testing.B) {
 	for _, waiting := range []int{100, 500, 1000, 2000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
 			for b.Loop() {
-				handler, s := newBenchNode(b, newInstantEngine(0, nil), freeCapacity{waiting: true})
-				b.ReportMetric(perRequest(b, handler, waiting, func(*countingWriter) bool { return s.State().Waiting == waiting }), "B/waiting")
+				handler, s := newBenchNode(b, newInstantEngine(0, nil), stubCapacity{waiting: true})
+				b.ReportMetric(memoryPerRequest(b, handler, waiting, func(*countingWriter) bool { return s.State().Waiting == waiting }), "B/waiting")
 			}
 		})
 	}
 }
 
 type countingWriter struct {
-	discard
+	discardWriter
 	writes atomic.Int64
 }
 
 func (w *countingWriter) Write(p []byte) (int, error) {
 	w.writes.Add(1)
-	return w.discard.Write(p)
+	return w.discardWriter.Write(p)
 }
 
-// perRequest opens requests until each is ready and returns the memory of one.
-func perRequest(b *testing.B, handler http.Handler, requests int, ready func(*countingWriter) bool) float64 {
+// memoryPerRequest starts requests, waits until all are ready and returns the
+// memory used by each.
+func memoryPerRequest(b *testing.B, handler http.Handler, requests int, ready func(*countingWriter) bool) float64 {
 	b.Helper()
 	ctx, cancel := context.WithCancel(b.Context())
 	var open sync.WaitGroup
-	before := memory()
+	before := memoryInUse()
 	writers := make([]*countingWriter, requests)
 	for i := range writers {
-		w := &countingWriter{discard: discard{header: make(http.Header)}}
+		w := &countingWriter{discardWriter: discardWriter{header: make(http.Header)}}
 		writers[i] = w
 		open.Go(func() {
 			r := httptest.NewRequest("POST", chatPath, strings.NewReader(chatBody)).WithContext(ctx)
@@ -199,14 +200,14 @@
 			runtime.Gosched()
 		}
 	}
-	used := memory() - before
+	used := memoryInUse() - before
 	cancel()
 	open.Wait()
 	return float64(used) / float64(requests)
 }
 
-// memory returns the bytes of heap and stacks in use.
-func memory() uint64 {
+// memoryInUse returns the bytes of heap and stacks in use.
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -2,19 +2,19 @@
 
 import "sync/atomic"
 
-// budget bounds the bytes of request bodies held at a time.
-type budget struct {
-	limit int64
-	held  atomic.Int64
+// bodyBudget limits the memory reserved for request bodies.
+type bodyBudget struct {
+	limit    int64
+	reserved atomic.Int64
 }
 
-// take reports whether n bytes are free, and takes them.
-func (b *budget) take(n int64) bool {
-	if b.held.Add(n) <= b.limit {
+// reserve reserves n bytes. It returns false if that would exceed the limit.
+func (b *bodyBudget) reserve(n int64) bool {
+	if b.reserved.Add(n) <= b.limit {
 		return true
 	}
-	b.held.Add(-n)
+	b.reserved.Add(-n)
 	return false
 }
 
-func (b *budget) give(n int64) { b.held.Add(-n) }
+func (b *bodyBudget) release(n int64) { b.reserved.Add(-n) }
--- a/entry/call.go
+++ b/entry/call.go
@@ -18,33 +18,33 @@
 
 const servicesPath = "/services/"
 
-// call serves ANY /services/{service}/...
+// call serves /services/{service}/... with any method.
 func (s *Server) call(c echo.Context) error {
-	who, err := s.identify(c.Request())
+	caller, err := s.authenticate(c.Request())
 	if err != nil {
 		return err
 	}
-	id, err := s.identityOf(who, c.Request(), c.Response().Header())
+	id, err := s.resolveKey(caller, c.Request(), c.Response().Header())
 	if err != nil {
 		return err
 	}
 	name := pathParam(c, "service")
-	service := who.snapshot.Services[name]
+	service := caller.snapshot.Services[name]
 	if service == nil {
-		return s.refuse(c.Request().Context(), id, invalid(http.StatusNotFound, "unknown_service", "path", "there is no service %q", name))
+		return s.completeRefusal(c.Request().Context(), id, invalidRequest(http.StatusNotFound, "unknown_service", "path", "there is no service %q", name))
 	}
 	body, release, err := s.openCallBody(c)
 	if err != nil {
 		return err
 	}
 	defer release()
-	request, err := s.callSubmission(c, who, id, service, body)
+	request, err := s.callSubmission(c, caller, id, service, body)
 	if err != nil {
 		return err
 	}
-	handle := s.parts.Scheduler.Submit(request)
+	handle := s.deps.Scheduler.Submit(request)
 	defer handle.Close()
-	s.advise(c)
+	s.closeIfDraining(c)
 	p := s.writeResponse(c, handle)
 	if p == nil {
 		return nil
@@ -54,39 +54,40 @@
 	return p
 }
 
-func (s *Server) callSubmission(c echo.Context, who caller, id identity, service *config.ServiceRow, body callBody) (scheduler.Request, error) {
+// callSubmission builds the scheduler's request for a service call.
+func (s *Server) callSubmission(c echo.Context, caller callerInfo, id requestIdentity, service *config.ServiceRow, body callBody) (scheduler.Request, error) {
 	r := c.Request()
-	fallback := who.organisation.DefaultDeadline
+	fallback := caller.organisation.DefaultDeadline
 	if service.DeadlineMillis > 0 {
 		fallback = time.Duration(service.DeadlineMillis) * time.Millisecond
 	}
-	deadline, err := s.deadlineOf(r, fallback)
+	deadline, err := s.requestDeadline(r, fallback)
 	if err != nil {
 		return scheduler.Request{}, err
 	}
-	path := pathAtService(r, service.Name)
-	print := fingerprint([]byte(service.Name), []byte(r.Method), []byte(path), body.describe())
+	path := servicePath(r, service.Name)
+	digest := fingerprint([]byte(service.Name), []byte(r.Method), []byte(path), body.fingerprintInput())
 	return scheduler.Request{
 		Key:          id.key,
-		Minted:       id.minted,
-		Organisation: who.organisation,
+		Minted:       id.generated,
+		Organisation: caller.organisation,
 		Pool:         domain.ServicePool(service.Name),
-		Fingerprint:  print,
-		Content:      binary.LittleEndian.Uint64(print[:]),
+		Fingerprint:  digest,
+		Content:      binary.LittleEndian.Uint64(digest[:]),
 		Deadline:     deadline,
-		NoReturn:     id.minted,
+		NoReturn:     id.generated,
 		Call: &endpoint.ServiceRequest{
 			Method: r.Method,
 			Path:   path,
-			Header: towardsEndpoint(r.Header),
+			Header: endpointHeaders(r.Header),
 			Body:   body.reader,
 			Length: body.length,
 		},
 	}, nil
 }
 
-// pathParam returns a decoded path parameter. The router leaves it encoded when
-// the path has an encoded slash.
+// pathParam returns a decoded path parameter. The router does not decode
+// parameters if the path contains an encoded slash.
 func pathParam(c echo.Context, name string) string {
 	value := c.Param(name)
 	if c.Request().URL.RawPath == "" {
@@ -99,8 +100,8 @@
 	return decoded
 }
 
-// pathAtService returns the path and query as the service sees them.
-func pathAtService(r *http.Request, service string) string {
+// servicePath returns the path and query that are sent to the service.
+func servicePath(r *http.Request, service string) string {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), servicesPath)
 	_, rest, _ := strings.Cut(path, "/")
 	path = "/" + rest
@@ -110,8 +111,8 @@
 	return path
 }
 
-// repeatable tells whether the operators allow the call to be made again under
-// another key. A once column that can't be read allows nothing.
+// repeatable reports whether the configuration allows the call to be repeated
+// under another key. It does not if the once column is invalid.
 func repeatable(service *config.ServiceRow, call *endpoint.ServiceRequest) *bool {
 	rules, err := config.ParseOnce(service.Once)
 	path, _, _ := strings.Cut(call.Path, "?")
@@ -119,55 +120,55 @@
 	return &allowed
 }
 
-// writeResponse copies the response to the caller. It returns a problem while
-// that can still be told; a response that breaks later breaks the connection,
-// so that the caller can't take a part for the whole.
+// writeResponse copies the response to the caller. It returns a problem if the
+// response fails before its head has been written. After that it aborts the
+// connection, so that the caller can't take a truncated response for a complete one.
 func (s *Server) writeResponse(c echo.Context, handle *scheduler.Handle) *Problem {
 	reader := newAnswerReader(c.Request(), handle, answer.Position{NeedHead: true}, s.options.KeepAliveInterval)
 	defer reader.close()
-	begun := false
+	headWritten := false
 	for {
 		batch, err := reader.next()
-		if p := failure(batch, err); p != nil {
-			if begun {
+		if p := answerProblem(batch, err); p != nil {
+			if headWritten {
 				panic(http.ErrAbortHandler)
 			}
 			return p
 		}
 		if batch.Head != nil {
-			if p := s.writeHead(c, *batch.Head); p != nil {
+			if p := s.writeResponseHead(c, *batch.Head); p != nil {
 				return p
 			}
-			begun = true
+			headWritten = true
 		}
-		if s.writeBody(c, batch.Chunks) != nil || batch.End != nil {
+		if s.writeChunks(c, batch.Chunks) != nil || batch.End != nil {
 			return nil
 		}
 	}
 }
 
-// failure returns the problem of an answer that can't be completed.
-func failure(batch answer.Batch, err error) *Problem {
+// answerProblem returns a problem if reading failed or the answer ended incomplete.
+func answerProblem(batch answer.Batch, err error) *Problem {
 	switch {
 	case err != nil:
-		return readProblem(err)
+		return problemFromReadError(err)
 	case batch.End != nil && !batch.End.Complete():
-		return endProblem(*batch.End)
+		return problemFromEnd(*batch.End)
 	default:
 		return nil
 	}
 }
 
-func (s *Server) writeHead(c echo.Context, head answer.Head) *Problem {
+func (s *Server) writeResponseHead(c echo.Context, head answer.Head) *Problem {
 	if head.Status < http.StatusOK || head.Status > 999 {
 		return newProblem(http.StatusBadGateway, string(answer.CodeBroken), domain.OutcomeRan, "the endpoint answered with an invalid status")
 	}
-	towardsCaller(c.Response().Header(), head.Header)
+	copyResponseHeaders(c.Response().Header(), head.Header)
 	c.Response().WriteHeader(head.Status)
 	return nil
 }
 
-func (s *Server) writeBody(c echo.Context, chunks []answer.Chunk) error {
+func (s *Server) writeChunks(c echo.Context, chunks []answer.Chunk) error {
 	if len(chunks) == 0 {
 		return nil
 	}
--- a/entry/callers_test.go
+++ b/entry/callers_test.go
@@ -22,11 +22,11 @@
 
 const chatPath = "/v1/chat/completions"
 
-// connection is a caller's connection that a test can watch and break.
+// connection is an http.ResponseWriter whose writes a test can receive or block.
 type connection struct {
 	header http.Header
 	status int
-	// writes holds what was written; each write waits for a place in it.
+	// writes receives what is written. A write blocks while it is full.
 	writes chan string
 }
 
@@ -38,13 +38,14 @@
 	return len(p), nil
 }
 
-// serve handles a request in the background; cancel hangs up.
+// serve handles a request in the background. The function that it returns
+// disconnects the caller.
 func (d *deployment) serve(name string, r *http.Request, buffered int) (*connection, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(r.Context())
 	c := &connection{header: make(http.Header), writes: make(chan string, buffered)}
 	go func() {
 		defer close(c.writes)
-		d.nodes[domainNode(name)].handler.ServeHTTP(c, r.WithContext(ctx))
+		d.nodes[nodeID(name)].handler.ServeHTTP(c, r.WithContext(ctx))
 	}()
 	return c, cancel
 }
@@ -58,51 +59,51 @@
 				_, token, err := d.sessions.Issue("palermo", "cucine", time.Now())
 				assert.NilError(t, err)
 				headers := []string{"Idempotency-Key", "k", session.Header, token}
-				first, hangUp := d.serve("a", ask("POST", chatPath, chatBody, headers...), 100)
+				first, disconnect := d.serve("a", newRequest("POST", chatPath, chatBody, headers...), 100)
 				time.Sleep(3500 * time.Millisecond)
-				hangUp()
+				disconnect()
 				synctest.Wait()
 				assert.Equal(t, len(first.writes), 3)
-				again := ask("POST", chatPath, chatBody, append(headers, "Last-Event-ID", "2")...)
+				again := newRequest("POST", chatPath, chatBody, append(headers, "Last-Event-ID", "2")...)
 				if method == "GET" {
-					again = ask("GET", "/v1/requests/k", "", append(headers, "Last-Event-ID", "2", "Accept", "text/event-stream")...)
+					again = newRequest("GET", "/v1/requests/k", "", append(headers, "Last-Event-ID", "2", "Accept", "text/event-stream")...)
 				}
 				w := d.do("b", again)
 				key := keyOf("k")
 				verified, err := d.sessions.Verify(token, "cucine", time.Now())
 				assert.NilError(t, err)
 				key.Session = verified.ID
-				assert.Equal(t, w.Body.String(), events(key, 3, 10))
+				assert.Equal(t, w.Body.String(), expectedStream(key, 3, 10))
 				assert.Equal(t, len(d.engine.Started()), 1)
 			})
 		})
 	}
 }
 
-func TestMintedKeyIsToldEarly(t *testing.T) {
+func TestGeneratedKeyIsSentEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t, schedulertest.Script{Tokens: 3, Interval: 10 * time.Second}, scheduler.Options{}, entry.Options{})
 		defer d.close()
-		c, hangUp := d.serve("a", ask("POST", chatPath, chatBody), 100)
+		c, disconnect := d.serve("a", newRequest("POST", chatPath, chatBody), 100)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		assert.Equal(t, c.status, http.StatusOK)
 		key := c.header.Get("Idempotency-Key")
 		assert.Assert(t, strings.HasPrefix(key, "hr1."), key)
-		hangUp()
+		disconnect()
 		synctest.Wait()
-		w := d.do("b", ask("POST", chatPath, chatBody, "Idempotency-Key", key))
+		w := d.do("b", newRequest("POST", chatPath, chatBody, "Idempotency-Key", key))
 		assert.Assert(t, strings.HasSuffix(w.Body.String(), "data: [DONE]\n\n"), w.Body)
 		assert.Equal(t, strings.Count(w.Body.String(), "id: "), 3)
 		assert.Equal(t, len(d.engine.Started()), 1)
 	})
 }
 
-func TestErrorAfterTheFirstEvent(t *testing.T) {
+func TestErrorAfterFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t, schedulertest.Script{Tokens: 9, Interval: time.Second, Cuts: []uint64{2}, Forget: true}, scheduler.Options{}, entry.Options{})
 		defer d.close()
-		w := d.do("a", ask("POST", chatPath, chatBody, "Idempotency-Key", "k"))
+		w := d.do("a", newRequest("POST", chatPath, chatBody, "Idempotency-Key", "k"))
 		body := w.Body.String()
 		assert.Equal(t, w.Code, http.StatusOK)
 		assert.Assert(t, strings.Contains(body, "event: error\ndata: {"), body)
@@ -115,19 +116,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t, schedulertest.Script{Tokens: 3}, scheduler.Options{}, entry.Options{})
 		defer d.close()
-		w := d.do("a", ask("POST", chatPath, strings.Replace(chatBody, "true", "false", 1), "Idempotency-Key", "k"))
+		w := d.do("a", newRequest("POST", chatPath, strings.Replace(chatBody, "true", "false", 1), "Idempotency-Key", "k"))
 		name := keyOf("k").String()
 		message := `{"index":0,"message":{"role":"assistant","content":"` + name + `/0;` + name + `/1;` + name + `/2;"},"finish_reason":null}`
 		want := `{"id":"chat","object":"chat.completion","model":"m","choices":[` + message + `]}`
 		assert.Equal(t, strings.TrimSpace(w.Body.String()), want)
-		// The same answer in the other form, and by its state.
-		w = d.do("b", ask("POST", chatPath, chatBody, "Idempotency-Key", "k"))
-		assert.Equal(t, w.Body.String(), events(keyOf("k"), 0, 3))
-		w = d.do("b", ask("GET", "/v1/requests/k", ""))
+		// The same answer as a stream, and from the state of the request.
+		w = d.do("b", newRequest("POST", chatPath, chatBody, "Idempotency-Key", "k"))
+		assert.Equal(t, w.Body.String(), expectedStream(keyOf("k"), 0, 3))
+		w = d.do("b", newRequest("GET", "/v1/requests/k", ""))
 		assert.Equal(t, strings.TrimSpace(w.Body.String()), `{"key":"k","state":"finished","answer":`+want+`}`)
 		assert.Equal(t, len(d.engine.Started()), 1)
-		// Nobody else gets it.
-		for _, r := range []*http.Request{ask("GET", "/v1/requests/k", ""), ask("DELETE", "/v1/requests/k", "")} {
+		// Another organisation has no access to it.
+		for _, r := range []*http.Request{newRequest("GET", "/v1/requests/k", ""), newRequest("DELETE", "/v1/requests/k", "")} {
 			r.Header.Set("Authorization", "Bearer "+otherKey)
 			w = d.do("a", r)
 			assert.Equal(t, w.Code, http.StatusNotFound)
@@ -140,21 +141,21 @@
 		d := newDeployment(t, schedulertest.Script{Tokens: 50, Interval: time.Second}, scheduler.Options{}, entry.Options{})
 		defer d.close()
 		state := func(node string) string {
-			w := d.do(domainNode(node), ask("GET", "/v1/requests/k%2F1", ""))
+			w := d.do(nodeID(node), newRequest("GET", "/v1/requests/k%2F1", ""))
 			return strings.TrimSpace(w.Body.String())
 		}
 		d.capacity.Block(true)
-		c, _ := d.serve("a", ask("POST", chatPath, chatBody, "Idempotency-Key", "k/1", "Request-Timeout", "2.5"), 100)
+		c, _ := d.serve("a", newRequest("POST", chatPath, chatBody, "Idempotency-Key", "k/1", "Request-Timeout", "2.5"), 100)
 		synctest.Wait()
 		assert.Equal(t, state("b"), `{"key":"k/1","state":"waiting"}`)
 		time.Sleep(2600 * time.Millisecond)
 		synctest.Wait()
 		assert.Equal(t, c.status, http.StatusServiceUnavailable)
 		d.capacity.Block(false)
-		c, _ = d.serve("a", ask("POST", chatPath, chatBody, "Idempotency-Key", "k/1"), 100)
+		c, _ = d.serve("a", newRequest("POST", chatPath, chatBody, "Idempotency-Key", "k/1"), 100)
 		time.Sleep(3500 * time.Millisecond)
 		assert.Equal(t, state("b"), `{"key":"k/1","state":"running"}`)
-		w := d.do("b", ask("DELETE", "/v1/requests/k%2F1", ""))
+		w := d.do("b", newRequest("DELETE", "/v1/requests/k%2F1", ""))
 		assert.Equal(t, w.Code, http.StatusAccepted)
 		synctest.Wait()
 		assert.Equal(t, len(d.engine.Cancelled()), 1)
@@ -163,35 +164,36 @@
 			last = write
 		}
 		assert.Assert(t, strings.Contains(last, `"code":"cancelled"`), last)
-		assert.Equal(t, d.do("b", ask("DELETE", "/v1/requests/k%2F1", "")).Code, http.StatusNotFound)
+		assert.Equal(t, d.do("b", newRequest("DELETE", "/v1/requests/k%2F1", "")).Code, http.StatusNotFound)
 	})
 }
 
-// A caller that does not read holds up its own answer only, in bounded memory.
+// A caller that does not read its answer delays no other answer, and the memory of
+// its answer stays within the limit.
 func TestSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tokens = 2000
-		bound := 64 << 10
-		d := newDeployment(t, schedulertest.Script{Tokens: tokens, Interval: time.Millisecond}, scheduler.Options{AnswerBytes: bound}, entry.Options{})
+		limit := 64 << 10
+		d := newDeployment(t, schedulertest.Script{Tokens: tokens, Interval: time.Millisecond}, scheduler.Options{AnswerBytes: limit}, entry.Options{})
 		defer d.close()
-		slow, _ := d.serve("a", ask("POST", chatPath, chatBody, "Idempotency-Key", "slow"), 0)
-		quick := d.do("a", ask("POST", chatPath, chatBody, "Idempotency-Key", "quick"))
-		assert.Equal(t, quick.Body.String(), events(keyOf("quick"), 0, tokens))
+		slow, _ := d.serve("a", newRequest("POST", chatPath, chatBody, "Idempotency-Key", "slow"), 0)
+		quick := d.do("a", newRequest("POST", chatPath, chatBody, "Idempotency-Key", "quick"))
+		assert.Equal(t, quick.Body.String(), expectedStream(keyOf("quick"), 0, tokens))
 		time.Sleep(time.Minute)
 		assert.Equal(t, d.capacity.Held(), 1)
-		assert.Assert(t, d.nodes["a"].scheduler.State().Answers.OpenBytes <= bound)
+		assert.Assert(t, d.nodes["a"].scheduler.State().Answers.OpenBytes <= limit)
 		var got strings.Builder
 		for write := range slow.writes {
 			got.WriteString(write)
 		}
-		assert.Equal(t, got.String(), events(keyOf("slow"), 0, tokens))
-		// What was dropped after delivery is never given out as a part.
-		w := d.do("a", ask("POST", chatPath, chatBody, "Idempotency-Key", "slow"))
+		assert.Equal(t, got.String(), expectedStream(keyOf("slow"), 0, tokens))
+		// After delivered chunks were dropped, the rest is not returned as an answer.
+		w := d.do("a", newRequest("POST", chatPath, chatBody, "Idempotency-Key", "slow"))
 		assert.Equal(t, w.Code, http.StatusGone)
 	})
 }
 
-func TestCallOfService(t *testing.T) {
+func TestServiceCall(t *testing.T) {
 	large := strings.Repeat("large body ", 200_000)
 	tests := map[string]struct {
 		body    string
@@ -200,11 +202,11 @@
 		want    string
 		calls   int
 	}{
-		"echo":    {body: "hello", respond: echoCall, status: 201, want: "hello", calls: 1},
-		"large":   {body: large, respond: echoCall, status: 201, want: large, calls: 1},
-		"refused": {respond: failCall(endpoint.ErrNotDispatched), status: 503, want: `"outcome":"not_run"`, calls: 3},
-		"lost":    {respond: failCall(endpoint.ErrBroken), status: 502, want: `"outcome":"ran"`, calls: 1},
-		"hangs":   {respond: hangingCall, status: 502, want: `"outcome":"ran"`, calls: 1},
+		"echo":            {body: "hello", respond: echoCall, status: 201, want: "hello", calls: 1},
+		"large":           {body: large, respond: echoCall, status: 201, want: large, calls: 1},
+		"not dispatched":  {respond: failCall(endpoint.ErrNotDispatched), status: 503, want: `"outcome":"not_run"`, calls: 3},
+		"connection lost": {respond: failCall(endpoint.ErrBroken), status: 502, want: `"outcome":"ran"`, calls: 1},
+		"no response":     {respond: hangingCall, status: 502, want: `"outcome":"ran"`, calls: 1},
 		"no status": {respond: func(context.Context, endpoint.ServiceRequest) (endpoint.ServiceResponse, error) {
 			return schedulertest.Reply(0, http.NoBody), nil
 		}, status: 502, want: `"outcome":"ran"`, calls: 1},
@@ -215,11 +217,11 @@
 				d := newDeployment(t, schedulertest.Script{}, scheduler.Options{}, entry.Options{})
 				defer d.close()
 				d.service.Respond = test.respond
-				w := d.do("a", ask("POST", "/services/jobs/saved%2Fjobs?a=1", test.body, "Idempotency-Key", "k", "Connection", "X-Hop", "X-Hop", "1"))
+				w := d.do("a", newRequest("POST", "/services/jobs/saved%2Fjobs?a=1", test.body, "Idempotency-Key", "k", "Connection", "X-Hop", "X-Hop", "1"))
 				assert.Equal(t, w.Code, test.status)
 				assert.Assert(t, strings.Contains(w.Body.String(), test.want))
 				assert.Equal(t, len(d.service.Calls()), test.calls)
-				// The answer goes out before its place is given back, at the same instant.
+				// The answer is sent before the grant is released, at the same instant.
 				synctest.Wait()
 				assert.Equal(t, d.capacity.Held(), 0)
 			})
@@ -227,11 +229,11 @@
 	}
 }
 
-// echoCall answers with the body, and checks what a service gets to see.
+// echoCall returns the body and checks the headers and path that a service receives.
 func echoCall(_ context.Context, r endpoint.ServiceRequest) (endpoint.ServiceResponse, error) {
 	for _, hidden := range []string{"Authorization", "X-Hop", "Connection", "Idempotency-Key"} {
 		if r.Header.Get(hidden) != "" {
-			return endpoint.ServiceResponse{}, errors.New("header passed on: " + hidden)
+			return endpoint.ServiceResponse{}, errors.New("header forwarded: " + hidden)
 		}
 	}
 	if r.Path != "/saved%2Fjobs?a=1" || r.Key == "" {
@@ -251,8 +253,9 @@
 	}
 }
 
-// A retry of a plain call replays the response and does not call again; a
-// response that breaks breaks the connection.
+// A retry of a service call must return the stored response without calling the
+// service again. A response that fails midway must abort the connection, so that the
+// caller can't take it for complete.
 func TestCallIsNeverRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t, schedulertest.Script{}, scheduler.Options{}, entry.Options{})
@@ -261,11 +264,11 @@
 			return schedulertest.Reply(http.StatusOK, strings.NewReader("clue 7")), nil
 		}
 		for _, node := range []string{"a", "b", "a"} {
-			w := d.do(domainNode(node), ask("POST", "/services/jobs/unlock", "", "Idempotency-Key", "k"))
+			w := d.do(nodeID(node), newRequest("POST", "/services/jobs/unlock", "", "Idempotency-Key", "k"))
 			assert.Equal(t, w.Body.String(), "clue 7")
 			assert.Equal(t, w.Header().Get("X-Served"), "yes")
 		}
-		w := d.do("b", ask("GET", "/v1/requests/k", ""))
+		w := d.do("b", newRequest("GET", "/v1/requests/k", ""))
 		var state struct{ Response struct{ Body []byte } }
 		assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &state))
 		assert.Equal(t, string(state.Response.Body), "clue 7")
@@ -275,8 +278,8 @@
 			return schedulertest.Reply(http.StatusOK, io.MultiReader(strings.NewReader("half"), brokenReader{})), nil
 		}
 		defer func() { assert.Equal(t, recover(), http.ErrAbortHandler) }()
-		d.do("a", ask("POST", "/services/jobs/unlock", "", "Idempotency-Key", "broken"))
-		t.Error("the connection was not broken")
+		d.do("a", newRequest("POST", "/services/jobs/unlock", "", "Idempotency-Key", "broken"))
+		t.Error("the connection was not aborted")
 	})
 }
 
@@ -284,13 +287,13 @@
 
 func (brokenReader) Read([]byte) (int, error) {
 	time.Sleep(time.Second)
-	return 0, errors.New("cut")
+	return 0, errors.New("connection reset")
 }
 
 func TestOpenSession(t *testing.T) {
 	d := newDeployment(t, schedulertest.Script{}, scheduler.Options{}, entry.Options{})
 	defer d.close()
-	w := d.do("a", ask("POST", "/v1/sessions", ""))
+	w := d.do("a", newRequest("POST", "/v1/sessions", ""))
 	assert.Equal(t, w.Code, http.StatusCreated)
 	got, err := d.sessions.Verify(w.Header().Get(session.Header), "cucine", time.Now())
 	assert.NilError(t, err)
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -14,11 +14,11 @@
 
 // chat serves POST /v1/chat/completions.
 func (s *Server) chat(c echo.Context) error {
-	who, err := s.identify(c.Request())
+	caller, err := s.authenticate(c.Request())
 	if err != nil {
 		return err
 	}
-	id, err := s.identityOf(who, c.Request(), c.Response().Header())
+	id, err := s.resolveKey(caller, c.Request(), c.Response().Header())
 	if err != nil {
 		return err
 	}
@@ -31,109 +31,114 @@
 	if err != nil {
 		return err
 	}
-	request, err := s.chatSubmission(c, who, id, chat)
+	request, err := s.chatSubmission(c, caller, id, chat)
 	if err != nil {
 		return err
 	}
-	// Nothing may be refused after Submit but by its answer.
+	// After Submit the request may be running, so that errors must come from its
+	// answer only. All input is checked before.
 	position, err := resumePosition(c.Request())
 	if err != nil {
 		return err
 	}
-	handle := s.parts.Scheduler.Submit(request)
+	handle := s.deps.Scheduler.Submit(request)
 	defer handle.Close()
-	s.advise(c)
+	s.closeIfDraining(c)
 	if chat.Stream {
 		return s.streamEvents(c, handle, id, position)
 	}
 	return s.writeCompletion(c, handle, id)
 }
 
-// chatSubmission checks the request against the configuration.
-func (s *Server) chatSubmission(c echo.Context, who caller, id identity, chat *chatRequest) (scheduler.Request, error) {
+// chatSubmission checks the request against the configuration and builds the
+// scheduler's request.
+func (s *Server) chatSubmission(c echo.Context, caller callerInfo, id requestIdentity, chat *chatRequest) (scheduler.Request, error) {
 	ctx := c.Request().Context()
-	model := who.snapshot.Models[chat.Model]
+	model := caller.snapshot.Models[chat.Model]
 	if model == nil {
-		return scheduler.Request{}, s.refuse(ctx, id, invalid(http.StatusNotFound, "unknown_model", "model", "there is no model %q", chat.Model))
+		return scheduler.Request{}, s.completeRefusal(ctx, id, invalidRequest(http.StatusNotFound, "unknown_model", "model", "there is no model %q", chat.Model))
 	}
-	if bound := model.MaxPromptTokens; bound > 0 && chat.tokens > bound {
-		return scheduler.Request{}, s.refuse(ctx, id, invalid(http.StatusBadRequest, "prompt_too_long", "messages", "the prompt has about %d tokens, the model takes %d", chat.tokens, bound))
+	if limit := model.MaxPromptTokens; limit > 0 && chat.promptTokens > limit {
+		return scheduler.Request{}, s.completeRefusal(ctx, id, invalidRequest(http.StatusBadRequest, "prompt_too_long", "messages", "the prompt has about %d tokens, the model takes %d", chat.promptTokens, limit))
 	}
-	answerTokens, field := chat.answerTokens(model.MaxAnswerTokens)
-	if bound := model.MaxAnswerTokens; bound > 0 && answerTokens > bound {
-		return scheduler.Request{}, s.refuse(ctx, id, invalid(http.StatusBadRequest, "answer_too_long", field, "the model gives at most %d tokens", bound))
+	answerTokens, field := chat.maxAnswerTokens(model.MaxAnswerTokens)
+	if limit := model.MaxAnswerTokens; limit > 0 && answerTokens > limit {
+		return scheduler.Request{}, s.completeRefusal(ctx, id, invalidRequest(http.StatusBadRequest, "answer_too_long", field, "the model gives at most %d tokens", limit))
 	}
-	deadline, err := s.deadlineOf(c.Request(), who.organisation.DefaultDeadline)
+	deadline, err := s.requestDeadline(c.Request(), caller.organisation.DefaultDeadline)
 	if err != nil {
 		return scheduler.Request{}, err
 	}
 	return scheduler.Request{
 		Key:          id.key,
-		Minted:       id.minted,
-		Organisation: who.organisation,
+		Minted:       id.generated,
+		Organisation: caller.organisation,
 		Pool:         domain.ModelPool(chat.Model),
 		Fingerprint:  chat.fingerprint,
-		Content:      chat.content,
-		PromptTokens: chat.tokens,
+		Content:      chat.contentHash,
+		PromptTokens: chat.promptTokens,
 		AnswerTokens: answerTokens,
-		Blocks:       chat.blocks,
+		Blocks:       chat.prefixBlocks,
 		Deadline:     deadline,
-		// Without a stream the caller learns a minted key only with the answer.
-		NoReturn: id.minted && !chat.Stream,
+		// Without streaming the caller learns a generated key only with the answer, so
+		// that it can't come back for an answer that it has not received.
+		NoReturn: id.generated && !chat.Stream,
 		Body:     chat.engineBody,
 	}, nil
 }
 
-// readBody reads a bounded body within the time allowed. Its memory is accounted
-// for until release is called.
+// readBody reads a body of limited size within BodyTimeout. Its memory is
+// accounted for until release is called.
 func (s *Server) readBody(c echo.Context) (body []byte, release func(), err error) {
 	r := c.Request()
 	limit := s.options.MaxBodyBytes
 	if r.ContentLength > limit {
-		return nil, nil, tooLarge(limit)
+		return nil, nil, bodyTooLargeProblem(limit)
 	}
 	reserved := limit
 	if r.ContentLength >= 0 {
 		reserved = r.ContentLength
 	}
-	if !s.bodies.take(reserved) {
-		return nil, nil, s.full()
+	if !s.bodies.reserve(reserved) {
+		return nil, nil, s.memoryProblem()
 	}
-	release = func() { s.bodies.give(reserved) }
+	release = func() { s.bodies.release(reserved) }
 	control := http.NewResponseController(c.Response())
 	_ = control.SetReadDeadline(time.Now().Add(s.options.BodyTimeout))
 	body, err = io.ReadAll(http.MaxBytesReader(c.Response(), r.Body, limit))
 	if err != nil {
 		release()
-		return nil, nil, bodyProblem(err, limit)
+		return nil, nil, problemFromBodyError(err, limit)
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	return body, release, nil
 }
 
-func tooLarge(limit int64) *Problem {
-	return invalid(http.StatusRequestEntityTooLarge, "body_too_large", "body", "the body may have at most %d bytes", limit)
+func bodyTooLargeProblem(limit int64) *Problem {
+	return invalidRequest(http.StatusRequestEntityTooLarge, "body_too_large", "body", "the body may have at most %d bytes", limit)
 }
 
-func bodyProblem(err error, limit int64) *Problem {
+func problemFromBodyError(err error, limit int64) *Problem {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return tooLarge(limit)
+		return bodyTooLargeProblem(limit)
 	}
-	return invalid(http.StatusBadRequest, "body_unreadable", "body", "the body did not arrive whole")
+	return invalidRequest(http.StatusBadRequest, "body_unreadable", "body", "the body did not arrive whole")
 }
 
-// full refuses a body for which there is no memory. Nothing of it was looked at,
-// so that an earlier attempt of the same key may have run.
-func (s *Server) full() *Problem {
+// memoryProblem refuses a body that would exceed the memory limit for bodies. The
+// outcome is unknown: the request was not looked up, and an earlier attempt with
+// the same key may have run.
+func (s *Server) memoryProblem() *Problem {
 	p := newProblem(http.StatusServiceUnavailable, "out_of_memory", domain.OutcomeUnknown, "the node holds as many bodies as it may")
 	p.retryAfter = time.Second
 	return p
 }
 
-// advise makes the caller's next request go to another node while this one drains.
-func (s *Server) advise(c echo.Context) {
-	if s.parts.Scheduler.Draining() {
+// closeIfDraining asks the caller to close its connection while this node drains,
+// so that its next request goes to another node.
+func (s *Server) closeIfDraining(c echo.Context) {
+	if s.deps.Scheduler.Draining() {
 		c.Response().Header().Set("Connection", "close")
 	}
 }
--- a/entry/chatbody.go
+++ b/entry/chatbody.go
@@ -18,7 +18,7 @@
 	fieldStream = "stream"
 )
 
-// chatBody is the part of a chat completion's body that the system looks at.
+// chatBody holds the fields of a chat completion request that are interpreted here.
 type chatBody struct {
 	Model               string
 	Messages            []chatMessage
@@ -32,19 +32,19 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// chatRequest is a checked body with what follows from it.
+// chatRequest is a validated body and the values derived from it.
 type chatRequest struct {
 	chatBody
-	// engineBody is the body with "stream" set to true.
-	engineBody  []byte
-	fingerprint ledger.Fingerprint
-	blocks      []uint64
-	tokens      int
-	content     uint64
+	// engineBody is the body in canonical form, with "stream" set to true.
+	engineBody   []byte
+	fingerprint  ledger.Fingerprint
+	prefixBlocks []uint64
+	promptTokens int
+	contentHash  uint64
 }
 
-// parseChat checks the body. It returns a problem that names the field or the
-// position at fault.
+// parseChat parses and validates the body. The problem that it returns names the
+// invalid field or position.
 func parseChat(body []byte) (*chatRequest, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -54,17 +54,17 @@
 	if err := request.decode(fields); err != nil {
 		return nil, err
 	}
-	if err := request.check(); err != nil {
+	if err := request.validate(); err != nil {
 		return nil, err
 	}
-	request.describePrompt()
+	request.analysePrompt()
 	fields[fieldStream] = json.RawMessage("true")
-	request.fingerprint, request.engineBody = canonical(fields)
+	request.fingerprint, request.engineBody = canonicalBody(fields)
 	return request, nil
 }
 
-// decode takes the fields by their exact names, as engines do: a field that
-// differs in case is another one.
+// decode decodes the fields by their exact names, as engines do. Unlike in
+// encoding/json, names are case-sensitive.
 func (r *chatRequest) decode(fields map[string]json.RawMessage) error {
 	targets := []struct {
 		name  string
@@ -88,39 +88,39 @@
 	return nil
 }
 
-func (r *chatRequest) check() error {
+func (r *chatRequest) validate() error {
 	if r.Model == "" {
-		return invalid(http.StatusBadRequest, "invalid_body", "model", "model is missing")
+		return invalidRequest(http.StatusBadRequest, "invalid_body", "model", "model is missing")
 	}
 	if len(r.Messages) == 0 {
-		return invalid(http.StatusBadRequest, "invalid_body", "messages", "messages must have at least one message")
+		return invalidRequest(http.StatusBadRequest, "invalid_body", "messages", "messages must have at least one message")
 	}
 	for i, message := range r.Messages {
 		if message.Role == "" {
-			return invalid(http.StatusBadRequest, "invalid_body", "messages", "message %d has no role", i)
+			return invalidRequest(http.StatusBadRequest, "invalid_body", "messages", "message %d has no role", i)
 		}
 	}
 	for field, value := range map[string]*int{"max_tokens": r.MaxTokens, "max_completion_tokens": r.MaxCompletionTokens} {
 		if value != nil && *value <= 0 {
-			return invalid(http.StatusBadRequest, "invalid_body", field, "%s must be above 0", field)
+			return invalidRequest(http.StatusBadRequest, "invalid_body", field, "%s must be above 0", field)
 		}
 	}
 	return nil
 }
 
-// describePrompt computes the prefix blocks, the estimate of its length and the
-// hash by which a request that crashes endpoints is recognised.
-func (r *chatRequest) describePrompt() {
+// analysePrompt computes the prefix blocks, the estimated number of tokens and the
+// content hash that identifies requests that crash endpoints.
+func (r *chatRequest) analysePrompt() {
 	chain := prefix.NewChain(r.Model)
 	for _, message := range r.Messages {
 		chain.Add(message.Role, message.text())
 	}
-	r.blocks = chain.Blocks()
-	r.tokens = chain.Tokens()
-	r.content = chain.Sum()
+	r.prefixBlocks = chain.Blocks()
+	r.promptTokens = chain.Tokens()
+	r.contentHash = chain.Sum()
 }
 
-// text returns the content if it is a string, else its JSON.
+// text returns the content if it is a string, otherwise its JSON.
 func (m chatMessage) text() string {
 	var text string
 	if json.Unmarshal(m.Content, &text) == nil {
@@ -129,30 +129,30 @@
 	return string(m.Content)
 }
 
-// answerTokens returns the most tokens that the answer may have, given the
-// model's bound; zero for no bound.
-func (r *chatRequest) answerTokens(bound int) (tokens int, field string) {
+// maxAnswerTokens returns the maximum number of tokens of the answer, and the field
+// that sets it. Without such a field it is the model's limit; zero means no limit.
+func (r *chatRequest) maxAnswerTokens(modelLimit int) (tokens int, field string) {
 	switch {
 	case r.MaxCompletionTokens != nil:
 		return *r.MaxCompletionTokens, "max_completion_tokens"
 	case r.MaxTokens != nil:
 		return *r.MaxTokens, "max_tokens"
 	default:
-		return bound, ""
+		return modelLimit, ""
 	}
 }
 
-// canonical writes the fields in a fixed order and without space, and hashes
-// them. Whether the caller wants a stream is always "true" here, so that a retry
-// may ask for the same answer in the other form.
-func canonical(fields map[string]json.RawMessage) (ledger.Fingerprint, []byte) {
+// canonicalBody encodes the fields in sorted order without whitespace, and
+// fingerprints the result. The field "stream" is always true in it, so that a retry
+// may request the same answer with or without streaming.
+func canonicalBody(fields map[string]json.RawMessage) (ledger.Fingerprint, []byte) {
 	var body bytes.Buffer
 	body.WriteByte('{')
 	for i, name := range slices.Sorted(maps.Keys(fields)) {
 		if i > 0 {
 			body.WriteByte(',')
 		}
-		// Names and values come from a decoder: both encode.
+		// The names and values were decoded from JSON, so encoding them can't fail.
 		quoted, _ := json.Marshal(name)
 		body.Write(quoted)
 		body.WriteByte(':')
@@ -162,7 +162,8 @@
 	return fingerprint([]byte(chatPath), body.Bytes()), body.Bytes()
 }
 
-// fingerprint hashes the parts of a request, with their borders.
+// fingerprint hashes the parts of a request. Each part is hashed separately, so
+// that moving bytes between parts changes the result.
 func fingerprint(parts ...[]byte) ledger.Fingerprint {
 	hash := sha256.New()
 	for _, part := range parts {
@@ -172,7 +173,8 @@
 	return ledger.Fingerprint(hash.Sum(nil)[:len(ledger.Fingerprint{})])
 }
 
-// jsonProblem names the position or the field that does not fit.
+// jsonProblem converts a decoding error into a problem that names the position or
+// the field.
 func jsonProblem(field string, err error) *Problem {
 	var syntax *json.SyntaxError
 	var typed *json.UnmarshalTypeError
@@ -181,10 +183,10 @@
 		if typed.Field != "" {
 			field += "." + typed.Field
 		}
-		return invalid(http.StatusBadRequest, "invalid_body", field, "%s can't be a JSON %s", field, typed.Value)
+		return invalidRequest(http.StatusBadRequest, "invalid_body", field, "%s can't be a JSON %s", field, typed.Value)
 	case errors.As(err, &syntax):
-		return invalid(http.StatusBadRequest, "invalid_json", field, "malformed JSON at byte %d: %s", syntax.Offset, syntax.Error())
+		return invalidRequest(http.StatusBadRequest, "invalid_json", field, "malformed JSON at byte %d: %s", syntax.Offset, syntax.Error())
 	default:
-		return invalid(http.StatusBadRequest, "invalid_json", field, "malformed JSON")
+		return invalidRequest(http.StatusBadRequest, "invalid_json", field, "malformed JSON")
 	}
 }
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// completion puts the events of a model's stream together into the body of an
-// answer without streaming.
+// completion merges the events of a model's stream into the response body for a
+// request without streaming.
 type completion struct {
 	ID                string          `json:"id,omitempty"`
 	Object            string          `json:"object"`
@@ -35,7 +35,7 @@
 	ToolCalls []*toolCall `json:"tool_calls,omitempty"`
 }
 
-// logprobs of a stream's events are joined to those of the whole.
+// logprobs holds log probabilities. Those of all events are concatenated.
 type logprobs struct {
 	Content []json.RawMessage `json:"content"`
 	Refusal []json.RawMessage `json:"refusal,omitempty"`
@@ -53,14 +53,14 @@
 
 func newCompletion() *completion { return &completion{Choices: []*choice{}} }
 
-// add takes in one event. An event that is not JSON is an error: the answer
-// could not be told whole.
-func (c *completion) add(data []byte) error {
+// addEvent merges one event. It returns an error if the event is not valid JSON,
+// since the completion would be incomplete without it.
+func (c *completion) addEvent(data []byte) error {
 	var event completionEvent
 	if err := json.Unmarshal(data, &event); err != nil {
 		return err
 	}
-	c.addHead(&event)
+	c.addMetadata(&event)
 	for i := range event.Choices {
 		delta := &event.Choices[i]
 		target := c.choice(delta.Index)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (c *completion) addHead(event *completionEvent) {
+func (c *completion) addMetadata(event *completionEvent) {
 	if c.ID == "" {
 		c.ID, c.Created, c.Model = event.ID, event.Created, event.Model
 		c.SystemFingerprint = event.SystemFingerprint
@@ -91,9 +91,9 @@
 }
 
 func (c *completion) choice(index int) *choice {
-	for _, known := range c.Choices {
-		if known.Index == index {
-			return known
+	for _, existing := range c.Choices {
+		if existing.Index == index {
+			return existing
 		}
 	}
 	added := &choice{Index: index, Message: choiceMessage{Role: "assistant"}}
@@ -127,9 +127,9 @@
 }
 
 func (c *choice) toolCall(index int) *toolCall {
-	for _, known := range c.Message.ToolCalls {
-		if known.Index == index {
-			return known
+	for _, existing := range c.Message.ToolCalls {
+		if existing.Index == index {
+			return existing
 		}
 	}
 	added := &toolCall{Index: index}
@@ -137,8 +137,9 @@
 	return added
 }
 
-// complete makes the answer ready to be written, after the last event.
-func (c *completion) complete() {
+// finish sorts the choices and sets their messages. It is called after the last
+// event.
+func (c *completion) finish() {
 	c.Object = "chat.completion"
 	slices.SortFunc(c.Choices, func(a, b *choice) int { return a.Index - b.Index })
 	for _, choice := range c.Choices {
--- a/entry/headers.go
+++ b/entry/headers.go
@@ -7,26 +7,29 @@
 	"hawthornrill.example/hawthornrill/session"
 )
 
-// hopByHop headers concern one connection and are not passed on.
+// hopByHop lists the headers that apply to one connection and are not forwarded.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ownHeaders are meant for this system and kept from endpoints.
-var ownHeaders = []string{"Authorization", KeyHeader, TimeoutHeader, session.Header, "Content-Length", "Expect"}
+// strippedHeaders lists the request headers that are handled here and not forwarded
+// to endpoints.
+var strippedHeaders = []string{"Authorization", KeyHeader, TimeoutHeader, session.Header, "Content-Length", "Expect"}
 
-// towardsEndpoint returns the headers of a plain call that the service gets.
-func towardsEndpoint(header http.Header) http.Header {
-	passed := withoutHopByHop(header)
-	for _, name := range ownHeaders {
-		passed.Del(name)
+// endpointHeaders returns the headers of a service call that are forwarded to the
+// service.
+func endpointHeaders(header http.Header) http.Header {
+	forwarded := withoutHopByHop(header)
+	for _, name := range strippedHeaders {
+		forwarded.Del(name)
 	}
-	return passed
+	return forwarded
 }
 
-// towardsCaller copies the headers of a plain response, but for this system's own.
-func towardsCaller(to, from http.Header) {
+// copyResponseHeaders copies the headers of a service's response, except the key
+// and session headers, which only this system sets.
+func copyResponseHeaders(to, from http.Header) {
 	for name, values := range withoutHopByHop(from) {
 		if name != KeyHeader && name != session.Header {
 			to[name] = values
@@ -35,14 +38,14 @@
 }
 
 func withoutHopByHop(header http.Header) http.Header {
-	passed := header.Clone()
+	forwarded := header.Clone()
 	for _, value := range header.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
-			passed.Del(strings.TrimSpace(name))
+			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range hopByHop {
-		passed.Del(name)
+		forwarded.Del(name)
 	}
-	return passed
+	return forwarded
 }
--- a/entry/intake.go
+++ b/entry/intake.go
@@ -12,46 +12,47 @@
 	"hawthornrill.example/hawthornrill/session"
 )
 
-// TimeoutHeader is the HTTP header with the time in seconds, a decimal number,
-// that a request may wait for its answer to begin.
+// TimeoutHeader is the HTTP header that limits the time until the answer begins,
+// as a decimal number of seconds.
 const TimeoutHeader = "Request-Timeout"
 
-// identity is a request's key and what follows from it.
-type identity struct {
+// requestIdentity is the key of a request and where it comes from.
+type requestIdentity struct {
 	key domain.RequestKey
-	// minted says that the caller sent no key.
-	minted bool
+	// generated is true if the caller sent no key and this node generated one.
+	generated bool
 }
 
-// identityOf takes the caller's key or mints one, and puts it into the headers of
-// the response. A stale session is refused here.
-func (s *Server) identityOf(who caller, r *http.Request, header http.Header) (identity, error) {
+// resolveKey returns the caller's key, or generates one, and sets it in the
+// response headers. It rejects requests whose session has expired.
+func (s *Server) resolveKey(caller callerInfo, r *http.Request, header http.Header) (requestIdentity, error) {
 	client := r.Header.Get(KeyHeader)
-	minted := client == ""
-	if minted {
-		client = mint(s.parts.Self)
+	generated := client == ""
+	if generated {
+		client = generateKey(s.deps.Self)
 	}
-	key, err := s.requestKey(who, client)
+	key, err := s.requestKey(caller, client)
 	if err != nil {
-		return identity{}, err
+		return requestIdentity{}, err
 	}
 	header.Set(KeyHeader, client)
-	id := identity{key: key, minted: minted}
-	if who.stale {
-		return id, s.refuse(r.Context(), id, invalid(http.StatusForbidden, "stale_session", session.Header, "the session has expired; open another"))
+	id := requestIdentity{key: key, generated: generated}
+	if caller.sessionExpired {
+		return id, s.completeRefusal(r.Context(), id, invalidRequest(http.StatusForbidden, "stale_session", session.Header, "the session has expired; open another"))
 	}
 	return id, nil
 }
 
-// refuse completes the problem of a request refused for a reason that need not
-// have stood at an earlier attempt of the same key: the home is asked whether
-// there was one.
-func (s *Server) refuse(ctx context.Context, id identity, p *Problem) *Problem {
+// completeRefusal sets the key and the outcome of a refusal whose reason may not
+// have applied to an earlier attempt with the same key. Unless the key was
+// generated, it looks the key up; the outcome is unknown unless no such attempt is
+// recorded.
+func (s *Server) completeRefusal(ctx context.Context, id requestIdentity, p *Problem) *Problem {
 	p.Key = id.key.Client
-	if id.minted {
+	if id.generated {
 		return p
 	}
-	_, handle, err := s.parts.Scheduler.Find(ctx, id.key)
+	_, handle, err := s.deps.Scheduler.Find(ctx, id.key)
 	if err == nil {
 		handle.Close()
 	}
@@ -63,8 +64,9 @@
 	return p
 }
 
-// deadlineOf returns how long the request may wait.
-func (s *Server) deadlineOf(r *http.Request, fallback time.Duration) (time.Duration, error) {
+// requestDeadline returns the caller's limit on the time until the answer begins,
+// or the fallback if the caller sent none.
+func (s *Server) requestDeadline(r *http.Request, fallback time.Duration) (time.Duration, error) {
 	text := r.Header.Get(TimeoutHeader)
 	if text == "" {
 		return fallback, nil
@@ -72,7 +74,7 @@
 	seconds, err := strconv.ParseFloat(text, 64)
 	limit := s.options.MaxTimeout
 	if err != nil || !(seconds > 0 && seconds <= limit.Seconds()) {
-		return 0, invalid(http.StatusBadRequest, "invalid_timeout", TimeoutHeader, "%s must be a number of seconds above 0, at most %g", TimeoutHeader, limit.Seconds())
+		return 0, invalidRequest(http.StatusBadRequest, "invalid_timeout", TimeoutHeader, "%s must be a number of seconds above 0, at most %g", TimeoutHeader, limit.Seconds())
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
--- a/entry/key.go
+++ b/entry/key.go
@@ -10,25 +10,26 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// KeyHeader is the HTTP header that carries the request's key, both ways.
+// KeyHeader is the HTTP header that carries the request key in requests and
+// responses.
 const KeyHeader = "Idempotency-Key"
 
 const (
-	// maxKeyBytes is the longest key accepted.
-	maxKeyBytes  = 200
-	mintedPrefix = "hr1."
+	// maxKeyBytes is the maximum length of a key.
+	maxKeyBytes        = 200
+	generatedKeyPrefix = "hr1."
 )
 
-// mint returns a new key which the given life of a node decides about.
-func mint(self domain.Member) string {
+// generateKey returns a new key whose scope is the given incarnation of a node.
+func generateKey(self domain.Member) string {
 	node := base64.RawURLEncoding.EncodeToString([]byte(self.Node))
 	incarnation := strconv.FormatUint(uint64(self.Incarnation), 36)
-	return mintedPrefix + node + "." + incarnation + "." + uuid.NewString()
+	return generatedKeyPrefix + node + "." + incarnation + "." + uuid.NewString()
 }
 
-// mintedScope returns the scope that a minted key names.
-func mintedScope(key string) (domain.Scope, bool) {
-	rest, ok := strings.CutPrefix(key, mintedPrefix)
+// generatedKeyScope returns the scope encoded in a generated key.
+func generatedKeyScope(key string) (domain.Scope, bool) {
+	rest, ok := strings.CutPrefix(key, generatedKeyPrefix)
 	if !ok {
 		return domain.Scope{}, false
 	}
@@ -48,15 +49,15 @@
 	return scope, true
 }
 
-// checkKey returns a problem if the key is too long or has characters other than
-// printable ASCII.
+// checkKey returns a problem if the key is too long or contains characters other
+// than printable ASCII.
 func checkKey(key string) *Problem {
 	if len(key) > maxKeyBytes {
-		return invalid(400, "invalid_key", KeyHeader, "%s must have at most %d characters", KeyHeader, maxKeyBytes)
+		return invalidRequest(400, "invalid_key", KeyHeader, "%s must have at most %d characters", KeyHeader, maxKeyBytes)
 	}
 	for _, r := range key {
 		if r <= ' ' || r > '~' {
-			return invalid(400, "invalid_key", KeyHeader, "%s must be printable ASCII without spaces", KeyHeader)
+			return invalidRequest(400, "invalid_key", KeyHeader, "%s must be printable ASCII without spaces", KeyHeader)
 		}
 	}
 	return nil
--- a/entry/latency_test.go
+++ b/entry/latency_test.go
@@ -25,15 +25,16 @@
 	latencyInterval = 40 * time.Millisecond
 )
 
-// pacedEngine streams tokens at a fixed pace, each with the time it was sent.
-func pacedEngine(began time.Time) http.Handler {
+// pacedEngine streams tokens at a fixed interval, each with the time at which it
+// was sent.
+func pacedEngine(start time.Time) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		control := http.NewResponseController(w)
 		w.Header().Set("Content-Type", "text/event-stream")
 		ticker := time.NewTicker(latencyInterval)
 		defer ticker.Stop()
 		for offset := range latencyTokens {
-			fmt.Fprintf(w, "id: %d\ndata: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\" worktop\"}}],\"sent\":%d}\n\n", offset, time.Since(began).Nanoseconds())
+			fmt.Fprintf(w, "id: %d\ndata: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\" worktop\"}}],\"sent\":%d}\n\n", offset, time.Since(start).Nanoseconds())
 			_ = control.Flush()
 			<-ticker.C
 		}
@@ -41,8 +42,8 @@
 	})
 }
 
-// latencies are what callers see: from the request to the first token, and from
-// a token's sending to its arrival.
+// latencies holds the latencies that callers observe: from the request to the first
+// token, and from the sending of a token to its arrival.
 type latencies struct {
 	mu           sync.Mutex
 	first, token *hdrhistogram.Histogram
@@ -52,7 +53,7 @@
 	return &latencies{first: hdrhistogram.New(1, 60e9, 3), token: hdrhistogram.New(1, 60e9, 3)}
 }
 
-// stream reads one answer and records its delays.
+// stream reads one answer and records its latencies.
 func (l *latencies) stream(ctx context.Context, client *http.Client, url, key string, began time.Time) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, url+chatPath, strings.NewReader(chatBody))
 	if err != nil {
@@ -96,35 +97,36 @@
 	_ = l.token.RecordValue(sinceSent.Nanoseconds())
 }
 
-// run opens streams spread over the time of half an answer and waits for all.
+// run starts streams at equal intervals over half the duration of an answer, and
+// waits for all of them.
 func (l *latencies) run(b *testing.B, url string, streams int, began time.Time) {
 	transport := &http.Transport{MaxIdleConnsPerHost: streams}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 	var open sync.WaitGroup
-	pause := latencyTokens * latencyInterval / 2 / time.Duration(streams)
+	interval := latencyTokens * latencyInterval / 2 / time.Duration(streams)
 	for i := range streams {
 		open.Go(func() {
 			key := fmt.Sprintf("%d-%d", time.Since(began), i)
 			assert.Check(b, l.stream(b.Context(), client, url, key, began))
 		})
-		time.Sleep(pause)
+		time.Sleep(interval)
 	}
 	open.Wait()
 }
 
-// processorTime returns what this process has used so far.
-func processorTime(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkSlopeAddedLatency measures what a node adds to the first byte and to
-// each token over loopback, and its processor time, against the same engine called
-// directly in the same run. Callers, node and engine share the machine's
-// processors; the processor time includes that of the connection to the engine.
+// BenchmarkSlopeAddedLatency measures the latency that a node adds to the first
+// token and to each token over loopback, and its CPU time, compared with calling
+// the same engine directly in the same run. Callers, node and engine share the
+// CPUs of the machine. The CPU time includes that of the connection to the engine.
 func BenchmarkSlopeAddedLatency(b *testing.B) {
 	for _, streams := range []int{100, 250, 500} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
@@ -133,18 +135,18 @@
 			defer engine.Close()
 			transport := onesend.New(onesend.Options{})
 			defer transport.CloseIdleConnections()
-			handler, _ := newBenchNode(b, httpengine.New(engine.URL, transport), freeCapacity{})
+			handler, _ := newBenchNode(b, httpengine.New(engine.URL, transport), stubCapacity{})
 			node := httptest.NewServer(handler)
 			defer node.Close()
 			direct, through := newLatencies(), newLatencies()
 			var added time.Duration
 			rounds := 0
 			for b.Loop() {
-				start := processorTime(b)
+				start := cpuTime(b)
 				direct.run(b, engine.URL, streams, began)
-				middle := processorTime(b)
+				middle := cpuTime(b)
 				through.run(b, node.URL, streams, began)
-				added += processorTime(b) - middle - (middle - start)
+				added += cpuTime(b) - middle - (middle - start)
 				rounds++
 			}
 			b.ReportMetric(float64(added.Nanoseconds())/float64(rounds), "added-cpu-ns")
--- a/entry/options.go
+++ b/entry/options.go
@@ -6,28 +6,29 @@
 	"hawthornrill.example/hawthornrill/defaults"
 )
 
-// Options bounds what callers may send and how long they may take.
+// Options limits the size of request bodies and the time of transfers.
 type Options struct {
-	// MaxBodyBytes bounds a model's request body.
+	// MaxBodyBytes limits the body of a model request.
 	MaxBodyBytes int64
-	// MaxServiceBodyBytes bounds the body of a plain call, which is streamed.
+	// MaxServiceBodyBytes limits the body of a service call, which is streamed.
 	MaxServiceBodyBytes int64
-	// MaxBufferedBytes bounds all request bodies held at a time.
+	// MaxBufferedBytes limits the memory for all request bodies together.
 	MaxBufferedBytes int64
-	// BodyTimeout is how long a caller may take to send a model's body.
+	// BodyTimeout limits the time to receive the body of a model request.
 	BodyTimeout time.Duration
-	// WriteTimeout is how long a caller may take to accept a piece of the answer.
+	// WriteTimeout limits the time of one write to a caller.
 	WriteTimeout time.Duration
-	// HeaderDelay is how long the headers of a stream are held back when the caller
-	// does not know its key yet; KeepAliveInterval is so otherwise, and is the longest
-	// silence in a stream.
+	// HeaderDelay is the maximum delay of the headers of a stream without events if
+	// the key was generated, so that the caller learns it early. For other keys the
+	// maximum is KeepAliveInterval, which is also the interval of keep-alive comments
+	// in a stream without events.
 	HeaderDelay       time.Duration
 	KeepAliveInterval time.Duration
-	// MaxTimeout bounds the Request-Timeout header.
+	// MaxTimeout is the maximum value of the Request-Timeout header.
 	MaxTimeout time.Duration
 }
 
-// DefaultOptions returns what a node uses unless its settings say otherwise.
+// DefaultOptions returns the defaults of the options.
 func DefaultOptions() Options {
 	return Options{
 		MaxBodyBytes:        2 << 20,
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -26,7 +26,8 @@
 	otherKey = "key-of-pryce"
 )
 
-// deployment is two nodes, a model "m" at one engine, and a service "jobs".
+// deployment consists of two nodes, an engine with the model "m", and a service
+// "jobs".
 type deployment struct {
 	network  *peertest.Network
 	home     *schedulertest.Home
@@ -98,11 +99,12 @@
 	}
 }
 
-// chatBody is a good body of a chat completion.
+// chatBody is a valid body of a chat completion request.
 const chatBody = `{"model":"m","stream":true,"messages":[{"role":"user","content":"how much?"}]}`
 
-// ask makes a request with a good API key. Headers come as name, value pairs.
-func ask(method, path, body string, headers ...string) *http.Request {
+// newRequest returns a request with a valid API key. Headers are pairs of name and
+// value.
+func newRequest(method, path, body string, headers ...string) *http.Request {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+apiKey)
 	for i := 0; i < len(headers); i += 2 {
@@ -117,31 +119,32 @@
 	return w
 }
 
-// keyOf is the key of cucine's requests outside sessions.
+// keyOf returns the full key of a request of cucine without a session.
 func keyOf(client string) domain.RequestKey {
 	return domain.RequestKey{Scope: domain.Scope{DataCentre: "palermo"}, Organisation: "cucine", Client: client}
 }
 
-// events is the whole stream of the answer to a key, from an event on.
-func events(key domain.RequestKey, from, tokens uint64) string {
+// expectedStream returns the complete stream of the answer to a key, starting at
+// the event from.
+func expectedStream(key domain.RequestKey, from, tokens uint64) string {
 	var out strings.Builder
 	for offset := from; offset < tokens; offset++ {
-		out.WriteString("id: " + itoa(offset) + "\ndata: " + schedulertest.Token(key.String(), offset) + "\n\n")
+		out.WriteString("id: " + formatUint(offset) + "\ndata: " + schedulertest.Token(key.String(), offset) + "\n\n")
 	}
 	return out.String() + "data: [DONE]\n\n"
 }
 
-func TestStreamedWhole(t *testing.T) {
+func TestStreamIsComplete(t *testing.T) {
 	scripts := map[string]schedulertest.Script{
-		"plain":             {},
-		"doubled":           {Double: true},
-		"stale ones":        {Stale: true, Double: true},
-		"late":              {Interval: 10 * time.Second},
-		"broken twice":      {Cuts: []uint64{0, 17}},
-		"gap":               {SkipOnce: 5},
-		"silent":            {Stall: 8},
-		"reply lost":        {Start: endpoint.ErrBroken, Lost: true},
-		"engine away a bit": {Cuts: []uint64{3}, Resume: endpoint.ErrBroken, ResumeFails: 3},
+		"no fault":                   {},
+		"duplicate events":           {Double: true},
+		"stale and duplicate events": {Stale: true, Double: true},
+		"slow engine":                {Interval: 10 * time.Second},
+		"two disconnects":            {Cuts: []uint64{0, 17}},
+		"skipped event":              {SkipOnce: 5},
+		"stalled stream":             {Stall: 8},
+		"start reply lost":           {Start: endpoint.ErrBroken, Lost: true},
+		"engine briefly unreachable": {Cuts: []uint64{3}, Resume: endpoint.ErrBroken, ResumeFails: 3},
 	}
 	for name, script := range scripts {
 		t.Run(name, func(t *testing.T) {
@@ -152,13 +155,13 @@
 				}
 				d := newDeployment(t, script, scheduler.Options{}, entry.Options{KeepAliveInterval: time.Hour})
 				defer d.close()
-				w := d.do("a", ask("POST", "/v1/chat/completions", chatBody, "Idempotency-Key", "k1"))
+				w := d.do("a", newRequest("POST", "/v1/chat/completions", chatBody, "Idempotency-Key", "k1"))
 				assert.Equal(t, w.Code, http.StatusOK)
-				assert.Equal(t, w.Body.String(), events(keyOf("k1"), 0, 20))
+				assert.Equal(t, w.Body.String(), expectedStream(keyOf("k1"), 0, 20))
 				assert.DeepEqual(t, d.engine.Started(), []string{keyOf("k1").String()})
 				synctest.Wait()
 				assert.Equal(t, d.capacity.Held(), 0)
-				assert.Equal(t, d.home.State(keyOf("k1")), finished)
+				assert.Equal(t, d.home.State(keyOf("k1")), stateFinished)
 			})
 		})
 	}
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	problemType  = "application/problem+json"
-	problemSpace = "https://hawthornrill.example/problems/"
+	problemContentType = "application/problem+json"
+	problemTypePrefix  = "https://hawthornrill.example/problems/"
 )
 
 // Problem is an RFC 9457 problem document.
@@ -26,24 +26,25 @@
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Outcome tells what became of the request.
+	// Outcome tells whether the request was run.
 	Outcome domain.Outcome `json:"outcome"`
 	// Code is the last part of Type.
 	Code string `json:"code"`
-	// Field names the part of the request that is wrong.
+	// Field names the invalid part of the request.
 	Field string `json:"field,omitempty"`
 	// Key is the request's key, for a retry or GET /v1/requests/{key}.
 	Key string `json:"key,omitempty"`
-	// Repeatable tells for a plain call whether the operators allow it to be
-	// repeated under another key.
+	// Repeatable is set for service calls: whether the configuration allows the call
+	// to be repeated under another key.
 	Repeatable *bool `json:"repeatable,omitempty"`
-	// Summary repeats the detail in the shape that clients of model APIs show.
+	// Summary repeats the detail in the error format that clients of model APIs
+	// display.
 	Summary problemSummary `json:"error"`
 
 	retryAfter time.Duration
 }
 
-// Error returns the detail; handlers return problems as errors.
+// Error implements error. Handlers return problems as errors.
 func (p *Problem) Error() string { return p.Detail }
 
 type problemSummary struct {
@@ -54,7 +55,7 @@
 
 func newProblem(status int, code string, outcome domain.Outcome, detail string) *Problem {
 	return &Problem{
-		Type:    problemSpace + code,
+		Type:    problemTypePrefix + code,
 		Title:   http.StatusText(status),
 		Status:  status,
 		Detail:  detail,
@@ -64,21 +65,22 @@
 	}
 }
 
-// invalid is a request that could not be run as it is, now or before.
-func invalid(status int, code, field, format string, args ...any) *Problem {
+// invalidRequest returns the problem of a request that can't run at any time, and
+// so was not run by an earlier attempt either.
+func invalidRequest(status int, code, field, format string, args ...any) *Problem {
 	p := newProblem(status, code, domain.OutcomeNotRun, fmt.Sprintf(format, args...))
 	p.Field = field
 	return p
 }
 
-// endProblem translates how a request ended.
-func endProblem(end answer.End) *Problem {
-	p := newProblem(statusOf(end), string(end.Code), end.Outcome, end.Reason)
+// problemFromEnd converts the end of an incomplete answer into a problem.
+func problemFromEnd(end answer.End) *Problem {
+	p := newProblem(statusFromEnd(end), string(end.Code), end.Outcome, end.Reason)
 	p.retryAfter = end.RetryAfter
 	return p
 }
 
-func statusOf(end answer.End) int {
+func statusFromEnd(end answer.End) int {
 	switch end.Code {
 	case answer.CodeLimited:
 		return http.StatusTooManyRequests
@@ -100,36 +102,36 @@
 	}
 }
 
-func (p *Problem) headers(h http.Header) {
+func (p *Problem) setHeaders(h http.Header) {
 	if p.retryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(p.retryAfter.Seconds()))))
 	}
-	h.Set("Content-Type", problemType)
+	h.Set("Content-Type", problemContentType)
 	h.Set("Cache-Control", "no-store")
 	h.Del("Content-Length")
 }
 
 func (p *Problem) encode() []byte {
-	// A Problem consists of strings and numbers, which always encode.
+	// A Problem contains only types whose encoding can't fail.
 	body, _ := json.Marshal(p)
 	return body
 }
 
 func (p *Problem) write(w http.ResponseWriter) {
-	p.headers(w.Header())
+	p.setHeaders(w.Header())
 	w.WriteHeader(p.Status)
 	_, _ = w.Write(p.encode())
 }
 
-// HandleError is the echo.HTTPErrorHandler that writes problem documents.
+// HandleError is an echo.HTTPErrorHandler that writes problem documents.
 func HandleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
-	problemOf(err).write(c.Response())
+	problemFromError(err).write(c.Response())
 }
 
-func problemOf(err error) *Problem {
+func problemFromError(err error) *Problem {
 	var p *Problem
 	if errors.As(err, &p) {
 		return p
--- a/entry/readend.go
+++ b/entry/readend.go
@@ -8,8 +8,8 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// readEnd translates an error of reading an answer into an end.
-func readEnd(err error) answer.End {
+// endFromReadError converts an error from reading an answer into an answer.End.
+func endFromReadError(err error) answer.End {
 	if errors.Is(err, answer.ErrTruncated) || errors.Is(err, answer.ErrNotHeld) {
 		return answer.End{
 			Outcome: domain.OutcomeRan,
--- a/entry/reader.go
+++ b/entry/reader.go
@@ -9,47 +9,47 @@
 	"hawthornrill.example/hawthornrill/scheduler"
 )
 
-// answerReader reads an answer for one connection and tells silence from the
-// connection's end.
+// answerReader reads an answer for one connection. It distinguishes an interval
+// without data, for which it returns an empty batch, from the end of the connection.
 type answerReader struct {
 	handle   *scheduler.Handle
 	position answer.Position
 
-	request context.Context
-	wait    context.Context
-	cancel  context.CancelFunc
-	timer   *time.Timer
-	silence time.Duration
+	requestCtx   context.Context
+	readCtx      context.Context
+	cancel       context.CancelFunc
+	timer        *time.Timer
+	idleInterval time.Duration
 }
 
-func newAnswerReader(r *http.Request, handle *scheduler.Handle, position answer.Position, silence time.Duration) *answerReader {
-	a := &answerReader{handle: handle, position: position, request: r.Context(), silence: silence}
-	a.arm()
+func newAnswerReader(r *http.Request, handle *scheduler.Handle, position answer.Position, idleInterval time.Duration) *answerReader {
+	a := &answerReader{handle: handle, position: position, requestCtx: r.Context(), idleInterval: idleInterval}
+	a.resetReadContext()
 	return a
 }
 
-// next returns the next batch, an empty one after a silence.
+// next returns the next batch, or an empty one after idleInterval without data.
 func (a *answerReader) next() (answer.Batch, error) {
-	if a.wait.Err() != nil {
-		// The time passed while the last batch was being written.
-		a.arm()
+	if a.readCtx.Err() != nil {
+		// The timer expired while the previous batch was being written.
+		a.resetReadContext()
 	}
-	batch, err := a.handle.Read(a.wait, a.position)
-	if err != nil && a.wait.Err() != nil && a.request.Err() == nil {
+	batch, err := a.handle.Read(a.readCtx, a.position)
+	if err != nil && a.readCtx.Err() != nil && a.requestCtx.Err() == nil {
 		return answer.Batch{}, nil
 	}
 	if err != nil {
 		return answer.Batch{}, err
 	}
-	a.timer.Reset(a.silence)
+	a.timer.Reset(a.idleInterval)
 	a.position = a.position.Advance(batch)
 	return batch, nil
 }
 
-// setSilence changes how long next waits.
-func (a *answerReader) setSilence(silence time.Duration) {
-	a.silence = silence
-	a.timer.Reset(silence)
+// setIdleInterval changes how long next waits for data.
+func (a *answerReader) setIdleInterval(interval time.Duration) {
+	a.idleInterval = interval
+	a.timer.Reset(interval)
 }
 
 func (a *answerReader) close() {
@@ -57,15 +57,15 @@
 	a.cancel()
 }
 
-func (a *answerReader) arm() {
+func (a *answerReader) resetReadContext() {
 	if a.cancel != nil {
 		a.cancel()
 	}
-	a.wait, a.cancel = context.WithCancel(a.request)
-	a.timer = time.AfterFunc(a.silence, a.cancel)
+	a.readCtx, a.cancel = context.WithCancel(a.requestCtx)
+	a.timer = time.AfterFunc(a.idleInterval, a.cancel)
 }
 
-// readProblem translates an error of reading an answer.
-func readProblem(err error) *Problem {
-	return endProblem(readEnd(err))
+// problemFromReadError converts an error from reading an answer into a problem.
+func problemFromReadError(err error) *Problem {
+	return problemFromEnd(endFromReadError(err))
 }
--- a/entry/requests.go
+++ b/entry/requests.go
@@ -16,25 +16,26 @@
 type requestState struct {
 	Key   string             `json:"key"`
 	State scheduler.Progress `json:"state"`
-	// Outcome and Detail are set for a failed request.
+	// Outcome and Detail are set if the request failed.
 	Outcome domain.Outcome `json:"outcome,omitempty"`
 	Detail  string         `json:"detail,omitempty"`
-	// Answer is a model's answer, Response a plain one, once finished.
-	Answer   *completion    `json:"answer,omitempty"`
-	Response *plainResponse `json:"response,omitempty"`
+	// Answer is set for a finished model request, Response for a finished service
+	// call.
+	Answer   *completion      `json:"answer,omitempty"`
+	Response *serviceResponse `json:"response,omitempty"`
 }
 
-// plainResponse is a plain call's response; the body is base64 in JSON.
-type plainResponse struct {
+// serviceResponse is the response of a service call. The body is encoded as base64.
+type serviceResponse struct {
 	Status int                 `json:"status"`
 	Header map[string][]string `json:"header"`
 	Body   []byte              `json:"body"`
 }
 
-// getRequest serves GET /v1/requests/{key}: the state and, when it is finished,
-// the answer; or the event stream, if the caller accepts that.
+// getRequest serves GET /v1/requests/{key}. It returns the state and, once the
+// request is finished, the answer; or the event stream if the caller accepts that.
 func (s *Server) getRequest(c echo.Context) error {
-	id, err := s.namedRequest(c)
+	id, err := s.requestFromPath(c)
 	if err != nil {
 		return err
 	}
@@ -42,9 +43,9 @@
 	if err != nil {
 		return err
 	}
-	progress, handle, err := s.parts.Scheduler.Find(c.Request().Context(), id.key)
+	progress, handle, err := s.deps.Scheduler.Find(c.Request().Context(), id.key)
 	if err != nil {
-		return findProblem(err, id)
+		return problemFromFindError(err, id)
 	}
 	defer handle.Close()
 	if strings.Contains(c.Request().Header.Get("Accept"), "text/event-stream") {
@@ -52,7 +53,7 @@
 	}
 	state := requestState{Key: id.key.Client, State: progress}
 	if progress == scheduler.ProgressFinished || progress == scheduler.ProgressFailed {
-		if p := s.fill(c.Request(), &state, handle); p != nil {
+		if p := s.addResult(c.Request(), &state, handle); p != nil {
 			p.Key = id.key.Client
 			return p
 		}
@@ -63,58 +64,58 @@
 
 // cancelRequest serves DELETE /v1/requests/{key}.
 func (s *Server) cancelRequest(c echo.Context) error {
-	id, err := s.namedRequest(c)
+	id, err := s.requestFromPath(c)
 	if err != nil {
 		return err
 	}
-	if err := s.parts.Scheduler.Cancel(c.Request().Context(), id.key); err != nil {
-		return findProblem(err, id)
+	if err := s.deps.Scheduler.Cancel(c.Request().Context(), id.key); err != nil {
+		return problemFromFindError(err, id)
 	}
 	return c.NoContent(http.StatusAccepted)
 }
 
-// namedRequest returns the request that the path names, among the caller's own.
-// An expired session still gives access to what was asked under it.
-func (s *Server) namedRequest(c echo.Context) (identity, error) {
-	who, err := s.identify(c.Request())
+// requestFromPath returns the identity of the caller's request whose key is in the
+// path. An expired session still gives access to the requests made in it.
+func (s *Server) requestFromPath(c echo.Context) (requestIdentity, error) {
+	caller, err := s.authenticate(c.Request())
 	if err != nil {
-		return identity{}, err
+		return requestIdentity{}, err
 	}
-	key, err := s.requestKey(who, pathParam(c, "key"))
-	return identity{key: key}, err
+	key, err := s.requestKey(caller, pathParam(c, "key"))
+	return requestIdentity{key: key}, err
 }
 
-func findProblem(err error, id identity) *Problem {
+func problemFromFindError(err error, id requestIdentity) *Problem {
 	var p *Problem
 	if errors.Is(err, scheduler.ErrNotFound) {
 		p = newProblem(http.StatusNotFound, "unknown_request", domain.OutcomeUnknown, "no request under this key is held; it may have been forgotten")
 	} else {
-		p = endProblem(readEnd(err))
+		p = problemFromEnd(endFromReadError(err))
 	}
 	p.Key = id.key.Client
 	return p
 }
 
-// fill puts the answer of an ended request into the state.
-func (s *Server) fill(r *http.Request, state *requestState, handle *scheduler.Handle) *Problem {
+// addResult adds the answer of a finished request, or the failure, to the state.
+func (s *Server) addResult(r *http.Request, state *requestState, handle *scheduler.Handle) *Problem {
 	head, chunks, end, err := s.readAll(r, handle)
 	switch {
 	case err != nil:
-		return readProblem(err)
+		return problemFromReadError(err)
 	case !end.Complete():
 		state.State, state.Outcome, state.Detail = scheduler.ProgressFailed, end.Outcome, end.Reason
 		return nil
 	case head != nil:
-		state.Response = &plainResponse{Status: head.Status, Header: head.Header, Body: joined(chunks)}
+		state.Response = &serviceResponse{Status: head.Status, Header: head.Header, Body: joinChunks(chunks)}
 		return nil
 	}
 	state.Answer = newCompletion()
 	for _, chunk := range chunks {
-		if err := state.Answer.add(chunk.Data); err != nil {
-			return notJSON()
+		if err := state.Answer.addEvent(chunk.Data); err != nil {
+			return invalidEventProblem()
 		}
 	}
-	state.Answer.complete()
+	state.Answer.finish()
 	return nil
 }
 
@@ -138,7 +139,7 @@
 	}
 }
 
-func joined(chunks []answer.Chunk) []byte {
+func joinChunks(chunks []answer.Chunk) []byte {
 	body := []byte{}
 	for _, chunk := range chunks {
 		body = append(body, chunk.Data...)
--- a/entry/scope.go
+++ b/entry/scope.go
@@ -10,45 +10,48 @@
 	"hawthornrill.example/hawthornrill/rendezvous"
 )
 
-// scopeOf returns where a caller's own key is decided: in the session's data
-// centre, else the organisation's, else one that all nodes compute alike. A
-// minted key names its scope itself.
-func (s *Server) scopeOf(who caller, key string) (domain.Scope, bool) {
-	if scope, ok := mintedScope(key); ok {
+// keyScope returns the scope of a key. A generated key contains its scope. The
+// scope of a caller's own key is the home data centre of the session, else that of
+// the organisation, else a data centre chosen by a hash that is the same on all
+// nodes.
+func (s *Server) keyScope(caller callerInfo, key string) (domain.Scope, bool) {
+	if scope, ok := generatedKeyScope(key); ok {
 		return scope, true
 	}
-	home := cmp.Or(who.session.Home, who.organisation.HomeDataCentre)
+	home := cmp.Or(caller.session.Home, caller.organisation.HomeDataCentre)
 	if home == "" {
-		home = spread(s.dataCentres(who.snapshot), who.organisation.ID, key)
+		home = dataCentreForKey(s.dataCentres(caller.snapshot), caller.organisation.ID, key)
 	}
 	return domain.Scope{Kind: domain.ScopeDataCentre, DataCentre: home}, home != ""
 }
 
-// spread chooses a data centre by the key, none if there is none.
-func spread(places []domain.DataCentre, organisation domain.OrganisationID, key string) domain.DataCentre {
-	first := rendezvous.First(string(organisation)+"\x00"+key, places, func(d domain.DataCentre) string { return string(d) })
+// dataCentreForKey chooses a data centre by rendezvous hashing of the organisation
+// and the key. It returns "" if the list is empty.
+func dataCentreForKey(dataCentres []domain.DataCentre, organisation domain.OrganisationID, key string) domain.DataCentre {
+	first := rendezvous.First(string(organisation)+"\x00"+key, dataCentres, func(d domain.DataCentre) string { return string(d) })
 	if first < 0 {
 		return ""
 	}
-	return places[first]
+	return dataCentres[first]
 }
 
-// places is the sorted list of a snapshot's data centres, worked out once.
-type places struct {
-	snapshot *config.Snapshot
-	list     []domain.DataCentre
+// dataCentreCache holds the sorted data centres of one snapshot, so that they are
+// computed once for each snapshot.
+type dataCentreCache struct {
+	snapshot    *config.Snapshot
+	dataCentres []domain.DataCentre
 }
 
-// dataCentres returns the data centres that have endpoints, sorted.
+// dataCentres returns the data centres that have endpoints in the snapshot, sorted.
 func (s *Server) dataCentres(snapshot *config.Snapshot) []domain.DataCentre {
-	if known := s.places.Load(); known != nil && known.snapshot == snapshot {
-		return known.list
+	if cached := s.dataCentreCache.Load(); cached != nil && cached.snapshot == snapshot {
+		return cached.dataCentres
 	}
 	set := make(map[domain.DataCentre]bool)
 	for _, row := range snapshot.Endpoints {
 		set[row.DataCentre] = true
 	}
 	list := slices.Sorted(maps.Keys(set))
-	s.places.Store(&places{snapshot: snapshot, list: list})
+	s.dataCentreCache.Store(&dataCentreCache{snapshot: snapshot, dataCentres: list})
 	return list
 }
--- a/entry/server.go
+++ b/entry/server.go
@@ -11,30 +11,30 @@
 	"hawthornrill.example/hawthornrill/session"
 )
 
-// Dependencies are what the entry needs.
+// Dependencies are the components that a Server uses.
 type Dependencies struct {
-	// Self is this node's own life, which minted keys name.
+	// Self is this node and its incarnation, the scope of generated keys.
 	Self      domain.Member
 	Config    config.View
 	Sessions  *session.Authority
 	Scheduler *scheduler.Scheduler
 }
 
-// Server answers callers.
+// Server handles the HTTP requests of callers.
 type Server struct {
-	parts   Dependencies
-	options Options
-	bodies  budget
-	places  atomic.Pointer[places]
+	deps            Dependencies
+	options         Options
+	bodies          bodyBudget
+	dataCentreCache atomic.Pointer[dataCentreCache]
 }
 
-// New returns a server; zero options mean defaults.
-func New(parts Dependencies, options Options) *Server {
+// New returns a Server. Zero options are replaced by their defaults.
+func New(deps Dependencies, options Options) *Server {
 	options = options.withDefaults()
-	return &Server{parts: parts, options: options, bodies: budget{limit: options.MaxBufferedBytes}}
+	return &Server{deps: deps, options: options, bodies: bodyBudget{limit: options.MaxBufferedBytes}}
 }
 
-// Register adds the callers' routes and makes errors problem documents.
+// Register adds the routes for callers and sets HandleError as the error handler.
 func (s *Server) Register(e *echo.Echo) {
 	e.HTTPErrorHandler = HandleError
 	e.POST("/v1/chat/completions", s.chat)
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -18,13 +18,14 @@
 	Expires time.Time         `json:"expires"`
 }
 
-// openSession issues a session whose home is this node's data centre.
+// openSession serves POST /v1/sessions. It issues a session whose home is this
+// node's data centre.
 func (s *Server) openSession(c echo.Context) error {
-	who, err := s.identify(c.Request())
+	caller, err := s.authenticate(c.Request())
 	if err != nil {
 		return err
 	}
-	issued, token, err := s.parts.Sessions.Issue(s.parts.Self.DataCentre, who.organisation.ID, time.Now())
+	issued, token, err := s.deps.Sessions.Issue(s.deps.Self.DataCentre, caller.organisation.ID, time.Now())
 	if err != nil {
 		return err
 	}
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	lastEventID = "Last-Event-ID"
-	eventError  = "error"
-	doneData    = "[DONE]"
-	keepAlive   = ": waiting\n\n"
+	lastEventIDHeader = "Last-Event-ID"
+	errorEventType    = "error"
+	doneData          = "[DONE]"
+	keepAliveComment  = ": waiting\n\n"
 )
 
 // eventStream writes an answer as server-sent events. The id of an event is its
-// sequence, by which a caller that reconnects goes on.
+// sequence number, with which a caller that reconnects resumes the stream.
 type eventStream struct {
 	response *echo.Response
 	control  *http.ResponseController
 	options  *Options
-	out      bytes.Buffer
-	begun    bool
+	buffer   bytes.Buffer
+	started  bool
 }
 
-// streamEvents writes the answer until it ends or the caller is gone. Until the
-// first event an error still has its HTTP status; after that it is an event of
-// type "error" with the problem document as data.
-func (s *Server) streamEvents(c echo.Context, handle *scheduler.Handle, id identity, position answer.Position) error {
-	silence := s.options.KeepAliveInterval
-	if id.minted {
-		silence = s.options.HeaderDelay
+// streamEvents writes the answer until it ends or the caller disconnects. An error
+// before anything is written is returned with its HTTP status. A later error is
+// written as an event of type "error" with the problem document as data.
+func (s *Server) streamEvents(c echo.Context, handle *scheduler.Handle, id requestIdentity, position answer.Position) error {
+	idleInterval := s.options.KeepAliveInterval
+	if id.generated {
+		idleInterval = s.options.HeaderDelay
 	}
-	reader := newAnswerReader(c.Request(), handle, position, silence)
+	reader := newAnswerReader(c.Request(), handle, position, idleInterval)
 	defer reader.close()
 	stream := newEventStream(c, &s.options)
 	for {
@@ -47,28 +47,29 @@
 			return nil
 		}
 		if err != nil {
-			end := readEnd(err)
+			end := endFromReadError(err)
 			batch.End = &end
 		}
 		if batch.End != nil && !batch.End.Complete() {
-			return stream.fail(batch.Chunks, endProblem(*batch.End), id)
+			return stream.fail(batch.Chunks, problemFromEnd(*batch.End), id)
 		}
 		if stream.write(batch) != nil || batch.End != nil {
 			return nil
 		}
-		reader.setSilence(s.options.KeepAliveInterval)
+		reader.setIdleInterval(s.options.KeepAliveInterval)
 	}
 }
 
-// resumePosition returns where a caller that reconnects goes on.
+// resumePosition returns the position after the event in the Last-Event-ID header,
+// or the start without that header.
 func resumePosition(r *http.Request) (answer.Position, error) {
-	text := r.Header.Get(lastEventID)
+	text := r.Header.Get(lastEventIDHeader)
 	if text == "" {
 		return answer.Position{}, nil
 	}
 	last, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
-		return answer.Position{}, invalid(http.StatusBadRequest, "invalid_event_id", lastEventID, "%s must be the id of an event", lastEventID)
+		return answer.Position{}, invalidRequest(http.StatusBadRequest, "invalid_event_id", lastEventIDHeader, "%s must be the id of an event", lastEventIDHeader)
 	}
 	return answer.Position{From: last + 1}, nil
 }
@@ -81,29 +82,31 @@
 	}
 }
 
-// write sends what a batch has in one piece: events that were there already go
-// out together, each new one at once.
+// write writes a batch with one flush, so that events that were available together
+// are sent together and a new one is sent without delay. It writes a keep-alive
+// comment for an empty batch.
 func (e *eventStream) write(batch answer.Batch) error {
-	e.out.Reset()
+	e.buffer.Reset()
 	e.appendChunks(batch.Chunks)
 	if batch.End != nil {
 		e.appendMessage(sse.Message{}, doneData)
 	}
-	if e.out.Len() == 0 {
-		e.out.WriteString(keepAlive)
+	if e.buffer.Len() == 0 {
+		e.buffer.WriteString(keepAliveComment)
 	}
 	return e.flush()
 }
 
-// fail ends a stream that can't be completed.
-func (e *eventStream) fail(chunks []answer.Chunk, problem *Problem, id identity) error {
+// fail ends an incomplete stream. It returns the problem if nothing has been
+// written and there are no chunks to write, and writes an error event otherwise.
+func (e *eventStream) fail(chunks []answer.Chunk, problem *Problem, id requestIdentity) error {
 	problem.Key = id.key.Client
-	if !e.begun && len(chunks) == 0 {
+	if !e.started && len(chunks) == 0 {
 		return problem
 	}
-	e.out.Reset()
+	e.buffer.Reset()
 	e.appendChunks(chunks)
-	e.appendMessage(sse.Message{Type: sse.Type(eventError)}, string(problem.encode()))
+	e.appendMessage(sse.Message{Type: sse.Type(errorEventType)}, string(problem.encode()))
 	_ = e.flush()
 	return nil
 }
@@ -116,25 +119,25 @@
 
 func (e *eventStream) appendMessage(message sse.Message, data string) {
 	message.AppendData(data)
-	// Writing to a buffer does not fail.
-	_, _ = message.WriteTo(&e.out)
+	// Writing to a bytes.Buffer can't fail.
+	_, _ = message.WriteTo(&e.buffer)
 }
 
-// flush sends the buffer. A caller that does not accept it in time is cut off
-// and can come back for the rest.
+// flush writes the buffer to the connection. If that takes longer than WriteTimeout,
+// the connection fails, and the caller can reconnect for the rest.
 func (e *eventStream) flush() error {
-	if !e.begun {
-		e.begin()
+	if !e.started {
+		e.start()
 	}
 	_ = e.control.SetWriteDeadline(time.Now().Add(e.options.WriteTimeout))
-	if _, err := e.response.Write(e.out.Bytes()); err != nil {
+	if _, err := e.response.Write(e.buffer.Bytes()); err != nil {
 		return err
 	}
 	return e.control.Flush()
 }
 
-func (e *eventStream) begin() {
-	e.begun = true
+func (e *eventStream) start() {
+	e.started = true
 	header := e.response.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-cache")
--- a/entry/util_test.go
+++ b/entry/util_test.go
@@ -7,8 +7,8 @@
 	"hawthornrill.example/hawthornrill/ledger"
 )
 
-const finished = ledger.StateFinished
+const stateFinished = ledger.StateFinished
 
-func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
 
-func domainNode(name string) domain.NodeID { return domain.NodeID(name) }
+func nodeID(name string) domain.NodeID { return domain.NodeID(name) }
--- a/entry/whole.go
+++ b/entry/whole.go
@@ -11,43 +11,44 @@
 	"hawthornrill.example/hawthornrill/scheduler"
 )
 
-// collect reads a model's answer to its end.
-func (s *Server) collect(r *http.Request, handle *scheduler.Handle) (*completion, *Problem) {
+// collectCompletion reads a model's answer to its end and merges its events.
+func (s *Server) collectCompletion(r *http.Request, handle *scheduler.Handle) (*completion, *Problem) {
 	reader := newAnswerReader(r, handle, answer.Position{}, s.options.KeepAliveInterval)
 	defer reader.close()
-	whole := newCompletion()
+	result := newCompletion()
 	for {
 		batch, err := reader.next()
 		if err != nil {
-			return nil, readProblem(err)
+			return nil, problemFromReadError(err)
 		}
 		for _, chunk := range batch.Chunks {
-			if err := whole.add(chunk.Data); err != nil {
-				return nil, notJSON()
+			if err := result.addEvent(chunk.Data); err != nil {
+				return nil, invalidEventProblem()
 			}
 		}
 		if batch.End == nil {
 			continue
 		}
 		if !batch.End.Complete() {
-			return nil, endProblem(*batch.End)
+			return nil, problemFromEnd(*batch.End)
 		}
-		whole.complete()
-		return whole, nil
+		result.finish()
+		return result, nil
 	}
 }
 
-func notJSON() *Problem {
+func invalidEventProblem() *Problem {
 	return newProblem(http.StatusBadGateway, string(answer.CodeBroken), domain.OutcomeRan, "the endpoint sent an event that is not JSON")
 }
 
-// writeCompletion answers without streaming.
-func (s *Server) writeCompletion(c echo.Context, handle *scheduler.Handle, id identity) error {
-	whole, problem := s.collect(c.Request(), handle)
+// writeCompletion writes the answer to a request without streaming as one JSON
+// document.
+func (s *Server) writeCompletion(c echo.Context, handle *scheduler.Handle, id requestIdentity) error {
+	result, problem := s.collectCompletion(c.Request(), handle)
 	if problem != nil {
 		problem.Key = id.key.Client
 		return problem
 	}
 	_ = http.NewResponseController(c.Response()).SetWriteDeadline(time.Now().Add(s.options.WriteTimeout))
-	return c.JSON(http.StatusOK, whole)
+	return c.JSON(http.StatusOK, result)
 }
