--- a/entrynode/callers.go
+++ b/entrynode/callers.go
@@ -11,32 +11,32 @@
 	"time"
 )
 
-// callerListener accepts callers' connections, up to a number at a time; further ones wait.
+// callerListener accepts callers' connections. It limits the number of open connections; further ones wait to be accepted.
 type callerListener struct {
 	net.Listener
-	// free holds a token for each connection that may be accepted; nil for no bound.
-	free chan struct{}
-	// closing is true once idle connections are closed because the node leaves.
-	closing atomic.Bool
-	// spared counts the connections that such a closing has spared and that are open still.
-	spared atomic.Int64
+	// slots holds a token for each open connection, up to its capacity; nil for no limit.
+	slots chan struct{}
+	// draining is true once idle connections are being closed because the node drains.
+	draining atomic.Bool
+	// deferredCloses counts the open connections whose close was deferred while draining.
+	deferredCloses atomic.Int64
 
 	mu   sync.Mutex
 	open map[*callerConn]bool
 }
 
-func newCallerListener(l net.Listener, most int) *callerListener {
+func newCallerListener(l net.Listener, limit int) *callerListener {
 	c := &callerListener{Listener: l, open: make(map[*callerConn]bool)}
-	if most > 0 {
-		c.free = make(chan struct{}, most)
+	if limit > 0 {
+		c.slots = make(chan struct{}, limit)
 	}
 	return c
 }
 
 // Accept implements net.Listener.
 func (l *callerListener) Accept() (net.Conn, error) {
-	if l.free != nil {
-		l.free <- struct{}{}
+	if l.slots != nil {
+		l.slots <- struct{}{}
 	}
 	raw, err := l.Listener.Accept()
 	if err != nil {
@@ -51,41 +51,43 @@
 }
 
 func (l *callerListener) release() {
-	if l.free != nil {
-		<-l.free
+	if l.slots != nil {
+		<-l.slots
 	}
 }
 
-// ended forgets a connection that is closed.
-func (l *callerListener) ended(c *callerConn) {
+// remove removes a closed connection and releases its slot.
+func (l *callerListener) remove(c *callerConn) {
 	l.mu.Lock()
 	delete(l.open, c)
 	l.mu.Unlock()
 	l.release()
 }
 
-// sweep closes connections that have been idle for longer than the configuration in force allows; 0 allows any time.
-func (l *callerListener) sweep(limit time.Duration) {
+// closeIdle closes connections that have been idle for longer than the limit of the configuration; 0 means no limit.
+func (l *callerListener) closeIdle(limit time.Duration) {
 	if limit <= 0 {
 		return
 	}
 	l.mu.Lock()
 	conns := slices.Collect(maps.Keys(l.open))
 	l.mu.Unlock()
-	before := time.Now().Add(-limit - idleSlack)
+	before := time.Now().Add(-limit - idleTimeoutMargin)
 	for _, c := range conns {
-		_ = c.closeIfQuiet(before) // its caller may have closed it already
+		_ = c.closeIfIdle(before) // the caller may have closed it already
 	}
 }
 
-// sparedEvery is how often it is looked at whether the spared connections have ended; they do within an answer's time.
-const sparedEvery = 10 * time.Millisecond
+// deferredClosePollInterval is the interval at which awaitDeferredCloses checks for open connections. They are closed
+// after their answer.
+const deferredClosePollInterval = 10 * time.Millisecond
 
-// awaitSpared waits until the connections that were spared have got their answers, or returns the context's error.
-func (l *callerListener) awaitSpared(ctx context.Context) error {
-	ticker := time.NewTicker(sparedEvery)
+// awaitDeferredCloses waits until the connections whose close was deferred are closed after their answers. It returns the
+// context's error if that ends first.
+func (l *callerListener) awaitDeferredCloses(ctx context.Context) error {
+	ticker := time.NewTicker(deferredClosePollInterval)
 	defer ticker.Stop()
-	for l.spared.Load() > 0 {
+	for l.deferredCloses.Load() > 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -95,24 +97,25 @@
 	return nil
 }
 
-// callerConn is a caller's connection that knows whether a request has begun to arrive.
+// callerConn is a caller's connection that records whether part of a request has arrived.
 //
-// net/http takes a connection for idle until it has read a request's whole head. It would close one in between, when the
-// node leaves, and the request would be dispatched and cut off: seen once in 160 simulated days of seven nodes, within 30 ms
-// of the signal. Here such a connection is spared; one that is closed gives out no more bytes, so that a request
-// that crosses the closing is not read.
+// net/http treats a connection as idle until it has read a complete request head. When the node drains, net/http may close
+// a connection on which part of a head has arrived; the request is then dispatched and its response lost. This was seen once
+// in 160 simulated days of seven nodes, within 30 ms of the signal. callerConn defers such a close until after the answer.
+// Once the connection is closed, Read returns no more bytes, so that a request that arrives during the close is not
+// dispatched.
 type callerConn struct {
 	net.Conn
 	listener *callerListener
 
 	mu sync.Mutex
-	// idle is true between requests, since the instant, which is zero before the first one; begun is true once bytes of
-	// the next one have been read.
-	idle   bool
-	since  time.Time
-	begun  bool
-	spared bool
-	closed bool
+	// idle is true between requests. idleSince is when the last request ended, zero before the first one. requestStarted
+	// is true once bytes of the next request have been read.
+	idle           bool
+	idleSince      time.Time
+	requestStarted bool
+	closeDeferred  bool
+	closed         bool
 }
 
 // Read implements net.Conn.
@@ -124,47 +127,48 @@
 		return 0, net.ErrClosed
 	}
 	if n > 0 && c.idle {
-		c.begun = true
+		c.requestStarted = true
 	}
 	return n, err
 }
 
-// Close implements net.Conn. While the node leaves, the first call spares a connection on which a request has begun to
-// arrive: it is net/http's closing of idle ones. The next one comes after the answer.
+// Close implements net.Conn. While the node drains, net/http closes idle connections; that call is deferred if part of a
+// request has arrived. The next call, after the answer, closes the connection.
 func (c *callerConn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.idle && c.begun && !c.spared && c.listener.closing.Load() {
-		c.spared = true
-		c.listener.spared.Add(1)
+	if c.idle && c.requestStarted && !c.closeDeferred && c.listener.draining.Load() {
+		c.closeDeferred = true
+		c.listener.deferredCloses.Add(1)
 		return nil
 	}
-	return c.end()
+	return c.closeLocked()
 }
 
-// closeIfQuiet closes the connection if it has been idle since before the instant, unless a request has begun to arrive.
-func (c *callerConn) closeIfQuiet(before time.Time) error {
+// closeIfIdle closes the connection if it has been idle since before the given time and no part of a request has arrived.
+func (c *callerConn) closeIfIdle(before time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.idle || c.begun || c.since.IsZero() || !c.since.Before(before) {
+	if !c.idle || c.requestStarted || c.idleSince.IsZero() || !c.idleSince.Before(before) {
 		return nil
 	}
-	return c.end()
+	return c.closeLocked()
 }
 
-// end closes the connection for good; the mutex is held.
-func (c *callerConn) end() error {
+// closeLocked closes the connection. The mutex must be held.
+func (c *callerConn) closeLocked() error {
 	if !c.closed {
 		c.closed = true
-		c.listener.ended(c)
-		if c.spared {
-			c.listener.spared.Add(-1)
+		c.listener.remove(c)
+		if c.closeDeferred {
+			c.listener.deferredCloses.Add(-1)
 		}
 	}
 	return c.Conn.Close()
 }
 
-// CloseWrite lets net/http end its side first, so that a caller reads an answer that comes before its whole body was sent.
+// CloseWrite lets net/http close its sending side first, so that a caller can read an answer that is sent before the whole
+// request body has been received.
 func (c *callerConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -172,17 +176,17 @@
 	return nil
 }
 
-// observe follows net/http's view of the connection.
-func (c *callerConn) observe(state http.ConnState) {
+// setState records net/http's state of the connection.
+func (c *callerConn) setState(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateIdle:
-		c.idle, c.begun, c.since = true, false, time.Now()
+		c.idle, c.requestStarted, c.idleSince = true, false, time.Now()
 	case http.StateActive:
 		c.idle = false
 	}
 }
 
-// observeCaller is the ConnState of the callers' server, all of whose connections are a callerListener's.
-func observeCaller(c net.Conn, state http.ConnState) { c.(*callerConn).observe(state) }
+// trackConnState is the ConnState callback of the server for callers. All its connections come from a callerListener.
+func trackConnState(c net.Conn, state http.ConnState) { c.(*callerConn).setState(state) }
--- a/entrynode/callers_test.go
+++ b/entrynode/callers_test.go
@@ -30,14 +30,14 @@
 
 func (c hookedConn) Read(p []byte) (int, error) {
 	c.reading()
-	// The head comes byte by byte, so that there are reads in its middle.
+	// Reading byte by byte ensures that there are reads in the middle of the head.
 	return c.Conn.Read(p[:1])
 }
 
 const testRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// callTwice sends two requests on one connection, and calls leave while the second one's head is being read.
-func callTwice(t *testing.T, leave func(*http.Server, *callerListener)) (*http.Response, error) {
+// sendTwoRequests sends two requests on one connection and calls drain while the head of the second one is being read.
+func sendTwoRequests(t *testing.T, drain func(*http.Server, *callerListener)) (*http.Response, error) {
 	raw, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })}
@@ -46,10 +46,10 @@
 	var listener *callerListener
 	listener = newCallerListener(hookedListener{raw, func() {
 		if reads++; reads == len(testRequest)+len(testRequest)/2 {
-			leave(server, listener)
+			drain(server, listener)
 		}
 	}}, 0)
-	server.ConnState = observeCaller
+	server.ConnState = trackConnState
 	go func() { _ = server.Serve(listener) }()
 	c, err := net.Dial("tcp4", raw.Addr().String())
 	assert.NilError(t, err)
@@ -69,9 +69,11 @@
 	return response, nil
 }
 
-func TestRequestThatHasBegunToArriveIsServedThoughTheNodeLeaves(t *testing.T) {
-	response, err := callTwice(t, func(server *http.Server, l *callerListener) {
-		l.closing.Store(true)
+// A request whose head has arrived in part when the node starts to drain must be served: net/http would close the
+// connection as idle, and the request would be dispatched and its response lost.
+func TestPartialRequestIsServedDuringDrain(t *testing.T) {
+	response, err := sendTwoRequests(t, func(server *http.Server, l *callerListener) {
+		l.draining.Store(true)
 		server.SetKeepAlivesEnabled(false)
 	})
 	assert.NilError(t, err)
@@ -79,33 +81,33 @@
 	assert.Assert(t, response.Close)
 }
 
-func TestSweepLeavesAConnectionOnWhichARequestArrives(t *testing.T) {
+func TestIdleSweepKeepsConnectionWithPartialRequest(t *testing.T) {
 	near, far := net.Pipe()
-	c := &callerConn{Conn: near, listener: newCallerListener(nil, 0), idle: true, since: time.Now()}
+	c := &callerConn{Conn: near, listener: newCallerListener(nil, 0), idle: true, idleSince: time.Now()}
 	go func() { _, _ = far.Write([]byte("G")) }()
 	_, err := c.Read(make([]byte, 1))
 	assert.NilError(t, err)
-	assert.NilError(t, c.closeIfQuiet(time.Now().Add(time.Hour)))
+	assert.NilError(t, c.closeIfIdle(time.Now().Add(time.Hour)))
 	go func() { _, _ = far.Write([]byte("E")) }()
 	_, err = c.Read(make([]byte, 1))
 	assert.NilError(t, err)
 }
 
-func TestClosedConnectionGivesOutNoMoreBytes(t *testing.T) {
+func TestReadFailsAfterIdleClose(t *testing.T) {
 	near, far := net.Pipe()
-	c := &callerConn{Conn: near, listener: newCallerListener(nil, 0), idle: true, since: time.Now()}
+	c := &callerConn{Conn: near, listener: newCallerListener(nil, 0), idle: true, idleSince: time.Now()}
 	read := make(chan error, 1)
 	go func() {
 		_, err := c.Read(make([]byte, 1))
 		read <- err
 	}()
-	assert.NilError(t, c.closeIfQuiet(time.Now().Add(time.Hour)))
+	assert.NilError(t, c.closeIfIdle(time.Now().Add(time.Hour)))
 	assert.Assert(t, <-read != nil)
 	_, err := far.Write([]byte("x"))
 	assert.Assert(t, err != nil)
 }
 
-// pipeListener accepts one end of a pipe at once.
+// pipeListener accepts one end of a new pipe without blocking.
 type pipeListener struct{ net.Listener }
 
 func (pipeListener) Accept() (net.Conn, error) {
@@ -113,7 +115,7 @@
 	return near, nil
 }
 
-func TestFurtherConnectionsWaitAtTheBound(t *testing.T) {
+func TestConnectionsWaitAtLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newCallerListener(pipeListener{}, 2)
 		accepted := make(chan net.Conn, 3)
@@ -127,11 +129,11 @@
 		assert.Equal(t, len(accepted), 2)
 		assert.NilError(t, (<-accepted).Close())
 		synctest.Wait()
-		assert.Equal(t, len(accepted), 2, "the third takes the place of the one that has ended")
+		assert.Equal(t, len(accepted), 2, "closing a connection must let the third one in")
 	})
 }
 
-// closedWhileRead is a connection that gets closed at the instant at which its bytes arrive.
+// closedWhileRead is a connection that is closed while its bytes are being read.
 type closedWhileRead struct {
 	net.Conn
 	close func() error
@@ -139,27 +141,27 @@
 
 func (c closedWhileRead) Read(p []byte) (int, error) { return len(p), c.close() }
 
-func TestBytesThatCrossTheClosingAreNotRead(t *testing.T) {
+func TestReadDuringCloseReturnsNoBytes(t *testing.T) {
 	near, _ := net.Pipe()
-	c := &callerConn{listener: newCallerListener(nil, 0), idle: true, since: time.Now()}
-	c.Conn = closedWhileRead{near, func() error { return c.closeIfQuiet(time.Now().Add(time.Hour)) }}
+	c := &callerConn{listener: newCallerListener(nil, 0), idle: true, idleSince: time.Now()}
+	c.Conn = closedWhileRead{near, func() error { return c.closeIfIdle(time.Now().Add(time.Hour)) }}
 	n, err := c.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, net.ErrClosed)
 	assert.Equal(t, n, 0)
 }
 
-func TestSweepClosesWhatHasBeenIdleForLong(t *testing.T) {
+func TestIdleSweepClosesIdleConnections(t *testing.T) {
 	tests := []struct {
 		name   string
 		conn   callerConn
 		limit  time.Duration
 		closed bool
 	}{
-		{"for long", callerConn{idle: true, since: time.Now().Add(-time.Hour)}, time.Minute, true},
-		{"not for so long", callerConn{idle: true, since: time.Now().Add(-time.Hour)}, 2 * time.Hour, false},
-		{"no limit", callerConn{idle: true, since: time.Now().Add(-time.Hour)}, 0, false},
-		{"a request in progress", callerConn{since: time.Now().Add(-time.Hour)}, time.Minute, false},
-		{"a request has begun", callerConn{idle: true, begun: true, since: time.Now().Add(-time.Hour)}, time.Minute, false},
+		{"idle for longer than the limit", callerConn{idle: true, idleSince: time.Now().Add(-time.Hour)}, time.Minute, true},
+		{"idle for less than the limit", callerConn{idle: true, idleSince: time.Now().Add(-time.Hour)}, 2 * time.Hour, false},
+		{"no limit", callerConn{idle: true, idleSince: time.Now().Add(-time.Hour)}, 0, false},
+		{"request in progress", callerConn{idleSince: time.Now().Add(-time.Hour)}, time.Minute, false},
+		{"part of a request read", callerConn{idle: true, requestStarted: true, idleSince: time.Now().Add(-time.Hour)}, time.Minute, false},
 		{"no request yet", callerConn{idle: true}, time.Minute, false},
 	}
 	for i := range tests {
@@ -169,7 +171,7 @@
 		c.Conn, _ = net.Pipe()
 		c.listener = l
 		l.open[c] = true
-		l.sweep(test.limit)
+		l.closeIdle(test.limit)
 		assert.Equal(t, c.closed, test.closed, test.name)
 		assert.Equal(t, len(l.open) == 0, test.closed, test.name)
 	}
--- a/entrynode/files_test.go
+++ b/entrynode/files_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestConnectionsKeepWithinTheHostsDescriptors(t *testing.T) {
+func TestConnectionLimitsFitDescriptorLimit(t *testing.T) {
 	tests := []struct{ files, callers, endpoints int }{
 		{0, 0, 0},
 		{4100, 1950, 1560},
@@ -17,6 +17,6 @@
 		h := Host{MaxFiles: test.files}
 		assert.Equal(t, h.callerConnections(), test.callers)
 		assert.Equal(t, h.endpointConnections(), test.endpoints)
-		assert.Assert(t, test.files < 1000 || test.callers+test.endpoints+reservedFiles < test.files)
+		assert.Assert(t, test.files < 1000 || test.callers+test.endpoints+reservedDescriptors < test.files)
 	}
 }
--- a/entrynode/leave.go
+++ b/entrynode/leave.go
@@ -11,35 +11,36 @@
 
 type endpointID = domain.EndpointID
 
-// errLeft ends the group after a graceful end.
-var errLeft = errors.New("entrynode: left")
+// errDrained ends the run group once the node has drained or its grace period is over.
+var errDrained = errors.New("entrynode: drained")
 
-// serveCallers serves until the context ends, then leaves: the node is not ready at once and asks callers to close
-// their connections; new connections are taken until the balancer has noticed; then what is in progress is finished.
+// serveCallers serves callers until the context ends, then drains the node. From then on the node is not ready and asks
+// callers to close their connections. It accepts new connections until the balancer has taken it out, and then finishes
+// the requests in progress.
 func (n *Node) serveCallers(ctx context.Context, listener *callerListener) error {
 	failed := make(chan error, 1)
-	go func() { failed <- n.callers.Serve(listener) }()
+	go func() { failed <- n.callerServer.Serve(listener) }()
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
-	return n.leave(listener)
+	return n.drain(listener)
 }
 
-func (n *Node) leave(listener *callerListener) error {
-	began := time.Now()
-	n.leaving.Store(true)
+func (n *Node) drain(listener *callerListener) error {
+	start := time.Now()
+	n.draining.Store(true)
 	n.log.Info().Int("active", n.gateway.Active()).Msg("leaving: no longer ready")
-	listener.closing.Store(true)
-	n.callers.SetKeepAlivesEnabled(false)
-	time.Sleep(noticeTime)
-	left := seconds(n.settings.Shutdown.GraceS) - graceMargin - time.Since(began)
-	ctx, cancel := context.WithTimeout(context.Background(), max(left, 0))
+	listener.draining.Store(true)
+	n.callerServer.SetKeepAlivesEnabled(false)
+	time.Sleep(drainNoticePeriod)
+	remaining := seconds(n.settings.Shutdown.GraceS) - graceMargin - time.Since(start)
+	ctx, cancel := context.WithTimeout(context.Background(), max(remaining, 0))
 	defer cancel()
-	err := errors.Join(n.callers.Shutdown(ctx), listener.awaitSpared(ctx))
+	err := errors.Join(n.callerServer.Shutdown(ctx), listener.awaitDeferredCloses(ctx))
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		n.log.Warn().Err(err).Int("active", n.gateway.Active()).Msg("leaving: requests are cut off")
 	}
-	return errLeft
+	return errDrained
 }
--- a/entrynode/leave_test.go
+++ b/entrynode/leave_test.go
@@ -12,19 +12,19 @@
 	"hawthornrill.example/hawthornrill/gateway"
 )
 
-func TestLeavingNodeTakesConnectionsUntilTheBalancerHasNoticed(t *testing.T) {
+func TestDrainingNodeAcceptsConnectionsDuringNoticePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &Node{callers: &http.Server{}, gateway: &gateway.Gateway{}, log: zerolog.Nop()}
+		n := &Node{callerServer: &http.Server{}, gateway: &gateway.Gateway{}, log: zerolog.Nop()}
 		n.settings.Shutdown.GraceS = 8
-		began := time.Now()
+		start := time.Now()
 		closed := make(chan time.Duration, 1)
-		n.callers.RegisterOnShutdown(func() { closed <- time.Since(began) })
-		left := make(chan error, 1)
-		go func() { left <- n.leave(newCallerListener(nil, 0)) }()
+		n.callerServer.RegisterOnShutdown(func() { closed <- time.Since(start) })
+		drained := make(chan error, 1)
+		go func() { drained <- n.drain(newCallerListener(nil, 0)) }()
 		synctest.Wait()
 		ready, _ := n.Ready()
-		assert.Assert(t, !ready, "the balancer is told at once")
-		assert.Assert(t, <-closed >= noticeTime)
-		assert.ErrorIs(t, <-left, errLeft)
+		assert.Assert(t, !ready, "a draining node must not be ready")
+		assert.Assert(t, <-closed >= drainNoticePeriod)
+		assert.ErrorIs(t, <-drained, errDrained)
 	})
 }
--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -30,14 +30,14 @@
 	"hawthornrill.example/hawthornrill/tokenlimit"
 )
 
-// Adapters are what the program chooses.
+// Adapters are the components that the program chooses.
 type Adapters struct {
 	Protocol gateway.Protocol
 	Source   follow.Source
 	Registry follow.Registry
 }
 
-// Node is a node's parts.
+// Node is a node of the request path.
 type Node struct {
 	settings  Settings
 	log       zerolog.Logger
@@ -47,21 +47,21 @@
 	announcer *follow.Announcer
 	mesh      *gossip.Mesh
 	socket    *gossip.UDP
-	// limits are the organisations', endpointLimits those that endpoints name.
-	limits         *tokenlimit.Limiter
-	endpointLimits *endpointlimit.Limiter
-	desk           *places.Desk
-	suspects       *quarantine.Tracker
-	endpoints      *exchange.Client
-	gateway        *gateway.Gateway
-	callers        *http.Server
-	ready          *http.Server
-	operators      *http.Server
-	leaving        atomic.Bool
-	wasReady       atomic.Bool
+	// endpointLimits are the limits that endpoints advertise.
+	organisationLimits *tokenlimit.Limiter
+	endpointLimits     *endpointlimit.Limiter
+	slots              *places.Desk
+	quarantine         *quarantine.Tracker
+	endpointClient     *exchange.Client
+	gateway            *gateway.Gateway
+	callerServer       *http.Server
+	readyServer        *http.Server
+	operatorServer     *http.Server
+	draining           atomic.Bool
+	lastReady          atomic.Bool
 }
 
-// New puts a node together and opens its sockets.
+// New creates a node and opens its gossip socket.
 func New(s Settings, adapters Adapters, log zerolog.Logger) (*Node, error) {
 	n := &Node{settings: s, log: log, metrics: metrics.NewSet(), directory: directory.New()}
 	limitMemory(s.Host)
@@ -71,82 +71,82 @@
 		Source:    adapters.Source,
 		Directory: n.directory,
 		Clock:     boottime.Now,
-		Accepted:  func(table *routetable.Table) { n.limits.Prepare(table.Organisations) },
+		Accepted:  func(table *routetable.Table) { n.organisationLimits.Prepare(table.Organisations) },
 		Confirms:  func() bool { return n.mesh.Confirms() },
 		PassesOn:  func() bool { return n.mesh.PassesOn() },
 		PassedOn:  func() bool { return n.mesh.PassedOn() },
-		Fleet:     n.fleet,
+		Fleet:     n.fleetSize,
 		Listed:    n.announcer.Listed,
 		Log:       log,
 		Metrics:   n.metrics,
 	})
-	if err := n.openMesh(); err != nil {
+	if err := n.openGossip(); err != nil {
 		return nil, err
 	}
-	n.limits = tokenlimit.New(tokenlimit.Parts{
+	n.organisationLimits = tokenlimit.New(tokenlimit.Parts{
 		Window: seconds(s.Limit.WindowS), Clock: boottime.Now, Fleet: n.mesh.Fleet, Metrics: n.metrics,
 	})
 	n.endpointLimits = endpointlimit.New(endpointlimit.Parts{
 		Self: s.Node, Clock: boottime.Now, Members: n.mesh.Members, Directory: n.directory, Log: log, Metrics: n.metrics,
 	})
-	n.desk = places.New(places.Options{
+	n.slots = places.New(places.Options{
 		Node: s.Node, DataCentre: s.DataCentre, CacheTokens: n.cacheTokens, Limits: n.endpointLimits, Log: log,
 	}, n.directory, n.mesh.Fleet, n.metrics)
-	n.suspects = quarantine.NewTracker(log)
-	n.endpoints = exchange.New(exchange.Options{Connections: s.Host.endpointConnections(), Idle: n.idleAt}, n.metrics)
+	n.quarantine = quarantine.NewTracker(log)
+	n.endpointClient = exchange.New(exchange.Options{Connections: s.Host.endpointConnections(), Idle: n.maxIdleConnections}, n.metrics)
 	n.gateway = gateway.New(gateway.Parts{
 		Protocol:       adapters.Protocol,
 		Knowledge:      n.follower,
 		Directory:      n.directory,
-		Limits:         n.limits,
+		Limits:         n.organisationLimits,
 		EndpointLimits: n.endpointLimits,
 		Retries: retrybudget.New(retrybudget.Options{
 			Ratio: s.Retry.Ratio, Slack: s.Retry.Slack, Window: seconds(s.Retry.WindowS),
-		}, boottime.Now, n.nodes),
-		Places:     n.desk,
-		Quarantine: n.suspects,
-		Endpoints:  n.endpoints,
+		}, boottime.Now, n.nodeCount),
+		Places:     n.slots,
+		Quarantine: n.quarantine,
+		Endpoints:  n.endpointClient,
 		Clock:      boottime.Now,
 		Log:        log,
 		Metrics:    n.metrics,
-	}, gateway.Options{KeyAge: n.keyAge(keyAgeMargin), BehindMost: n.behindMost(), BodyBytes: int64(bodyPart * float64(s.Host.MemoryMB) * (1 << 20))})
+	}, gateway.Options{KeyAge: n.maxKeyAge(keyAgeMargin), BehindMost: n.maxConfigLag(), BodyBytes: int64(bodyFraction * float64(s.Host.MemoryMB) * (1 << 20))})
 	n.openServers()
 	return n, nil
 }
 
-// behindMost is for how long a later configuration may be known to exist before requests are refused, zero for no bound.
-func (n *Node) behindMost() time.Duration {
+// maxConfigLag returns how long a later configuration may be known to exist before requests are refused, zero for no limit.
+func (n *Node) maxConfigLag() time.Duration {
 	apply := seconds(n.settings.Configuration.ApplyMS / 1000)
 	if apply <= 0 {
 		return 0
 	}
-	return max(apply-applyMargin, 1)
+	return max(apply-configLagMargin, 1)
 }
 
-// limitMemory keeps the runtime within the host's memory.
+// limitMemory sets the memory limit of the Go runtime.
 func limitMemory(h Host) {
 	if h.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(h.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryFraction * float64(h.MemoryMB) * (1 << 20)))
 	}
 }
 
-// keyAge is the bound on the age of the keys, less a margin; zero for none.
-func (n *Node) keyAge(margin time.Duration) time.Duration {
+// maxKeyAge returns the maximum age of the keys less a margin, zero for no limit.
+func (n *Node) maxKeyAge(margin time.Duration) time.Duration {
 	if !n.settings.Keys.Strict {
 		return 0
 	}
 	return max(seconds(n.settings.Keys.MaxAgeMS/1000)-margin, 1)
 }
 
-func (n *Node) nodes() int { return n.mesh.Fleet().Known }
+func (n *Node) nodeCount() int { return n.mesh.Fleet().Known }
 
-// fleet returns the number of nodes, and whether one of them is silent.
-func (n *Node) fleet() (nodes int, silent bool) {
+// fleetSize returns the number of nodes, and whether there is one from which no recent report was received.
+func (n *Node) fleetSize() (nodes int, silent bool) {
 	fleet := n.mesh.Fleet()
 	return fleet.Known, fleet.Heard < fleet.Known
 }
 
-// cacheTokens is the memory of a service's engines.
+// cacheTokens returns the cache size of a service's engines in tokens.
 func (n *Node) cacheTokens(service string) int {
 	if table := n.follower.Table(); table != nil {
 		return table.Services[service].CacheTokens
@@ -161,7 +161,7 @@
 	return 0
 }
 
-func (n *Node) openMesh() error {
+func (n *Node) openGossip() error {
 	socket, err := gossip.ListenUDP(n.settings.Listen.Peers)
 	if err != nil {
 		return err
@@ -173,28 +173,28 @@
 		Life:       rand.Uint64(),
 		Transport:  socket,
 		Clock:      boottime.Now,
-		Peers:      n.peers,
-		Fill:       n.fill,
+		Peers:      n.peerAddresses,
+		Fill:       n.fillReport,
 		HandOn:     n.follower.HandOn,
-		Heard:      n.heard,
+		Heard:      n.handleReport,
 		Log:        n.log,
 		Metrics:    n.metrics,
 	})
 	return nil
 }
 
-func (n *Node) peers() []gossip.Address {
-	listed := n.follower.Nodes()
-	addresses := make([]gossip.Address, 0, len(listed))
-	for _, p := range listed {
+func (n *Node) peerAddresses() []gossip.Address {
+	nodes := n.follower.Nodes()
+	addresses := make([]gossip.Address, 0, len(nodes))
+	for _, p := range nodes {
 		addresses = append(addresses, gossip.Address{Node: p.Node, DataCentre: p.DataCentre, HostPort: p.Address})
 	}
 	return addresses
 }
 
-// fill completes a report to the other nodes.
-func (n *Node) fill(report *gossip.Report) {
-	report.Leaving = n.leaving.Load()
+// fillReport sets the fields of a gossip report to the other nodes.
+func (n *Node) fillReport(report *gossip.Report) {
+	report.Leaving = n.draining.Load()
 	if table := n.follower.Table(); table != nil {
 		report.Version = table.Version
 		report.Age = n.follower.Age(boottime.Now())
@@ -202,66 +202,66 @@
 	_, last := n.follower.Revision(follow.Endpoints)
 	report.Endpoints = uint64(last)
 	report.Changes, report.PassesOn = n.follower.PassOn()
-	n.desk.Fill(report)
-	report.Broken = n.suspects.RecentEvidence()
-	n.limits.Fill(report)
+	n.slots.Fill(report)
+	report.Broken = n.quarantine.RecentEvidence()
+	n.organisationLimits.Fill(report)
 	n.endpointLimits.Fill(report)
 }
 
-// heard takes another node's report.
-func (n *Node) heard(report *gossip.Report, sent boottime.Instant) {
-	n.desk.Heard(report)
-	n.suspects.MergeEvidence(report.Broken)
-	n.limits.Heard(report)
+// handleReport applies the gossip report of another node.
+func (n *Node) handleReport(report *gossip.Report, sent boottime.Instant) {
+	n.slots.Heard(report)
+	n.quarantine.MergeEvidence(report.Broken)
+	n.organisationLimits.Heard(report)
 	n.endpointLimits.Heard(report)
-	word := follow.Word{
+	update := follow.Word{
 		Version: report.Version, Endpoints: follow.Revision(report.Endpoints),
 		Apart: report.PassesOn && report.DataCentre == n.settings.DataCentre && len(report.Document)+len(report.Steps) == 0,
 	}
 	if sent > 0 {
-		word.Confirmed = sent.Add(-report.Age)
+		update.Confirmed = sent.Add(-report.Age)
 	}
 	changes, err := report.ConfigurationChanges()
 	if err != nil {
-		n.log.Warn().Err(err).Str("peer", string(report.From)).Msg("passed-on change of the configuration can't be read")
+		n.log.Warn().Err(err).Str("peer", string(report.From)).Msg("relayed configuration changes can't be decoded")
 	}
 	n.follower.TakeChanges(report.From, changes)
 	n.follower.TakeConfiguration(report.From, report.Version, report.Document)
 	n.follower.TakePassedOn(report.Changes)
-	n.follower.Relay(word)
+	n.follower.Relay(update)
 }
 
-// Ready reports whether the node takes requests, and why not.
+// Ready reports whether the node accepts requests, and if not, the reason.
 func (n *Node) Ready() (bool, string) {
 	switch {
-	case n.leaving.Load():
+	case n.draining.Load():
 		return false, "leaving"
 	case n.follower.Table() == nil:
 		return false, "no configuration yet"
 	case n.directory.Current().Len() == 0:
 		return false, "no endpoints yet"
-	case n.settings.Keys.Strict && n.follower.Age(boottime.Now()) > n.keyAge(readyMargin):
+	case n.settings.Keys.Strict && n.follower.Age(boottime.Now()) > n.maxKeyAge(readyKeyAgeMargin):
 		return false, "the store has been out of reach for too long"
 	}
 	return true, ""
 }
 
 func (n *Node) openServers() {
-	n.callers = &http.Server{
+	n.callerServer = &http.Server{
 		Addr:              n.settings.Listen.Callers,
 		Handler:           n.gateway,
-		ReadHeaderTimeout: headerTimeout,
-		MaxHeaderBytes:    maxHeadBytes,
-		ConnState:         observeCaller,
-		ErrorLog:          quiet(n.log),
+		ReadHeaderTimeout: readHeaderTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         trackConnState,
+		ErrorLog:          debugLogger(n.log),
 	}
-	n.ready = &http.Server{Addr: n.settings.Listen.Ready, Handler: http.HandlerFunc(n.serveReady), ErrorLog: quiet(n.log)}
-	n.operators = &http.Server{Addr: n.settings.Listen.Operators, Handler: n.operatorsHandler(), ErrorLog: quiet(n.log)}
+	n.readyServer = &http.Server{Addr: n.settings.Listen.Ready, Handler: http.HandlerFunc(n.serveReady), ErrorLog: debugLogger(n.log)}
+	n.operatorServer = &http.Server{Addr: n.settings.Listen.Operators, Handler: n.operatorHandler(), ErrorLog: debugLogger(n.log)}
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	ready, reason := n.Ready()
-	if n.wasReady.Swap(ready) != ready {
+	if n.lastReady.Swap(ready) != ready {
 		n.log.Info().Bool("ready", ready).Str("reason", reason).Msg("readiness changed")
 	}
 	if !ready {
@@ -271,56 +271,56 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Run serves until the context ends, and then leaves gracefully.
+// Run serves until the context ends, then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
-	listener, err := net.Listen("tcp", n.callers.Addr)
+	listener, err := net.Listen("tcp", n.callerServer.Addr)
 	if err != nil {
-		return fmt.Errorf("entrynode: callers: %w", err)
+		return fmt.Errorf("entrynode: listen for callers: %w", err)
 	}
 	var group run.Group
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
 	callers := newCallerListener(listener, n.settings.Host.callerConnections())
-	n.add(&group, background, stop, callers)
-	group.Add(func() error { return n.serveCallers(ctx, callers) }, func(error) { _ = n.callers.Close() })
-	n.log.Info().Str("node", string(n.settings.Node)).Str("callers", n.callers.Addr).Msg("node started")
+	n.addBackground(&group, background, stop, callers)
+	group.Add(func() error { return n.serveCallers(ctx, callers) }, func(error) { _ = n.callerServer.Close() })
+	n.log.Info().Str("node", string(n.settings.Node)).Str("callers", n.callerServer.Addr).Msg("node started")
 	err = group.Run()
 	n.log.Info().AnErr("cause", err).Msg("node stopped")
-	if errors.Is(err, errLeft) {
+	if errors.Is(err, errDrained) {
 		return nil
 	}
 	return err
 }
 
-// add adds what runs in the background.
-func (n *Node) add(group *run.Group, ctx context.Context, stop func(), callers *callerListener) {
+// addBackground adds the background tasks and the other servers to the run group.
+func (n *Node) addBackground(group *run.Group, ctx context.Context, stop func(), callers *callerListener) {
 	sweep := func(ctx context.Context) error {
-		return pacing.Every(ctx, idleSweep, func() { callers.sweep(n.idleTimeout()) })
+		return pacing.Every(ctx, idleSweepInterval, func() { callers.closeIdle(n.idleTimeout()) })
 	}
 	background := []func(context.Context) error{
-		n.follower.Run, n.announcer.Run, n.mesh.Run, n.mesh.Listen, n.desk.Run, n.tidy, sweep,
+		n.follower.Run, n.announcer.Run, n.mesh.Run, n.mesh.Listen, n.slots.Run, n.closeRemovedEndpoints, sweep,
 	}
 	for _, execute := range background {
 		group.Add(func() error { return execute(ctx) }, func(error) {
 			stop()
-			_ = n.socket.Close() // ends Listen; closed twice, it fails
+			_ = n.socket.Close() // ends Listen; fails if it is closed already
 		})
 	}
-	servers := []*http.Server{n.ready}
-	if n.operators.Addr != "" {
-		servers = append(servers, n.operators)
+	servers := []*http.Server{n.readyServer}
+	if n.operatorServer.Addr != "" {
+		servers = append(servers, n.operatorServer)
 	}
 	for _, server := range servers {
 		group.Add(server.ListenAndServe, func(error) { _ = server.Close() })
 	}
 }
 
-// tidyEvery is how often connections to endpoints that are gone are closed.
-const tidyEvery = time.Second
+// endpointSweepInterval is the interval at which connections to removed endpoints are closed.
+const endpointSweepInterval = time.Second
 
-func (n *Node) tidy(ctx context.Context) error {
-	return pacing.Every(ctx, tidyEvery, func() {
+func (n *Node) closeRemovedEndpoints(ctx context.Context) error {
+	return pacing.Every(ctx, endpointSweepInterval, func() {
 		snapshot := n.directory.Current()
-		n.endpoints.Forget(func(id endpointID) bool { return snapshot.Endpoint(id) != nil })
+		n.endpointClient.Forget(func(id endpointID) bool { return snapshot.Endpoint(id) != nil })
 	})
 }
--- a/entrynode/operators.go
+++ b/entrynode/operators.go
@@ -15,7 +15,7 @@
 	"hawthornrill.example/hawthornrill/logging"
 )
 
-// State is the dump of a node.
+// State is the state of a node, as served at /debug/state.
 type State struct {
 	Node      string       `json:"node"`
 	Build     string       `json:"build"`
@@ -29,11 +29,11 @@
 	Fleet     gossip.Fleet `json:"fleet"`
 	Endpoints int          `json:"endpoints"`
 	Leaving   int          `json:"endpoints_leaving"`
-	// Report is what the node tells the others of itself.
+	// Report is the node's current gossip report.
 	Report gossip.Report `json:"report"`
 }
 
-// State returns the dump.
+// State returns the current state of the node.
 func (n *Node) State() State {
 	ready, reason := n.Ready()
 	s := State{
@@ -43,7 +43,7 @@
 		Reason:    reason,
 		AgeMS:     float64(n.follower.Age(boottime.Now()).Microseconds()) / 1000,
 		Active:    n.gateway.Active(),
-		Waiting:   n.desk.Waiting(),
+		Waiting:   n.slots.Waiting(),
 		Fleet:     n.mesh.Fleet(),
 		Endpoints: n.directory.Current().Len(),
 	}
@@ -57,11 +57,11 @@
 	})
 	known, _ := n.follower.Revision(follow.Configuration)
 	s.Revision = uint64(known)
-	n.fill(&s.Report)
+	n.fillReport(&s.Report)
 	return s
 }
 
-func (n *Node) operatorsHandler() http.Handler {
+func (n *Node) operatorHandler() http.Handler {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.GET("/metrics", func(c echo.Context) error {
@@ -72,7 +72,7 @@
 	return e
 }
 
-// quiet logs what the library says of single connections at the lowest level.
-func quiet(log zerolog.Logger) *stdlog.Logger {
+// debugLogger returns a logger for net/http that writes its errors, which concern single connections, at debug level.
+func debugLogger(log zerolog.Logger) *stdlog.Logger {
 	return stdlog.New(logging.Writer{Logger: log, Level: zerolog.DebugLevel}, "", 0)
 }
--- a/entrynode/settings.go
+++ b/entrynode/settings.go
@@ -1,5 +1,5 @@
-// Package entrynode is a node of the request path as a process: it puts the parts together, listens, follows the store
-// and ends gracefully. It is a library; the program that uses it chooses the protocol and the store.
+// Package entrynode runs a node of the request path as a process. It creates the components, listens, follows the store
+// and shuts down gracefully. The program that uses the package chooses the protocol and the store.
 package entrynode
 
 import (
@@ -14,18 +14,18 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Settings tell a node who and where it is, and the bounds that the operators set.
+// Settings holds the identity and the addresses of a node, and the limits that the operators set.
 type Settings struct {
 	// Node is this host's name, unique over all data centres.
 	Node domain.NodeID `toml:"node"`
-	// DataCentre is where this host stands.
+	// DataCentre is the data centre of this host.
 	DataCentre domain.DataCentre `toml:"data_centre"`
 	Listen     Listen            `toml:"listen"`
 	// Store is the address of the platform's store, "IP:port".
 	Store string `toml:"store"`
 	Host  Host   `toml:"host"`
 	Keys  Keys   `toml:"keys"`
-	// Configuration bounds how long an earlier configuration may be served by.
+	// Configuration limits how long an outdated configuration may be used.
 	Configuration Configuration `toml:"configuration"`
 	Retry         Retry         `toml:"retry"`
 	Limit         Limit         `toml:"limit"`
@@ -36,62 +36,62 @@
 // Listen holds the addresses that the process listens on, "IP:port".
 type Listen struct {
 	Callers string `toml:"callers"`
-	// Ready tells the balancer whether the node takes requests.
+	// Ready serves the balancer's readiness checks.
 	Ready string `toml:"ready"`
-	// Peers takes the other nodes' reports, as datagrams.
+	// Peers receives the gossip reports of other nodes over UDP.
 	Peers string `toml:"peers"`
-	// Operators serves metrics and the state dump; empty for none.
+	// Operators serves the metrics and the state; empty disables it.
 	Operators string `toml:"operators"`
 }
 
-// Host holds the limits of the host.
+// Host holds the memory and the file descriptors of the host.
 type Host struct {
 	MemoryMB int `toml:"memory_mb"`
 	MaxFiles int `toml:"max_files"`
 }
 
-// Keys bounds the use of organisations' keys.
+// Keys limits the use of revoked API keys.
 type Keys struct {
-	// Strict says that a key that was taken away must stop working within MaxAgeMS at each node, cut off or not.
+	// Strict requires that a revoked key stops working within MaxAgeMS on every node, even one that can't reach the store.
 	Strict   bool    `toml:"strict"`
 	MaxAgeMS float64 `toml:"max_age_ms"`
 }
 
-// Configuration bounds the time until an accepted configuration is in force.
+// Configuration limits the time until an accepted configuration is in force.
 type Configuration struct {
-	// ApplyMS is that time in milliseconds; 0 for no bound.
+	// ApplyMS is that time in milliseconds; 0 for no limit.
 	ApplyMS float64 `toml:"apply_ms"`
 }
 
-// Retry bounds how often requests are sent to a second endpoint, over all nodes.
+// Retry limits the retries of requests on another endpoint, over all nodes.
 type Retry struct {
 	Ratio   float64 `toml:"ratio"`
 	WindowS float64 `toml:"window_s"`
 	Slack   float64 `toml:"slack"`
 }
 
-// Limit tells how organisations' limits are measured.
+// Limit configures how organisations' limits are measured.
 type Limit struct {
-	// WindowS is the time in seconds in which rate x window + burst may be used.
+	// WindowS is the window in seconds within which rate x window + burst may be used.
 	WindowS float64 `toml:"window_s"`
 }
 
-// Log tells what is logged.
+// Log configures logging.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string `toml:"level"`
 }
 
-// Shutdown bounds a graceful end.
+// Shutdown configures the graceful shutdown.
 type Shutdown struct {
-	// GraceS is the time from the signal until the process is killed.
+	// GraceS is the time in seconds from the signal until the process is killed.
 	GraceS float64 `toml:"grace_s"`
 }
 
 // ErrSettings is wrapped by the errors of Load.
 var ErrSettings = errors.New("settings")
 
-// Load reads and checks a file. Fields that it does not know are ignored.
+// Load reads and validates a settings file. Unknown fields are ignored.
 func Load(path string) (Settings, error) {
 	var s Settings
 	data, err := os.ReadFile(path)
@@ -101,29 +101,27 @@
 	if err := toml.Unmarshal(data, &s); err != nil {
 		return s, fmt.Errorf("%w: %s: %w", ErrSettings, path, err)
 	}
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return s, fmt.Errorf("%w: %s: %w", ErrSettings, path, err)
 	}
 	return s, nil
 }
 
-// Defaults of the settings.
+// Default values of the settings.
 const (
-	// defaultGrace is how long the platform waits between the two signals, if the settings do not say.
-	defaultGrace = 8 * time.Second
-	// defaultRetryWindow and defaultRetryRatio bound retries if the settings do not.
+	// defaultGrace is how long the platform waits between the signal to stop and the one that kills the process.
+	defaultGrace       = 8 * time.Second
 	defaultRetryWindow = 10 * time.Second
 	defaultRetryRatio  = 0.1
-	// defaultLimitWindow is over how long limits are measured if the settings do not say.
 	defaultLimitWindow = time.Second
 )
 
-func (s *Settings) check() error {
+func (s *Settings) validate() error {
 	if s.Node == "" {
-		return errors.New("node: a name is required")
+		return errors.New("node must be set")
 	}
 	if s.DataCentre == "" {
-		return errors.New("data_centre: a name is required")
+		return errors.New("data_centre must be set")
 	}
 	addresses := []struct{ name, value string }{
 		{"listen.callers", s.Listen.Callers}, {"listen.ready", s.Listen.Ready}, {"listen.peers", s.Listen.Peers},
@@ -131,14 +129,14 @@
 	}
 	for _, a := range addresses {
 		if _, err := netip.ParseAddrPort(a.value); err != nil {
-			return fmt.Errorf("%s = %q: an address of the form IP:port is required", a.name, a.value)
+			return fmt.Errorf("%s = %q: must be an address of the form IP:port", a.name, a.value)
 		}
 	}
 	if s.Keys.Strict && s.Keys.MaxAgeMS <= 0 {
-		return fmt.Errorf("keys.max_age_ms = %v: a time is required where keys.strict is set", s.Keys.MaxAgeMS)
+		return fmt.Errorf("keys.max_age_ms = %v: must be above 0 if keys.strict is set", s.Keys.MaxAgeMS)
 	}
 	if s.Configuration.ApplyMS < 0 {
-		return fmt.Errorf("configuration.apply_ms = %v: a time must not be negative", s.Configuration.ApplyMS)
+		return fmt.Errorf("configuration.apply_ms = %v: must not be negative", s.Configuration.ApplyMS)
 	}
 	if s.Retry.Ratio <= 0 {
 		s.Retry.Ratio = defaultRetryRatio
@@ -155,5 +153,5 @@
 	return nil
 }
 
-// seconds converts a setting.
+// seconds converts a setting in seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
