--- a/capacity/calls.go
+++ b/capacity/calls.go
@@ -14,7 +14,7 @@
 // call calls another node, or handles the request locally if the node is this one.
 func call[Req, Resp any](ctx context.Context, s *Service, to domain.Member, timeout time.Duration,
 	method peer.Method, request Req, local func(domain.Member, *Req) Resp) (Resp, error) {
-	if to.SameLife(s.self) {
+	if to.SameIncarnation(s.self) {
 		return local(s.self, &request), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -88,7 +88,7 @@
 // next renewals.
 func (s *Service) release(to domain.Member, pool domain.PoolName, id requestID, result *Result) {
 	message := releaseMessage{Pool: pool, ID: id, Result: result}
-	if to.SameLife(s.self) {
+	if to.SameIncarnation(s.self) {
 		s.serveRelease(s.self, &message)
 		return
 	}
--- a/capacity/failedcalls_test.go
+++ b/capacity/failedcalls_test.go
@@ -45,7 +45,7 @@
 		}
 		owner := rendezvous(poolGroup(quotePool), incarnations)
 		self := incarnations[0]
-		if owner.SameLife(self) {
+		if owner.SameIncarnation(self) {
 			self = incarnations[1]
 		}
 		memberView.current.Store(&membership.Snapshot{Self: self, Peers: []membership.Peer{{Member: incarnations[0]}, {Member: incarnations[1]}}})
--- a/capacity/handle.go
+++ b/capacity/handle.go
@@ -98,7 +98,7 @@
 func (h *handle) apply(from domain.Member, r decision, now time.Time) (mustRelease bool) {
 	h.link.mu.Lock()
 	defer h.link.mu.Unlock()
-	current := h.link.known && from.SameLife(h.link.owner)
+	current := h.link.known && from.SameIncarnation(h.link.owner)
 	if r.Kind == decisionGranted {
 		return h.applyGrant(current, r, now)
 	}
--- a/capacity/link.go
+++ b/capacity/link.go
@@ -95,7 +95,7 @@
 		l.clearOwner()
 		return false
 	}
-	if l.known && owner.SameLife(l.viewOwner) {
+	if l.known && owner.SameIncarnation(l.viewOwner) {
 		return false
 	}
 	l.owner, l.viewOwner, l.known = owner, owner, true
@@ -116,7 +116,7 @@
 func (l *link) redirect(owner domain.Member, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if owner.SameLife(l.owner) || (!l.redirectedAt.IsZero() && now.Sub(l.redirectedAt) < minRedirectInterval) {
+	if owner.SameIncarnation(l.owner) || (!l.redirectedAt.IsZero() && now.Sub(l.redirectedAt) < minRedirectInterval) {
 		return false
 	}
 	l.owner, l.known, l.redirectedAt = owner, true, now
--- a/capacity/offers.go
+++ b/capacity/offers.go
@@ -204,7 +204,7 @@
 func (a *acquisition) fetchOffer(ctx context.Context, owner domain.Member) (offer, bool) {
 	started := time.Now()
 	q, err := a.fetchQuote(ctx, owner)
-	if err == nil && q.Owner != nil && !q.Owner.SameLife(owner) {
+	if err == nil && q.Owner != nil && !q.Owner.SameIncarnation(owner) {
 		q, err = a.fetchQuote(ctx, *q.Owner)
 	}
 	if err != nil {
--- a/capacity/renewals.go
+++ b/capacity/renewals.go
@@ -13,7 +13,7 @@
 // renew sends every owner one message that summarises what this node holds there.
 func (s *Service) renew() {
 	for _, r := range s.renewals() {
-		if r.owner.SameLife(s.self) {
+		if r.owner.SameIncarnation(s.self) {
 			s.renewWith(s.base, r)
 			continue
 		}
--- a/capacity/service.go
+++ b/capacity/service.go
@@ -193,7 +193,7 @@
 	}
 	var names []poolGroup
 	for name := range centre.groups {
-		if owner, ok := l.owner(s.self.DataCentre, name); ok && owner.SameLife(s.self) {
+		if owner, ok := l.owner(s.self.DataCentre, name); ok && owner.SameIncarnation(s.self) {
 			names = append(names, name)
 		}
 	}
@@ -270,7 +270,7 @@
 // countSameRecipient counts the leading decisions for the same holder and pool.
 func countSameRecipient(out []outgoing) int {
 	n := 1
-	for n < len(out) && out[n].to.SameLife(out[0].to) && out[n].pool == out[0].pool {
+	for n < len(out) && out[n].to.SameIncarnation(out[0].to) && out[n].pool == out[0].pool {
 		n++
 	}
 	return n
@@ -285,7 +285,7 @@
 }
 
 func (s *Service) sendNotice(to domain.Member, n notice) {
-	if to.SameLife(s.self) {
+	if to.SameIncarnation(s.self) {
 		s.handleNotice(s.self, n)
 		return
 	}
--- a/document/example_test.go
+++ b/document/example_test.go
@@ -11,7 +11,7 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// What one node writes is soon in force on the other.
+// An edit made on one node comes into force on the other.
 func Example() {
 	network := peertest.NewNetwork()
 	defer network.Close()
@@ -42,7 +42,7 @@
 	}
 	edit := document.Edit{ID: document.NewEditID(), Author: "example"}
 	_, err := nodes[0].Update(ctx, "greeting", edit, func(document.Version, []byte) (document.Value, error) {
-		return document.Single([]byte("buongiorno")), nil
+		return document.NewValue([]byte("buongiorno")), nil
 	})
 	if err != nil {
 		panic(err)
--- a/follow/configuration.go
+++ b/follow/configuration.go
@@ -79,7 +79,7 @@
 	if previous != nil {
 		f.recentChanges.add(f.deps.Clock(), previous.table, c.table)
 	}
-	f.deps.Log.Info().Uint64("version", c.table.Version).Str("from", from).Int("routes", c.table.Routes()).
+	f.deps.Log.Info().Uint64("version", c.table.Version).Str("from", from).Int("routes", c.table.RouteCount()).
 		Int("organisations", len(c.table.Organisations)).Msg("configuration activated")
 }
 
--- a/follow/history.go
+++ b/follow/history.go
@@ -30,7 +30,7 @@
 }
 
 func (h *changeHistory) add(now boottime.Instant, from, to *routetable.Table) {
-	change := routetable.Between(from, to)
+	change := routetable.Diff(from, to)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.entries = append(h.entries, changeEntry{change, now})
--- a/limits/node_set.go
+++ b/limits/node_set.go
@@ -22,7 +22,7 @@
 // as one.
 func (n *nodeSet) update(now time.Time, view *membership.Snapshot, settle time.Duration) *nodeSet {
 	live := liveMembers(view)
-	if slices.EqualFunc(n.live, live, domain.Member.SameLife) {
+	if slices.EqualFunc(n.live, live, domain.Member.SameIncarnation) {
 		return &nodeSet{view: view, live: n.live, previous: n.previous, changedAt: n.changedAt}
 	}
 	previous := n.live
--- a/limits/reporter.go
+++ b/limits/reporter.go
@@ -69,7 +69,7 @@
 	switch {
 	case idle:
 		return c.registered
-	case c.ownerUnreachable || s.underPressure(c) || c.registered && !owner.SameLife(c.reportedOwner):
+	case c.ownerUnreachable || s.underPressure(c) || c.registered && !owner.SameIncarnation(c.reportedOwner):
 		return true
 	default:
 		return now.Sub(c.reportedAt) >= s.options.SlowReportInterval && s.needsReport(c)
--- a/scheduler/attach.go
+++ b/scheduler/attach.go
@@ -39,7 +39,7 @@
 }
 
 func (t *task) readHolder(claim ledger.Claim, position answer.Position) (answer.Batch, error) {
-	if !claim.Holder.SameLife(t.scheduler.deps.Transport.Self()) {
+	if !claim.Holder.SameIncarnation(t.scheduler.deps.Transport.Self()) {
 		return t.scheduler.deps.Relay.Read(t.ctx, claim.Holder, t.request.Key, position)
 	}
 	buffer, ok := t.scheduler.deps.Answers.Get(t.request.Key)
--- a/scheduler/cancel.go
+++ b/scheduler/cancel.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	if claim.Holder.SameLife(s.deps.Transport.Self()) {
+	if claim.Holder.SameIncarnation(s.deps.Transport.Self()) {
 		return ErrNotFound
 	}
 	reply, err := peer.Call[cancelRequest, cancelReply](ctx, s.deps.Transport, claim.Holder, MethodCancel, cancelRequest{Key: key})
--- a/scheduler/find.go
+++ b/scheduler/find.go
@@ -74,7 +74,7 @@
 
 // holderHandle returns a handle that reads the holder's answer.
 func (s *Scheduler) holderHandle(key domain.RequestKey, holder domain.Member) *Handle {
-	if !holder.SameLife(s.deps.Transport.Self()) {
+	if !holder.SameIncarnation(s.deps.Transport.Self()) {
 		source := relaySource{relay: s.deps.Relay, holder: holder, key: key}
 		return &Handle{source: source, detach: func() {}}
 	}
--- a/scheduler/outcome_test.go
+++ b/scheduler/outcome_test.go
@@ -68,7 +68,7 @@
 		{name: "claim: reply lost", fault: fault("claim", errMessageLost, true, 0), outcome: unknown, code: answer.CodeHistoryUnknown, state: ledger.StateClaimed},
 		{name: "claim: home unreachable, generated key", fault: fault("claim", ledger.ErrUnknown, false, 0), generatedKey: true, outcome: notRun, code: answer.CodeHistoryUnknown},
 		{name: "claim: ledger full", fault: fault("claim", ledger.ErrFull, false, 0), outcome: notRun, code: answer.CodeLedgerFull},
-		{name: "claim: key reused", fault: fault("claim", ledger.ErrFingerprint, false, 0), outcome: notRun, code: answer.CodeKeyReused},
+		{name: "claim: key reused", fault: fault("claim", ledger.ErrFingerprintMismatch, false, 0), outcome: notRun, code: answer.CodeKeyReused},
 		{name: "limits: exceeded", fault: limited, outcome: notRun, code: answer.CodeLimited},
 		{name: "limits: exceeded, release lost", fault: combined(limited, fault("release", errMessageLost, false, 1)), outcome: unknown, code: answer.CodeUnsettled},
 		{name: "acquire: shed", fault: refused(capacity.ErrShed), outcome: notRun, code: answer.CodeShed},
--- a/scheduler/schedulertest/ledger.go
+++ b/scheduler/schedulertest/ledger.go
@@ -157,7 +157,7 @@
 	h := c.home
 	r, known := h.records[key]
 	if known && r.fingerprint != fingerprint {
-		return ledger.Claim{}, ledger.ErrFingerprint
+		return ledger.Claim{}, ledger.ErrFingerprintMismatch
 	}
 	lost := known && (h.markedGone[r.claim.Holder] || r.state == ledger.StateClaimed && r.claim.Holder == c.self)
 	switch {
--- a/scheduler/task.go
+++ b/scheduler/task.go
@@ -72,7 +72,7 @@
 // request.
 func (t *task) join(request Request) *Handle {
 	if request.Fingerprint != t.request.Fingerprint {
-		return endedHandle(claimEnd(request, ledger.ErrFingerprint))
+		return endedHandle(claimEnd(request, ledger.ErrFingerprintMismatch))
 	}
 	return t.handle()
 }
@@ -210,7 +210,7 @@
 // claimFailed is the end after a failed claim. If part of the answer was received
 // from another node, the request ran there.
 func (t *task) claimFailed(err error) answer.End {
-	if t.buffer.Next() > 0 && !errors.Is(err, ledger.ErrFingerprint) {
+	if t.buffer.Next() > 0 && !errors.Is(err, ledger.ErrFingerprintMismatch) {
 		return unknownEnd(answer.CodeHolderUnreachable, "the node that holds the answer can't be reached", longRetryDelay)
 	}
 	return claimEnd(t.request, err)
--- a/session/authority_test.go
+++ b/session/authority_test.go
@@ -27,7 +27,7 @@
 
 func TestVerify(t *testing.T) {
 	issuer := authority(t, oldSecret)
-	made, token, err := issuer.Issue("palermo", "cucine", issued)
+	want, token, err := issuer.Issue("palermo", "cucine", issued)
 	assert.NilError(t, err)
 	_, other, err := issuer.Issue("palermo", "pryce", issued)
 	assert.NilError(t, err)
@@ -42,13 +42,13 @@
 		after        time.Duration
 		want         error
 	}{
-		{"good", issuer, token, "cucine", time.Minute, nil},
+		{"valid", issuer, token, "cucine", time.Minute, nil},
 		{"secret rotated", authority(t, newSecret, oldSecret), token, "cucine", time.Minute, nil},
-		{"secret dropped", authority(t, newSecret), token, "cucine", time.Minute, session.ErrForged},
-		{"other organisation", issuer, token, "pryce", time.Minute, session.ErrOrganisation},
+		{"secret dropped", authority(t, newSecret), token, "cucine", time.Minute, session.ErrInvalidSignature},
+		{"other organisation", issuer, token, "pryce", time.Minute, session.ErrWrongOrganisation},
 		{"expired", issuer, token, "cucine", 2 * time.Hour, session.ErrExpired},
-		{"payload under another signature", issuer, "hrs1." + payload + "." + otherMAC, "cucine", 0, session.ErrForged},
-		{"no signature", issuer, "hrs1." + payload + ".", "cucine", 0, session.ErrForged},
+		{"payload under another signature", issuer, "hrs1." + payload + "." + otherMAC, "cucine", 0, session.ErrInvalidSignature},
+		{"no signature", issuer, "hrs1." + payload + ".", "cucine", 0, session.ErrInvalidSignature},
 		{"no dot", issuer, "hrs1." + payload, "cucine", 0, session.ErrMalformed},
 		{"not base64", issuer, "hrs1.%%.%%", "cucine", 0, session.ErrMalformed},
 		{"empty", issuer, "", "cucine", 0, session.ErrMalformed},
@@ -59,7 +59,7 @@
 			got, err := test.verifier.Verify(test.token, test.organisation, issued.Add(test.after))
 			assert.ErrorIs(t, err, test.want)
 			if test.want == nil {
-				assert.Equal(t, got, made)
+				assert.Equal(t, got, want)
 			}
 		})
 	}
@@ -68,6 +68,6 @@
 func TestNewAuthorityRefusesWeakSecrets(t *testing.T) {
 	for _, secrets := range [][][]byte{nil, {oldSecret, []byte("short")}} {
 		_, err := session.NewAuthority(secrets, 0)
-		assert.ErrorIs(t, err, session.ErrSecret)
+		assert.ErrorIs(t, err, session.ErrInvalidSecret)
 	}
 }
