--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -73,7 +73,7 @@
 		Transport:      d.transport,
 		Store:          d.newStore(set),
 		Members:        d.newMembers(d.transport, list, set),
-		EndpointList:   list,
+		EntryHostList:  list,
 		Adapters:       httpAdapters{onesend.New(onesend.Options{})},
 		Log:            d.options.Log,
 		Metrics:        set,
@@ -210,12 +210,12 @@
 }
 
 func (d *Daemon) callerRoutes(e *echo.Echo) {
-	d.node.Callers(e)
-	d.node.Health(e)
+	d.node.RegisterCallerRoutes(e)
+	d.node.RegisterHealthRoutes(e)
 }
 
 func (d *Daemon) operatorRoutes(e *echo.Echo) {
-	d.node.Health(e)
-	d.node.Observe(e)
-	operatorapi.New(d.node.Table(), operatorKeys(d.options.Settings.Operators)).Mount(e)
+	d.node.RegisterHealthRoutes(e)
+	d.node.RegisterDebugRoutes(e)
+	operatorapi.New(d.node.Config(), operatorKeys(d.options.Settings.Operators)).Mount(e)
 }
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -23,9 +23,9 @@
 }
 
 // newHostList returns the platform's host list.
-func (d *Daemon) newHostList() *node.EndpointList {
+func (d *Daemon) newHostList() *node.EntryHostList {
 	options := httphostlist.Options{BaseURL: d.options.Settings.Platform.HostList}
-	return node.NewEndpointList(httphostlist.New(options))
+	return node.NewEntryHostList(httphostlist.New(options))
 }
 
 // newMembers returns the membership by the platform's host list, the seeds and
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -225,7 +225,7 @@
 	changes := config.Diff(config.Table{}, d.table)
 	for {
 		edit := document.Edit{ID: document.NewEditID(), Author: OperatorName, Note: "the demo's table"}
-		_, err := d.daemons[0].Node().Table().Edit(ctx, edit, changes)
+		_, err := d.daemons[0].Node().Config().Edit(ctx, edit, changes)
 		if err == nil || ctx.Err() != nil || invalid(err) {
 			return err
 		}
--- a/load/virtual/fleet.go
+++ b/load/virtual/fleet.go
@@ -136,7 +136,7 @@
 		return err
 	}
 	e := echo.New()
-	n.Callers(e)
+	n.RegisterCallerRoutes(e)
 	r := &running{Node: n, echo: e}
 	f.nodes[m.DataCentre] = append(f.nodes[m.DataCentre], r)
 	f.all = append(f.all, r)
@@ -149,7 +149,7 @@
 		return ErrJoin
 	}
 	edit := document.Edit{ID: document.NewEditID(), Author: "load"}
-	_, err := f.all[0].Table().Edit(context.Background(), edit, config.Diff(config.Table{}, table))
+	_, err := f.all[0].Config().Edit(context.Background(), edit, config.Diff(config.Table{}, table))
 	return err
 }
 
--- a/load/virtual/policy.go
+++ b/load/virtual/policy.go
@@ -51,7 +51,7 @@
 	holding(2, 24),
 	holding(2, 32),
 	holding(1.3, 32),
-	{Name: "longest", Configure: func(o *node.Options) { o.Lengths = scheduler.MaxLengthPredictor{} }},
+	{Name: "longest", Configure: func(o *node.Options) { o.LengthPredictor = scheduler.MaxLengthPredictor{} }},
 	{Name: "prefill-0", Configure: func(o *node.Options) { o.Routing.PrefillWeight = -1 }},
 	{Name: "prefill-4", Configure: func(o *node.Options) { o.Routing.PrefillWeight = 4 }},
 	{Name: "prefill-16", Configure: func(o *node.Options) { o.Routing.PrefillWeight = 16 }},
@@ -76,7 +76,7 @@
 	p.Name = "without-limits"
 	p.Configure = func(o *node.Options) {
 		configure(o)
-		o.Lengths = withoutLimits{routing.NewLengthPredictor()}
+		o.LengthPredictor = withoutLimits{routing.NewLengthPredictor()}
 	}
 	return p
 }
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -181,9 +181,9 @@
 	n, err := New(options)
 	assert.NilError(c.t, err)
 	e := echo.New()
-	n.Callers(e)
-	n.Health(e)
-	n.Observe(e)
+	n.RegisterCallerRoutes(e)
+	n.RegisterHealthRoutes(e)
+	n.RegisterDebugRoutes(e)
 	ctx, stop := context.WithCancel(context.Background())
 	running := &runningNode{Node: n, gate: g, client: client, echo: e, stop: stop, done: make(chan struct{})}
 	go func() {
@@ -200,7 +200,7 @@
 func (c *cluster) accept(table config.Table) {
 	first := c.nodes[c.members[0].Node]
 	edit := document.Edit{ID: document.NewEditID(), Author: "test"}
-	_, err := first.Table().Edit(context.Background(), edit, config.Diff(config.Table{}, table))
+	_, err := first.Config().Edit(context.Background(), edit, config.Diff(config.Table{}, table))
 	assert.NilError(c.t, err)
 }
 
--- a/node/endpointlist.go
+++ b/node/entryhostlist.go
@@ -18,10 +18,10 @@
 	SetEndpointLeaving(id domain.EndpointID, leaving bool)
 }
 
-// EndpointList takes the endpoints' hosts out of the platform's host list, so that
+// EntryHostList takes the endpoints' hosts out of the platform's host list, so that
 // membership reads entry hosts only, and passes on which endpoints are leaving.
 // The list is read no more often for it.
-type EndpointList struct {
+type EntryHostList struct {
 	list hostlist.List
 
 	mu sync.Mutex
@@ -31,15 +31,15 @@
 	leaving map[domain.EndpointID]struct{}
 }
 
-var _ hostlist.List = (*EndpointList)(nil)
+var _ hostlist.List = (*EntryHostList)(nil)
 
-// NewEndpointList returns a list that reads the given one.
-func NewEndpointList(list hostlist.List) *EndpointList {
-	return &EndpointList{list: list, leaving: make(map[domain.EndpointID]struct{})}
+// NewEntryHostList returns a list that reads the given one.
+func NewEntryHostList(list hostlist.List) *EntryHostList {
+	return &EntryHostList{list: list, leaving: make(map[domain.EndpointID]struct{})}
 }
 
 // List implements hostlist.List: the entry hosts alone.
-func (l *EndpointList) List(ctx context.Context) ([]hostlist.Host, error) {
+func (l *EntryHostList) List(ctx context.Context) ([]hostlist.Host, error) {
 	l.mu.Lock()
 	l.tried = time.Now()
 	l.mu.Unlock()
@@ -62,7 +62,7 @@
 }
 
 // tell passes the changes on.
-func (l *EndpointList) tell(leaving map[domain.EndpointID]struct{}) {
+func (l *EntryHostList) tell(leaving map[domain.EndpointID]struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.told == nil {
@@ -80,7 +80,7 @@
 }
 
 // expire takes back what another node now stands by.
-func (l *EndpointList) expire(now time.Time) {
+func (l *EntryHostList) expire(now time.Time) {
 	l.mu.Lock()
 	idle := now.Sub(l.tried) > listWordTTL
 	l.mu.Unlock()
@@ -89,7 +89,7 @@
 	}
 }
 
-func (l *EndpointList) bind(told leavingSetter) {
+func (l *EntryHostList) bind(told leavingSetter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.told = told
--- a/node/endpointlist_test.go
+++ b/node/entryhostlist_test.go
@@ -28,7 +28,7 @@
 		runner := hostlist.Host{Endpoint: "e", DataCentre: "d", Address: "192.0.2.2:1", State: hostlist.StateLeaving}
 		table := &hostTable{[]hostlist.Host{entry, runner}}
 		words := leavingWords{}
-		list := NewEndpointList(table)
+		list := NewEntryHostList(table)
 		list.bind(words)
 
 		hosts, err := list.List(t.Context())
--- a/node/matrix_page_test.go
+++ b/node/matrix_page_test.go
@@ -133,5 +133,5 @@
 }
 
 func (t tally) row(name string) string {
-	return fmt.Sprintf("| %s | %d | %d | %d | %d | %d | %d | %d |\n", name, t.Attempts, t.Answered, t.NotRun, t.Unknown, t.Ran, t.Cut, t.Unrun)
+	return fmt.Sprintf("| %s | %d | %d | %d | %d | %d | %d | %d |\n", name, t.Attempts, t.Answered, t.NotRun, t.Unknown, t.Ran, t.Cut, t.NotAtEngine)
 }
--- a/node/matrix_trial_test.go
+++ b/node/matrix_trial_test.go
@@ -89,7 +89,7 @@
 	Attempts, Answered, NotRun, Unknown, Ran, Cut int
 	// Unrun counts keys that were told ran at last, though no engine had them: the
 	// life that had committed them died before it sent them.
-	Unrun int
+	NotAtEngine int
 }
 
 func (t *tally) add(o tally) {
@@ -99,7 +99,7 @@
 	t.Unknown += o.Unknown
 	t.Ran += o.Ran
 	t.Cut += o.Cut
-	t.Unrun += o.Unrun
+	t.NotAtEngine += o.NotAtEngine
 }
 
 // matrixDeployment is Cucine with one engine of four places in each data centre;
@@ -311,7 +311,7 @@
 			x.fail("%s was told not_run at last, and run %d times", k.key, ran)
 		}
 		if k.final == string(domain.OutcomeRan) && ran == 0 {
-			x.report.Unrun++
+			x.report.NotAtEngine++
 			if !x.orphaned(k.key) {
 				x.fail("%s was told ran, and no engine had it", k.key)
 			}
--- a/node/node.go
+++ b/node/node.go
@@ -157,8 +157,8 @@
 	n.capacity = capacity.New(n.capacityOptions())
 	n.endpoints = newEndpoints(n.config, n.options.Adapters)
 	n.reports = newReports(n.capacity, n.endpoints)
-	if n.options.EndpointList != nil {
-		n.options.EndpointList.bind(n.capacity)
+	if n.options.EntryHostList != nil {
+		n.options.EntryHostList.bind(n.capacity)
 	}
 	return nil
 }
@@ -202,8 +202,8 @@
 
 // lengths returns the predictor of answers' lengths.
 func (n *Node) lengths() scheduler.LengthPredictor {
-	if n.options.Lengths != nil {
-		return n.options.Lengths
+	if n.options.LengthPredictor != nil {
+		return n.options.LengthPredictor
 	}
 	return routing.NewLengthPredictor()
 }
@@ -280,8 +280,8 @@
 			return ctx.Err()
 		case <-expire.C:
 			n.answers.Expire()
-			if n.options.EndpointList != nil {
-				n.options.EndpointList.expire(time.Now())
+			if n.options.EntryHostList != nil {
+				n.options.EntryHostList.expire(time.Now())
 			}
 		}
 	}
@@ -314,10 +314,10 @@
 }
 
 // Table returns the operators' table on this node.
-func (n *Node) Table() *agreed.Service { return n.config }
+func (n *Node) Config() *agreed.Service { return n.config }
 
 // Callers registers the routes towards callers.
-func (n *Node) Callers(e *echo.Echo) { n.entry.Register(e) }
+func (n *Node) RegisterCallerRoutes(e *echo.Echo) { n.entry.Register(e) }
 
 // Ready returns nil if the node can take requests, else the reason why not. A node
 // that starts while the store is down can't join the ledger table; after some
--- a/node/operators.go
+++ b/node/operators.go
@@ -23,19 +23,19 @@
 // State is the dump of a node's state. It holds no secrets, keys of requests or
 // contents.
 type State struct {
-	Version       string                 `json:"version"`
-	Self          domain.Member          `json:"self"`
-	UpSeconds     float64                `json:"up_seconds"`
-	Ready         string                 `json:"ready"`
-	Goroutines    int                    `json:"goroutines"`
-	Members       *membership.Snapshot   `json:"members"`
-	Documents     []document.Condition   `json:"documents"`
-	Ledger        ledger.Dump            `json:"ledger"`
-	Capacity      capacity.Dump          `json:"capacity"`
-	Routing       []routing.EndpointDump `json:"routing"`
-	Scheduler     scheduler.State        `json:"scheduler"`
-	Coordinator   *coordinator.Dump      `json:"coordinator,omitempty"`
-	ConfigVersion uint64                 `json:"config_revision"`
+	Version        string                 `json:"version"`
+	Self           domain.Member          `json:"self"`
+	UpSeconds      float64                `json:"up_seconds"`
+	Ready          string                 `json:"ready"`
+	Goroutines     int                    `json:"goroutines"`
+	Members        *membership.Snapshot   `json:"members"`
+	Documents      []document.Condition   `json:"documents"`
+	Ledger         ledger.Dump            `json:"ledger"`
+	Capacity       capacity.Dump          `json:"capacity"`
+	Routing        []routing.EndpointDump `json:"routing"`
+	Scheduler      scheduler.State        `json:"scheduler"`
+	Coordinator    *coordinator.Dump      `json:"coordinator,omitempty"`
+	ConfigRevision uint64                 `json:"config_revision"`
 }
 
 // readyText is what State.Ready says of a node that is ready.
@@ -64,19 +64,19 @@
 		s.Coordinator = &dump
 	}
 	if snapshot := n.config.Current(); snapshot != nil {
-		s.ConfigVersion = uint64(snapshot.Revision)
+		s.ConfigRevision = uint64(snapshot.Revision)
 	}
 	return s
 }
 
 // Health registers /livez and /readyz.
-func (n *Node) Health(e *echo.Echo) {
+func (n *Node) RegisterHealthRoutes(e *echo.Echo) {
 	e.GET("/livez", func(c echo.Context) error { return c.String(http.StatusOK, "live\n") })
 	e.GET("/readyz", n.readyz)
 }
 
 // Observe registers /metrics and /debug/state.
-func (n *Node) Observe(e *echo.Echo) {
+func (n *Node) RegisterDebugRoutes(e *echo.Echo) {
 	e.GET("/metrics", func(c echo.Context) error {
 		c.Response().Header().Set(echo.HeaderContentType, "text/plain; version=0.0.4")
 		n.WriteMetrics(c.Response())
--- a/node/options.go
+++ b/node/options.go
@@ -21,11 +21,11 @@
 	Transport peer.Transport
 	Store     store.Store
 	Members   Members
-	// EndpointList tells which endpoints the platform takes away; nil for none.
-	EndpointList *EndpointList
-	Adapters     Adapters
-	Log          zerolog.Logger
-	Metrics      *metrics.Set
+	// EntryHostList tells which endpoints the platform takes away; nil for none.
+	EntryHostList *EntryHostList
+	Adapters      Adapters
+	Log           zerolog.Logger
+	Metrics       *metrics.Set
 
 	// SessionSecrets sign session tokens, the first; all verify.
 	SessionSecrets [][]byte
@@ -52,5 +52,5 @@
 	// It holds numbers and Weights; the other parts are filled in by the node.
 	Coordinator *coordinator.Options
 	// Lengths predicts the lengths of answers; nil for a routing.LengthPredictor.
-	Lengths scheduler.LengthPredictor
+	LengthPredictor scheduler.LengthPredictor
 }
--- a/sizing/node_bench_test.go
+++ b/sizing/node_bench_test.go
@@ -84,7 +84,7 @@
 	}
 	time.Sleep(5 * time.Second)
 	edit := document.Edit{ID: document.NewEditID(), Author: "bench"}
-	_, err := nodes[0].Table().Edit(b.Context(), edit, config.Diff(config.Table{}, fleetTable(29)))
+	_, err := nodes[0].Config().Edit(b.Context(), edit, config.Diff(config.Table{}, fleetTable(29)))
 	assert.NilError(b, err)
 	for _, n := range nodes {
 		for began := time.Now(); n.Ready() != nil; time.Sleep(10 * time.Millisecond) {
