--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -31,19 +31,19 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// cluster is a deployment in memory, in virtual time: whole nodes over an
-// in-memory network, a store and engines that are the witnesses.
+// cluster is a deployment in virtual time: complete nodes over an in-memory
+// network, store and engines. The engines' logs show what was executed.
 type cluster struct {
 	t       *testing.T
 	network *peertest.Network
 	store   *memstore.Store
 	engines map[domain.EndpointID]*engine.Engine
 	members []domain.Member
-	// mu guards nodes where lives end and begin beside requests.
+	// mu guards nodes in tests that stop and start nodes while requests are sent.
 	mu    sync.Mutex
 	nodes map[domain.NodeID]*runningNode
-	view  atomic.Pointer[[]membership.Peer]
-	// observe, if set, is told of each event of a node before it goes on.
+	peers atomic.Pointer[[]membership.Peer]
+	// observe, if set, is called with each event of a node before the node continues.
 	observe atomic.Pointer[func(event)]
 	// configure, if set, changes the options of each node.
 	configure func(*Options)
@@ -52,48 +52,48 @@
 type runningNode struct {
 	*Node
 	gate *gate
-	// client is the node's way to the store.
+	// client is the node's connection to the store.
 	client *memstore.Client
 	echo   *echo.Echo
 	stop   context.CancelFunc
 	done   chan struct{}
 }
 
-// viewOf is a node's members: what the test says.
-type viewOf struct {
+// scriptedMembers implements Members with a view that is set by the test.
+type scriptedMembers struct {
 	c    *cluster
 	self domain.Member
-	last atomic.Pointer[viewCache]
+	last atomic.Pointer[cachedSnapshot]
 }
 
-type viewCache struct {
+type cachedSnapshot struct {
 	peers    *[]membership.Peer
 	snapshot *membership.Snapshot
 }
 
-func (v *viewOf) Current() *membership.Snapshot {
-	peers := v.c.view.Load()
+func (v *scriptedMembers) Current() *membership.Snapshot {
+	peers := v.c.peers.Load()
 	if cached := v.last.Load(); cached != nil && cached.peers == peers {
 		return cached.snapshot
 	}
 	s := &membership.Snapshot{Self: v.self, Peers: *peers}
-	v.last.Store(&viewCache{peers: peers, snapshot: s})
+	v.last.Store(&cachedSnapshot{peers: peers, snapshot: s})
 	return s
 }
 
-func (v *viewOf) Run(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
+func (v *scriptedMembers) Run(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
 
-func (v *viewOf) Leave(context.Context) error {
+func (v *scriptedMembers) Leave(context.Context) error {
 	v.c.setStatus(v.self, membership.StatusLeaving)
 	return nil
 }
 
-func (v *viewOf) Farewell(context.Context) error {
+func (v *scriptedMembers) Farewell(context.Context) error {
 	v.c.setStatus(v.self, membership.StatusGone)
 	return nil
 }
 
-// engineAdapters gives the in-process engines as endpoints.
+// engineAdapters provides the in-process engines as endpoints.
 type engineAdapters struct {
 	c    *cluster
 	gate *gate
@@ -105,16 +105,18 @@
 
 func (a engineAdapters) Service(*config.EndpointRow) endpoint.Service { return nil }
 
-// firstIncarnation is that of all nodes at first; there are earlier ones.
+// firstIncarnation is the initial incarnation of all nodes. It leaves room for
+// earlier ones.
 const firstIncarnation = 10
 
-// newCluster starts nodes in the data centres of a deployment: as many hosts as
-// it has, one engine for each of its engine rows.
+// newCluster starts a node for each host of the deployment and an engine for each
+// of its engine rows.
 func newCluster(t *testing.T, d *deployment.Deployment, options engine.Options) *cluster {
 	return newClusterWith(t, d, options, func(*Options) {})
 }
 
-// newClusterWith changes the nodes' options first.
+// newClusterWith is newCluster with a function that changes the options of each
+// node.
 func newClusterWith(t *testing.T, d *deployment.Deployment, options engine.Options, configure func(*Options)) *cluster {
 	c := &cluster{
 		t:         t,
@@ -138,40 +140,39 @@
 		peers = append(peers, membership.Peer{Member: m})
 	}
 	slices.SortFunc(peers, func(a, b membership.Peer) int { return strings.Compare(string(a.Node), string(b.Node)) })
-	c.view.Store(&peers)
+	c.peers.Store(&peers)
 	for _, m := range c.members {
 		c.start(m)
 	}
-	c.accept(d.Table)
+	c.applyConfig(d.Table)
 	c.awaitJoined()
 	return c
 }
 
-// joinLimit bounds the time that all nodes may take to be able to serve any key.
-const joinLimit = time.Minute
+// clusterJoinTimeout bounds the time until all nodes can serve any key.
+const clusterJoinTimeout = time.Minute
 
-// awaitJoined waits until every node can decide its keys and find the homes of all
-// others.
+// awaitJoined waits until every node has joined its ledger table and is ready.
 func (c *cluster) awaitJoined() {
 	start := time.Now()
 	for _, n := range c.nodes {
 		for !n.joined() || n.Ready() != nil {
 			time.Sleep(50 * time.Millisecond)
-			assert.Assert(c.t, time.Since(start) < joinLimit, "%s has not joined: %v", n.self, n.Ready())
+			assert.Assert(c.t, time.Since(start) < clusterJoinTimeout, "%s has not joined: %v", n.self, n.Ready())
 		}
 	}
 	c.t.Logf("all nodes joined after %v", time.Since(start))
 }
 
-// start runs a life of a node.
+// start starts a node with the given incarnation.
 func (c *cluster) start(m domain.Member) *runningNode {
-	note := func(name, key string, offset uint64) { c.emit(event{m.Node, name, "", key, offset}) }
-	g := newGate(note)
+	observe := func(name, key string, offset uint64) { c.emit(event{m.Node, name, "", key, offset}) }
+	g := newGate(observe)
 	client := c.store.NewClient()
 	options := Options{
 		Transport:      observedTransport{c.network.Node(m), c},
 		Store:          gatedStore{client, g},
-		Members:        &viewOf{c: c, self: m},
+		Members:        &scriptedMembers{c: c, self: m},
 		Adapters:       engineAdapters{c, g},
 		Log:            zerolog.Nop(),
 		Metrics:        metrics.NewSet(),
@@ -196,26 +197,27 @@
 	return running
 }
 
-// accept writes a configuration.
-func (c *cluster) accept(table config.Table) {
+// applyConfig stores a configuration.
+func (c *cluster) applyConfig(table config.Table) {
 	first := c.nodes[c.members[0].Node]
 	edit := document.Edit{ID: document.NewEditID(), Author: "test"}
 	_, err := first.Config().Edit(context.Background(), edit, config.Diff(config.Table{}, table))
 	assert.NilError(c.t, err)
 }
 
-// setStatus changes what all nodes believe of a life.
+// setStatus sets the status of an incarnation in the view of all nodes.
 func (c *cluster) setStatus(m domain.Member, status membership.Status) {
-	peers := slices.Clone(*c.view.Load())
+	peers := slices.Clone(*c.peers.Load())
 	for i := range peers {
 		if peers[i].Node == m.Node {
 			peers[i] = membership.Peer{Member: m, Status: status}
 		}
 	}
-	c.view.Store(&peers)
+	c.peers.Store(&peers)
 }
 
-// crash ends a life at once: nothing that it has in hand gets out any more.
+// crash stops a node at once and waits until it has ended. Nothing that it has in
+// progress is sent any more.
 func (c *cluster) crash(node domain.NodeID) {
 	n := c.nodes[node]
 	n.kill(c.network)
@@ -223,26 +225,26 @@
 	delete(c.nodes, node)
 }
 
-// kill ends a life at once without waiting for its goroutines.
+// kill stops a node at once without waiting for its goroutines.
 func (n *runningNode) kill(network *peertest.Network) {
 	network.Crash(n.self.Node)
 	n.gate.crash()
 	n.stop()
 }
 
-// pause stops a life in everything that it sends and receives.
+// pause suspends all sending and receiving of a node.
 func (c *cluster) pause(node domain.NodeID) {
 	c.network.Pause(node)
 	c.nodes[node].gate.pause()
 }
 
-// resume ends a pause.
+// resume ends the pause of a node.
 func (c *cluster) resume(node domain.NodeID) {
 	c.nodes[node].gate.resume()
 	c.network.Resume(node)
 }
 
-// close ends all nodes and engines.
+// close stops all nodes and engines.
 func (c *cluster) close() {
 	for _, n := range c.nodes {
 		n.stop()
@@ -257,7 +259,7 @@
 	synctest.Wait()
 }
 
-// runs counts how often each request was run, over all engines.
+// runs counts the executions of each request over all engines.
 func (c *cluster) runs() map[string]int {
 	counts := make(map[string]int)
 	for _, e := range c.engines {
@@ -268,7 +270,7 @@
 	return counts
 }
 
-// assertAtMostOnce fails if any request was dispatched twice.
+// assertAtMostOnce fails if any request was executed more than once.
 func (c *cluster) assertAtMostOnce() {
 	for key, n := range c.runs() {
 		assert.Check(c.t, n <= 1, "%s was run %d times", key, n)
@@ -289,7 +291,7 @@
 	return recorder
 }
 
-// content returns the text of a complete answer.
+// content returns the text of a complete chat completion.
 func content(t *testing.T, response *httptest.ResponseRecorder) string {
 	var completion struct {
 		Choices []struct {
@@ -303,8 +305,8 @@
 	return completion.Choices[0].Message.Content
 }
 
-// problemOf reads a problem document.
-func problemOf(t *testing.T, response *httptest.ResponseRecorder) entry.Problem {
+// decodeProblem decodes a problem document.
+func decodeProblem(t *testing.T, response *httptest.ResponseRecorder) entry.Problem {
 	var p entry.Problem
 	assert.NilError(t, json.Unmarshal(response.Body.Bytes(), &p), "%s", response.Body)
 	return p
--- a/node/decision_bench_test.go
+++ b/node/decision_bench_test.go
@@ -17,14 +17,15 @@
 	"hawthornrill.example/hawthornrill/routing"
 )
 
-// The sizes of a data centre of the design.
+// The size of a data centre in the design.
 const (
 	benchOrganisations = 2900
 	benchModels        = 33
 	benchEndpoints     = 130
 )
 
-// designTable has the organisations, models and endpoints of a data centre.
+// designTable returns a configuration with the organisations, models and endpoints
+// of one data centre.
 func designTable() config.Table {
 	t := config.Table{Tiers: []config.TierRow{
 		{Name: "a", Rank: 0, DeadlineMillis: 60_000},
@@ -51,9 +52,9 @@
 	return t
 }
 
-// BenchmarkDecision is all that is decided about a request at a node that owns its
-// pool: admitted by its organisation's limits, queued, given an endpoint chosen by
-// routing, and the place given back.
+// BenchmarkDecision measures all decisions about one request on the node that owns
+// its pool: admission by the organisation's limits, queueing, choice of an endpoint
+// by routing, and release of the slot.
 func BenchmarkDecision(b *testing.B) {
 	snapshot, err := config.Compile(designTable(), 1)
 	assert.NilError(b, err)
@@ -63,14 +64,14 @@
 	self := domain.Member{Node: "n", Incarnation: 1, DataCentre: "d"}
 	transport := network.Node(self)
 	members := membership.NewStaticView(membership.AllAlive(self, self))
-	quotas := limits.New(limits.Options{Transport: transport, Membership: members, Config: view})
-	defer quotas.Close()
-	places := capacity.New(capacity.Options{
+	limiter := limits.New(limits.Options{Transport: transport, Membership: members, Config: view})
+	defer limiter.Close()
+	pools := capacity.New(capacity.Options{
 		Transport: transport, Membership: members, Config: view, NewChooser: routing.NewFactory(routing.Options{}).New,
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); _ = places.Run(ctx) }()
+	go func() { defer close(done); _ = pools.Run(ctx) }()
 	defer func() { stop(); <-done }()
 
 	organisations := make([]*config.Organisation, benchOrganisations)
@@ -81,9 +82,9 @@
 	i := 0
 	decide := func() {
 		org := organisations[i%benchOrganisations]
-		permit, err := quotas.Admit(org, 500, 200)
+		permit, err := limiter.Admit(org, 500, 200)
 		assert.NilError(b, err)
-		grant, err := places.Acquire(ctx, capacity.Request{
+		grant, err := pools.Acquire(ctx, capacity.Request{
 			Name: "r", Pool: domain.ModelPool(snapshot.Table.Models[i%benchModels].Name), Organisation: org.ID, Tier: org.Rank,
 			PromptTokens: 500, AnswerTokens: 200, Blocks: blocks, Deadline: time.Minute,
 		})
--- a/node/doc.go
+++ b/node/doc.go
@@ -1,4 +1,4 @@
-// Package node puts the parts of one node together over the seams to time,
-// peers, the platform and the endpoints, so that a whole node runs in a test as
-// it does in the daemon.
+// Package node assembles the services of one node. Peers, the store, membership
+// and endpoints are passed in as interfaces, and time can be virtual, so that a
+// complete node runs in a test as it does in the daemon.
 package node
--- a/node/drain_test.go
+++ b/node/drain_test.go
@@ -17,8 +17,9 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// TestDrain lets a node leave while requests are in progress at it, and while
-// others go on at its peers.
+// TestDrain drains a node while requests are in progress on it and on its peers.
+// Requests in progress must complete, new ones must be refused as not run, and the
+// ledger records must be handed over.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, deployment.Cucine(), engine.Options{Speed: engine.GenerationB()})
@@ -42,7 +43,7 @@
 
 		refused := c.chat(context.Background(), "palermo-1", "showrooms", "late", "late", 10)
 		assert.Equal(t, refused.Code, http.StatusServiceUnavailable)
-		assert.Equal(t, problemOf(t, refused).Outcome, domain.OutcomeNotRun)
+		assert.Equal(t, decodeProblem(t, refused).Outcome, domain.OutcomeNotRun)
 
 		assert.NilError(t, <-drained)
 		group.Wait()
@@ -52,10 +53,10 @@
 		time.Sleep(time.Second)
 		table := c.nodes["palermo-2"].tables.Table("palermo")
 		assert.Equal(t, len(table.Members), 2)
-		assert.Check(t, !table.Departed[0].Lost, "the records were not handed over")
+		assert.Check(t, !table.Departed[0].Lost, "the ledger records were not handed over")
 
 		again := c.chat(context.Background(), "palermo-2", "showrooms", "late", "late", 10)
-		assert.Equal(t, again.Code, http.StatusOK, "told not run, and sent again: %s", again.Body)
+		assert.Equal(t, again.Code, http.StatusOK, "retry of a request refused as not run: %s", again.Body)
 		c.assertAtMostOnce()
 	})
 }
--- a/node/endpoints.go
+++ b/node/endpoints.go
@@ -9,31 +9,32 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Adapters makes the adapters to endpoints.
+// Adapters creates the clients through which the node calls endpoints.
 type Adapters interface {
 	Engine(row *config.EndpointRow) endpoint.Engine
 	Service(row *config.EndpointRow) endpoint.Service
 }
 
-// endpoints finds the adapter of an endpoint by the configuration in force. An
-// adapter is made when first needed and again when the address changes.
+// endpoints looks up the adapter of an endpoint in the current configuration.
+// Adapters are cached: one is created on first use and replaced when the
+// endpoint's address changes.
 type endpoints struct {
 	config   config.View
 	adapters Adapters
 
 	mu       sync.RWMutex
-	engines  map[domain.EndpointID]engineAt
-	services map[domain.EndpointID]serviceAt
+	engines  map[domain.EndpointID]cachedEngine
+	services map[domain.EndpointID]cachedService
 }
 
 var _ dispatch.Endpoints = (*endpoints)(nil)
 
-type engineAt struct {
+type cachedEngine struct {
 	address string
 	engine  endpoint.Engine
 }
 
-type serviceAt struct {
+type cachedService struct {
 	address string
 	service endpoint.Service
 }
@@ -42,12 +43,12 @@
 	return &endpoints{
 		config:   view,
 		adapters: adapters,
-		engines:  make(map[domain.EndpointID]engineAt),
-		services: make(map[domain.EndpointID]serviceAt),
+		engines:  make(map[domain.EndpointID]cachedEngine),
+		services: make(map[domain.EndpointID]cachedService),
 	}
 }
 
-// row returns the endpoint's row if it is of the kind.
+// row returns the endpoint's configuration row if it has the given kind.
 func (e *endpoints) row(id domain.EndpointID, kind config.EndpointKind) (*config.EndpointRow, bool) {
 	snapshot := e.config.Current()
 	if snapshot == nil {
@@ -64,15 +65,15 @@
 		return nil, false
 	}
 	e.mu.RLock()
-	known, ok := e.engines[id]
+	cached, ok := e.engines[id]
 	e.mu.RUnlock()
-	if ok && known.address == row.Address {
-		return known.engine, true
+	if ok && cached.address == row.Address {
+		return cached.engine, true
 	}
 	engine := e.adapters.Engine(row)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.engines[id] = engineAt{address: row.Address, engine: engine}
+	e.engines[id] = cachedEngine{address: row.Address, engine: engine}
 	return engine, true
 }
 
@@ -83,14 +84,14 @@
 		return nil, false
 	}
 	e.mu.RLock()
-	known, ok := e.services[id]
+	cached, ok := e.services[id]
 	e.mu.RUnlock()
-	if ok && known.address == row.Address {
-		return known.service, true
+	if ok && cached.address == row.Address {
+		return cached.service, true
 	}
 	service := e.adapters.Service(row)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.services[id] = serviceAt{address: row.Address, service: service}
+	e.services[id] = cachedService{address: row.Address, service: service}
 	return service, true
 }
--- a/node/enrolment.go
+++ b/node/enrolment.go
@@ -14,21 +14,20 @@
 )
 
 const (
-	// enrolEvery is the interval at which a node compares the ledger table with the
-	// members.
-	enrolEvery = 2 * time.Second
-	// enrolRetry is the pause after an edit of the table that failed.
-	enrolRetry = time.Second
-	// departTimeout bounds the handing over of the records. The others can't take
-	// them over while the store is down.
+	// enrolInterval is how often a node compares the ledger table with the membership.
+	enrolInterval = 2 * time.Second
+	// enrolRetryDelay is the delay before an edit of the table that failed is retried.
+	enrolRetryDelay = time.Second
+	// departTimeout bounds the hand-over of the ledger records, which can't complete
+	// while the store is down.
 	departTimeout = 30 * time.Second
-	// departPoll is the interval at which a leaving node looks whether its records
-	// have been collected.
-	departPoll = 50 * time.Millisecond
+	// departPollInterval is how often a leaving node checks whether its records have
+	// been collected.
+	departPollInterval = 50 * time.Millisecond
 )
 
-// enrolment keeps this node in its data centre's ledger table while it lives, and
-// takes lives out that are gone.
+// enrolment keeps this node in the ledger table of its data centre while it runs,
+// and removes incarnations that are gone.
 type enrolment struct {
 	self    domain.Member
 	tables  *tables
@@ -36,9 +35,9 @@
 	log     zerolog.Logger
 }
 
-// run enrols the node and watches the table until the context ends.
+// run enrols the node and maintains the table until ctx is done.
 func (e *enrolment) run(ctx context.Context) error {
-	ticker := time.NewTicker(enrolEvery)
+	ticker := time.NewTicker(enrolInterval)
 	defer ticker.Stop()
 	for {
 		wait := e.step(ctx)
@@ -51,41 +50,41 @@
 	}
 }
 
-// step makes the change that is due, if any. It returns a channel that is ready
-// when a failed one should be tried again.
+// step applies the next pending change, if any. The returned channel is ready when
+// step should be called again, and nil if nothing is pending.
 func (e *enrolment) step(ctx context.Context) <-chan time.Time {
-	change := e.due()
+	change := e.nextChange()
 	if change == nil {
 		return nil
 	}
 	before := e.tables.Table(e.self.DataCentre)
 	if _, err := e.tables.Edit(ctx, change); err != nil && ctx.Err() == nil {
-		e.log.Warn().Err(err).Msg("ledger table not changed")
-		return time.After(enrolRetry)
+		e.log.Warn().Err(err).Msg("ledger table update failed")
+		return time.After(enrolRetryDelay)
 	}
 	if e.tables.Table(e.self.DataCentre) == before {
-		// The store has the change already, and this node has not heard of it yet.
-		return time.After(enrolRetry)
+		// The store already has the change, but this node has not received it yet.
+		return time.After(enrolRetryDelay)
 	}
 	return time.After(0)
 }
 
-// due returns the next change that the table needs, or nil.
-func (e *enrolment) due() ledger.TableChange {
+// nextChange returns the next change the table needs, or nil.
+func (e *enrolment) nextChange() ledger.TableChange {
 	table := e.tables.Table(e.self.DataCentre)
 	if table == nil || !table.Contains(e.self) {
 		return ledger.Join(e.self)
 	}
 	for _, m := range table.Members {
 		if e.gone(m.Member) && e.responsible(table, m.Member) {
-			e.log.Info().Stringer("member", m.Member).Msg("taking a life that is gone out of the ledger table")
+			e.log.Info().Stringer("member", m.Member).Msg("removing a gone incarnation from the ledger table")
 			return ledger.Remove(m.Member)
 		}
 	}
 	return nil
 }
 
-// gone reports whether the members say that this very life has ended.
+// gone reports whether membership says that this incarnation of m has ended.
 func (e *enrolment) gone(m domain.Member) bool {
 	for _, p := range e.members.Current().Peers {
 		if p.Node != m.Node {
@@ -96,8 +95,8 @@
 	return false
 }
 
-// responsible reports whether this node is the first live member of the table
-// other than the one that is gone, so that one node edits and not all.
+// responsible reports whether this node is the first alive member of the table
+// other than the gone one, so that a single node edits the table.
 func (e *enrolment) responsible(table *ledger.Table, gone domain.Member) bool {
 	for _, m := range table.Members {
 		if m.Member.SameLife(gone) || e.gone(m.Member) || !e.alive(m.Member) {
@@ -117,18 +116,19 @@
 	return false
 }
 
-// depart hands the node's records over: it leaves the table, waits until the
-// others hold every record, and is then removed. The error says why the records
-// were not handed over; the others then count this life's memory as lost.
+// depart hands over the node's records: it marks the node as leaving, waits until
+// the other members hold every record, and removes the node from the table. On an
+// error the records were not handed over, and the other members treat those of
+// this incarnation as lost.
 func (e *enrolment) depart(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, departTimeout)
 	defer cancel()
-	left, err := e.tables.Edit(ctx, ledger.Leave(e.self))
+	table, err := e.tables.Edit(ctx, ledger.Leave(e.self))
 	if err != nil {
 		return err
 	}
-	if staying(left) {
-		if err := e.awaitSettled(ctx, left.Epoch); err != nil {
+	if hasStayingMember(table) {
+		if err := e.awaitHandOver(ctx, table.Epoch); err != nil {
 			return err
 		}
 	}
@@ -136,25 +136,25 @@
 	return err
 }
 
-// staying reports whether the table has a member that is not leaving, which takes
-// the records over.
-func staying(table *ledger.Table) bool {
+// hasStayingMember reports whether the table has a member that is not leaving and
+// can take over the records.
+func hasStayingMember(table *ledger.Table) bool {
 	return slices.ContainsFunc(table.Members, func(m ledger.TableMember) bool { return m.Leaving == 0 })
 }
 
-// awaitSettled waits until the table records that every record is held twice
-// without this node.
-func (e *enrolment) awaitSettled(ctx context.Context, epoch uint64) error {
-	ticker := time.NewTicker(departPoll)
+// awaitHandOver waits until the table states that every record has two holders
+// other than this node.
+func (e *enrolment) awaitHandOver(ctx context.Context, epoch uint64) error {
+	ticker := time.NewTicker(departPollInterval)
 	defer ticker.Stop()
 	for {
 		table := e.tables.Table(e.self.DataCentre)
-		if table != nil && (table.Settled() >= epoch || !staying(table)) {
+		if table != nil && (table.Settled() >= epoch || !hasStayingMember(table)) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Join(errors.New("node: the ledger's records were not handed over in time"), ctx.Err())
+			return errors.Join(errors.New("node: ledger records were not handed over in time"), ctx.Err())
 		case <-ticker.C:
 		}
 	}
--- a/node/entryhostlist.go
+++ b/node/entryhostlist.go
@@ -9,39 +9,39 @@
 	"hawthornrill.example/hawthornrill/hostlist"
 )
 
-// listWordTTL is for how long a node stands by what it read of endpoints after it
-// last tried to read the list: another node reads it then.
-const listWordTTL = time.Minute
+// leavingReportTTL is how long a node keeps endpoints marked as leaving after its
+// last attempt to read the list. After that another node reads the list.
+const leavingReportTTL = time.Minute
 
-// leavingSetter is told which endpoints are leaving.
+// leavingSetter records which endpoints are leaving.
 type leavingSetter interface {
 	SetEndpointLeaving(id domain.EndpointID, leaving bool)
 }
 
-// EntryHostList takes the endpoints' hosts out of the platform's host list, so that
-// membership reads entry hosts only, and passes on which endpoints are leaving.
-// The list is read no more often for it.
+// EntryHostList filters the platform's host list down to the entry hosts, which is
+// what membership needs, and reports the endpoints listed as leaving to the
+// capacity service. It causes no additional reads of the list.
 type EntryHostList struct {
 	list hostlist.List
 
 	mu sync.Mutex
-	// told is nil until the node is put together.
-	told    leavingSetter
-	tried   time.Time
-	leaving map[domain.EndpointID]struct{}
+	// setter is nil until New binds it.
+	setter      leavingSetter
+	lastAttempt time.Time
+	leaving     map[domain.EndpointID]struct{}
 }
 
 var _ hostlist.List = (*EntryHostList)(nil)
 
-// NewEntryHostList returns a list that reads the given one.
+// NewEntryHostList returns an EntryHostList that reads from list.
 func NewEntryHostList(list hostlist.List) *EntryHostList {
 	return &EntryHostList{list: list, leaving: make(map[domain.EndpointID]struct{})}
 }
 
-// List implements hostlist.List: the entry hosts alone.
+// List implements hostlist.List. It returns entry hosts only.
 func (l *EntryHostList) List(ctx context.Context) ([]hostlist.Host, error) {
 	l.mu.Lock()
-	l.tried = time.Now()
+	l.lastAttempt = time.Now()
 	l.mu.Unlock()
 	hosts, err := l.list.List(ctx)
 	if err != nil {
@@ -57,40 +57,41 @@
 			leaving[host.Endpoint] = struct{}{}
 		}
 	}
-	l.tell(leaving)
+	l.publish(leaving)
 	return entries, nil
 }
 
-// tell passes the changes on.
-func (l *EntryHostList) tell(leaving map[domain.EndpointID]struct{}) {
+// publish reports the changes since the previous call to the setter.
+func (l *EntryHostList) publish(leaving map[domain.EndpointID]struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.told == nil {
+	if l.setter == nil {
 		return
 	}
 	for id := range l.leaving {
 		if _, still := leaving[id]; !still {
-			l.told.SetEndpointLeaving(id, false)
+			l.setter.SetEndpointLeaving(id, false)
 		}
 	}
 	for id := range leaving {
-		l.told.SetEndpointLeaving(id, true)
+		l.setter.SetEndpointLeaving(id, true)
 	}
 	l.leaving = leaving
 }
 
-// expire takes back what another node now stands by.
+// expire withdraws this node's reports when it no longer reads the list: another
+// node reports the leaving endpoints then.
 func (l *EntryHostList) expire(now time.Time) {
 	l.mu.Lock()
-	idle := now.Sub(l.tried) > listWordTTL
+	idle := now.Sub(l.lastAttempt) > leavingReportTTL
 	l.mu.Unlock()
 	if idle {
-		l.tell(nil)
+		l.publish(nil)
 	}
 }
 
-func (l *EntryHostList) bind(told leavingSetter) {
+func (l *EntryHostList) bind(setter leavingSetter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told = told
+	l.setter = setter
 }
--- a/node/entryhostlist_test.go
+++ b/node/entryhostlist_test.go
@@ -12,43 +12,46 @@
 	"hawthornrill.example/hawthornrill/hostlist"
 )
 
-// hostTable is a fixed list.
-type hostTable struct{ hosts []hostlist.Host }
+// staticHostList is a fixed host list.
+type staticHostList struct{ hosts []hostlist.Host }
 
-func (h *hostTable) List(context.Context) ([]hostlist.Host, error) { return h.hosts, nil }
+func (h *staticHostList) List(context.Context) ([]hostlist.Host, error) { return h.hosts, nil }
 
-// leavingWords notes what was told.
-type leavingWords map[domain.EndpointID]bool
+// leavingRecorder records the last state reported for each endpoint.
+type leavingRecorder map[domain.EndpointID]bool
 
-func (w leavingWords) SetEndpointLeaving(id domain.EndpointID, leaving bool) { w[id] = leaving }
+func (r leavingRecorder) SetEndpointLeaving(id domain.EndpointID, leaving bool) { r[id] = leaving }
 
-func TestEndpointList(t *testing.T) {
+// TestEntryHostList checks that endpoints are left out of the list, and that the
+// leaving state of an endpoint is reported, kept for leavingReportTTL after the last
+// read and withdrawn after that or when the endpoint is in service again.
+func TestEntryHostList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		entry := hostlist.Host{Node: "n", DataCentre: "d", Address: "192.0.2.1:1", State: hostlist.StateLive}
-		runner := hostlist.Host{Endpoint: "e", DataCentre: "d", Address: "192.0.2.2:1", State: hostlist.StateLeaving}
-		table := &hostTable{[]hostlist.Host{entry, runner}}
-		words := leavingWords{}
-		list := NewEntryHostList(table)
-		list.bind(words)
+		endpoint := hostlist.Host{Endpoint: "e", DataCentre: "d", Address: "192.0.2.2:1", State: hostlist.StateLeaving}
+		source := &staticHostList{[]hostlist.Host{entry, endpoint}}
+		recorder := leavingRecorder{}
+		list := NewEntryHostList(source)
+		list.bind(recorder)
 
 		hosts, err := list.List(t.Context())
 		assert.NilError(t, err)
 		assert.DeepEqual(t, hosts, []hostlist.Host{entry})
-		assert.DeepEqual(t, words, leavingWords{"e": true})
+		assert.DeepEqual(t, recorder, leavingRecorder{"e": true})
 
-		time.Sleep(listWordTTL)
+		time.Sleep(leavingReportTTL)
 		list.expire(time.Now())
-		assert.Check(t, words["e"], "taken back too early")
+		assert.Check(t, recorder["e"], "withdrawn before leavingReportTTL has passed")
 		time.Sleep(time.Second)
 		list.expire(time.Now())
-		assert.Check(t, !words["e"], "not taken back although another node reads the list")
+		assert.Check(t, !recorder["e"], "not withdrawn after leavingReportTTL")
 
 		_, err = list.List(t.Context())
 		assert.NilError(t, err)
-		assert.Check(t, words["e"])
-		table.hosts[1].State = hostlist.StateLive
+		assert.Check(t, recorder["e"])
+		source.hosts[1].State = hostlist.StateLive
 		_, err = list.List(t.Context())
 		assert.NilError(t, err)
-		assert.Check(t, !words["e"], "back in service and still leaving")
+		assert.Check(t, !recorder["e"], "still reported as leaving after its return to service")
 	})
 }
--- a/node/errors.go
+++ b/node/errors.go
@@ -3,8 +3,8 @@
 import "errors"
 
 var (
-	// ErrDraining means that the node takes nothing new because it is leaving.
+	// ErrDraining means that the node is shutting down and accepts no new requests.
 	ErrDraining = errors.New("node: draining")
-	// ErrJoining means that the node has no place in the ledger table yet.
+	// ErrJoining means that the node is not a member of the ledger table yet.
 	ErrJoining = errors.New("node: joining")
 )
--- a/node/fault_test.go
+++ b/node/fault_test.go
@@ -15,34 +15,35 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// longAnswer is a number of tokens that takes an engine of either generation
-// several seconds.
+// longAnswer is an answer length, in tokens, that takes an engine of either
+// generation several seconds.
 const longAnswer = 300
 
-// TestCallerComesBack breaks something while a long request is in progress, and
-// then sends it again to another node.
-func TestCallerComesBack(t *testing.T) {
+// TestCallerRetriesAfterFault injects a fault while a long request is in progress
+// and then sends the request again, with the same key, to another node. The retry
+// must get the complete answer, and the request must not be executed twice.
+func TestCallerRetriesAfterFault(t *testing.T) {
 	cases := []struct {
 		name string
-		// fault happens 2 s after the request was sent to node first.
+		// fault is injected 2 s after the request was sent to node first.
 		fault func(c *cluster, first domain.NodeID)
-		// again is when the caller comes back, after the fault.
-		again time.Duration
+		// retryAfter is the time from the fault to the retry.
+		retryAfter time.Duration
 	}{
-		{"caller hangs up", func(*cluster, domain.NodeID) {}, time.Second},
-		{"node crashes and is known to be gone", func(c *cluster, first domain.NodeID) {
+		{"caller disconnects", func(*cluster, domain.NodeID) {}, time.Second},
+		{"node crashes and is marked as gone", func(c *cluster, first domain.NodeID) {
 			member := c.nodes[first].self
 			c.crash(first)
 			c.setStatus(member, membership.StatusGone)
 		}, 3 * time.Second},
-		{"node crashes and comes back as another life", func(c *cluster, first domain.NodeID) {
+		{"node crashes and restarts", func(c *cluster, first domain.NodeID) {
 			member := c.nodes[first].self
 			c.crash(first)
 			member.Incarnation++
 			c.start(member)
 			c.setStatus(member, membership.StatusAlive)
 		}, 3 * time.Second},
-		{"node is paused and wakes late", func(c *cluster, first domain.NodeID) {
+		{"node is paused and resumes late", func(c *cluster, first domain.NodeID) {
 			c.pause(first)
 			time.AfterFunc(5*time.Second, func() { c.resume(first) })
 		}, 6 * time.Second},
@@ -55,13 +56,13 @@
 				want := c.chat(context.Background(), "catania-1", "showrooms", "reference", "the whole quote", longAnswer)
 				assert.Equal(t, want.Code, http.StatusOK)
 
-				ctx, hangUp := context.WithCancel(context.Background())
+				ctx, disconnect := context.WithCancel(context.Background())
 				go c.chat(ctx, "palermo-1", "showrooms", "key", "the whole quote", longAnswer)
 				time.Sleep(2 * time.Second)
 				assert.Equal(t, len(c.runs()), 2, "the request is not running")
-				hangUp()
+				disconnect()
 				test.fault(c, "palermo-1")
-				time.Sleep(test.again)
+				time.Sleep(test.retryAfter)
 
 				got := c.chat(context.Background(), "palermo-2", "showrooms", "key", "the whole quote", longAnswer)
 				assert.Equal(t, got.Code, http.StatusOK, got.Body.String())
--- a/node/gate_test.go
+++ b/node/gate_test.go
@@ -8,20 +8,20 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// gate stands between a node and its endpoints: what a crashed node sends gets
-// nowhere, and what a paused one sends goes out when it wakes.
+// gate controls the calls of a node to its endpoints, its store and its callers: a
+// crashed node sends nothing, and the calls of a paused one wait until it resumes.
 type gate struct {
-	// note is told of each call and event that passes.
-	note    func(name, key string, offset uint64)
+	// observe is called with each call and event, before the gate delays or drops it.
+	observe func(name, key string, offset uint64)
 	mu      sync.Mutex
 	crashed bool
-	// awake is closed while the node is not paused.
-	awake chan struct{}
+	// resumed is closed while the node is not paused.
+	resumed chan struct{}
 }
 
-func newGate(note func(name, key string, offset uint64)) *gate {
-	g := &gate{note: note, awake: make(chan struct{})}
-	close(g.awake)
+func newGate(observe func(name, key string, offset uint64)) *gate {
+	g := &gate{observe: observe, resumed: make(chan struct{})}
+	close(g.resumed)
 	return g
 }
 
@@ -29,32 +29,32 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.crashed = true
-	g.wake()
+	g.endPause()
 }
 
 func (g *gate) pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case <-g.awake:
-		g.awake = make(chan struct{})
+	case <-g.resumed:
+		g.resumed = make(chan struct{})
 	default:
-		// It is paused already.
+		// The node is already paused.
 	}
 }
 
 func (g *gate) resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.wake()
+	g.endPause()
 }
 
-// wake ends a pause, if any; the lock is held.
-func (g *gate) wake() {
+// endPause ends a pause, if any. The caller holds mu.
+func (g *gate) endPause() {
 	select {
-	case <-g.awake:
+	case <-g.resumed:
 	default:
-		close(g.awake)
+		close(g.resumed)
 	}
 }
 
@@ -65,14 +65,13 @@
 	return g.crashed
 }
 
-// pass waits while the node is paused, also beyond the end of the context: nothing
-// returns in a paused process. It returns an error if the node has crashed or the
-// context has ended.
+// pass waits while the node is paused, even after ctx is done, since nothing returns
+// in a paused process. It returns an error if the node has crashed or ctx is done.
 func (g *gate) pass(ctx context.Context) error {
 	g.mu.Lock()
-	awake := g.awake
+	resumed := g.resumed
 	g.mu.Unlock()
-	<-awake
+	<-resumed
 	if g.isCrashed() {
 		return fmt.Errorf("%w: the node has crashed", endpoint.ErrNotDispatched)
 	}
@@ -82,14 +81,14 @@
 	return nil
 }
 
-// gatedEngine is an engine as one node reaches it.
+// gatedEngine is an engine called through the gate of a node.
 type gatedEngine struct {
 	endpoint.Engine
 	gate *gate
 }
 
 func (e gatedEngine) Start(ctx context.Context, request endpoint.EngineRequest) (endpoint.Stream, error) {
-	e.gate.note(eventStart, request.Key, 0)
+	e.gate.observe(eventStart, request.Key, 0)
 	if err := e.gate.pass(ctx); err != nil {
 		return nil, err
 	}
@@ -112,7 +111,7 @@
 	return e.Engine.Cancel(ctx, key)
 }
 
-// gatedStream is a stream of a gatedEngine.
+// gatedStream is a stream from a gatedEngine.
 type gatedStream struct {
 	endpoint.Stream
 	gate *gate
@@ -122,7 +121,7 @@
 func (s gatedStream) Next(ctx context.Context) (endpoint.Event, error) {
 	event, err := s.Stream.Next(ctx)
 	if err == nil {
-		s.gate.note(eventToken, s.key, event.Offset)
+		s.gate.observe(eventToken, s.key, event.Offset)
 	}
 	if err := s.gate.pass(ctx); err != nil {
 		return endpoint.Event{}, endpoint.ErrBroken
--- a/node/limits.go
+++ b/node/limits.go
@@ -26,7 +26,7 @@
 	return nil, &scheduler.LimitError{Reason: limitReason(err), RetryAfter: refusal.RetryAfter}
 }
 
-// limitReason is the text for the caller.
+// limitReason returns the name of the exceeded limit, as shown to the caller.
 func limitReason(err error) string {
 	if errors.Is(err, limits.ErrTokenRate) {
 		return "tokens a minute"
--- a/node/matrix_caller_test.go
+++ b/node/matrix_caller_test.go
@@ -14,27 +14,27 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// attempt sends the key once and notes what the caller was told.
+// attempt sends the request to a node once and records its outcome.
 func (x *trial) attempt(k *call, n *runningNode) string {
-	patience := callerPatience
-	if len(k.lives) == 0 && !x.patient {
-		patience = firstPatience
+	timeout := attemptTimeout
+	if len(k.attemptedAt) == 0 && !x.longFirstTimeout {
+		timeout = firstAttemptTimeout
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	w := &callerWriter{ResponseRecorder: httptest.NewRecorder(), key: k.key, gate: n.gate, ctx: ctx}
-	k.lives = append(k.lives, n)
+	k.attemptedAt = append(k.attemptedAt, n)
 	done := make(chan struct{})
-	x.serving.Go(func() {
+	x.attempts.Go(func() {
 		defer close(done)
 		n.echo.ServeHTTP(w, x.request(ctx, k))
 	})
 	select {
 	case <-done:
-		return x.note(k, w)
+		return x.record(k, w)
 	case <-ctx.Done():
-		// Whatever the node still writes, its caller has gone.
-		return x.note(k, &callerWriter{ResponseRecorder: httptest.NewRecorder()})
+		// The caller has disconnected, so what the node still writes does not count.
+		return x.record(k, &callerWriter{ResponseRecorder: httptest.NewRecorder()})
 	}
 }
 
@@ -43,7 +43,7 @@
 	text := fmt.Sprintf(`{"model":"quote","messages":[{"role":"user","content":%q}],"max_tokens":%d}`, k.prompt, trialTokens)
 	body = &hookedBody{Reader: strings.NewReader(text), hook: func() {
 		if k.key == x.key && x.step != nil && x.step.name == stepReceive {
-			x.fire()
+			x.beginFault()
 		}
 	}}
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "/v1/chat/completions", body)
@@ -53,27 +53,27 @@
 	return r
 }
 
-// note counts what the caller got and checks it.
-func (x *trial) note(k *call, w *callerWriter) string {
-	told := x.told(k, w)
-	ran := x.runsOf(k)
+// record counts the outcome of an attempt and checks it against the engines' logs.
+func (x *trial) record(k *call, w *callerWriter) string {
+	outcome := x.callerOutcome(k, w)
+	runs := x.runsOf(k)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	k.final = told
-	if k.first == "" {
-		k.first = told
+	k.finalOutcome = outcome
+	if k.firstOutcome == "" {
+		k.firstOutcome = outcome
 	}
 	x.report.Attempts++
-	switch told {
+	switch outcome {
 	case "answered":
 		x.report.Answered++
-		if ran != 1 {
-			x.broken = append(x.broken, fmt.Sprintf("%s was answered and run %d times", k.key, ran))
+		if runs != 1 {
+			x.violations = append(x.violations, fmt.Sprintf("%s was answered but executed %d times", k.key, runs))
 		}
 	case string(domain.OutcomeNotRun):
 		x.report.NotRun++
-		if ran != 0 {
-			x.broken = append(x.broken, fmt.Sprintf("%s was told not_run and had been run: %s", k.key, w.Body))
+		if runs != 0 {
+			x.violations = append(x.violations, fmt.Sprintf("%s was reported as not_run but was executed: %s", k.key, w.Body))
 		}
 	case string(domain.OutcomeRan):
 		x.report.Ran++
@@ -82,16 +82,17 @@
 	default:
 		x.report.Cut++
 	}
-	return told
+	return outcome
 }
 
-// told returns "answered", an outcome, or "cut" if nothing whole came.
-func (x *trial) told(k *call, w *callerWriter) string {
+// callerOutcome returns "answered", the outcome in the problem document, or "cut" if
+// no complete response arrived.
+func (x *trial) callerOutcome(k *call, w *callerWriter) string {
 	if w.cut.Load() || w.Body.Len() == 0 {
 		return "cut"
 	}
 	if w.Code != http.StatusOK {
-		p := problemOf(x.t, w.ResponseRecorder)
+		p := decodeProblem(x.t, w.ResponseRecorder)
 		x.checkShed(k, string(p.Code), string(p.Outcome))
 		return string(p.Outcome)
 	}
@@ -106,8 +107,8 @@
 	return "answered"
 }
 
-// callerWriter is the connection to a caller: it ends with the node's life, and
-// nothing comes over it while the node is paused.
+// callerWriter is the connection to a caller. It breaks when the node crashes, and
+// nothing is written to it while the node is paused.
 type callerWriter struct {
 	*httptest.ResponseRecorder
 	key  string
@@ -117,7 +118,7 @@
 }
 
 func (w *callerWriter) Write(data []byte) (int, error) {
-	w.gate.note(eventWrite, w.key, 0)
+	w.gate.observe(eventWrite, w.key, 0)
 	if w.gate.pass(w.ctx) != nil {
 		w.cut.Store(true)
 		return 0, context.Canceled
@@ -125,7 +126,8 @@
 	return w.ResponseRecorder.Write(data)
 }
 
-// hookedBody is a request's body whose first reading is the step "receive".
+// hookedBody is a request body that calls hook on the first read, which is the step
+// "receive".
 type hookedBody struct {
 	*strings.Reader
 	hook func()
--- a/node/matrix_control_test.go
+++ b/node/matrix_control_test.go
@@ -15,44 +15,47 @@
 	"hawthornrill.example/hawthornrill/membership"
 )
 
-// editKey matches an event about the configuration's head in the store.
-func editKey(name string) func(*trial, event) bool {
+// configHeadEvent matches a store event of the entry node on the head of the
+// configuration document.
+func configHeadEvent(name string) func(*trial, event) bool {
 	return func(x *trial, e event) bool {
 		return e.node == x.entry && e.name == name && strings.HasSuffix(e.key, agreed.DocumentName+"/head")
 	}
 }
 
-// newVersionReaches matches the moment in which a node other than the entry gets
-// the new version: from a peer, or from the store. Which of the two is first is not
-// decided, since both happen at one instant.
+// newVersionReaches matches the moment at which a node other than the entry node
+// receives the new version, from a peer or from the store. Both happen at the same
+// instant, so their order is not determined.
 func newVersionReaches(x *trial, e event) bool {
 	fromPeer := e.name == "document.pull"+suffixAfter
 	fromStore := e.name == eventGet+suffixAfter && strings.Contains(e.key, agreed.DocumentName+"/part/")
 	return e.node != x.entry && (fromPeer || fromStore)
 }
 
-// controlSteps are the steps of a change of configuration and of a node's life.
+// controlSteps returns the steps of a configuration change and of a node joining and
+// leaving.
 func controlSteps() []*step {
 	return []*step{
-		{name: "edit", at: editKey(eventGet), run: (*trial).runEdit},
-		{name: "accept", at: editKey(eventSwap), run: (*trial).runEdit},
-		{name: "hand on", at: atEntry("document.announce"), run: (*trial).runEdit},
-		{name: "apply", run: (*trial).runEdit, at: newVersionReaches},
-		{name: "join", run: (*trial).runJoin, at: func(x *trial, e event) bool {
+		{name: "edit", matches: configHeadEvent(eventGet), run: (*trial).runEdit},
+		{name: "accept", matches: configHeadEvent(eventSwap), run: (*trial).runEdit},
+		{name: "hand on", matches: atEntry("document.announce"), run: (*trial).runEdit},
+		{name: "apply", run: (*trial).runEdit, matches: newVersionReaches},
+		{name: "join", run: (*trial).runJoin, matches: func(x *trial, e event) bool {
 			return e.node == x.home && e.name == eventSwap && strings.Contains(e.key, "ledger")
 		}},
 		{name: "drain", run: (*trial).runDrain},
-		{name: "hand over", run: (*trial).runDrain, at: func(x *trial, e event) bool {
+		{name: "hand over", run: (*trial).runDrain, matches: func(x *trial, e event) bool {
 			return e.node == x.home && e.name == eventSwap && strings.Contains(e.key, "ledger")
 		}},
 	}
 }
 
-// acceptedWithin is how long a change may take to be in force everywhere once
-// nothing is wrong any more.
-const acceptedWithin = 20 * time.Second
+// convergenceTimeout is how long a change may take to be in force on all nodes after
+// the fault has ended.
+const convergenceTimeout = 20 * time.Second
 
-// runEdit changes a weight at the entry node while callers are served.
+// runEdit changes a weight on the entry node while callers are served. An accepted
+// edit must come into force on all nodes, a rejected one on none.
 func (x *trial) runEdit() {
 	var group sync.WaitGroup
 	x.callers("beside", "fitters-west", 2, &group)
@@ -64,34 +67,34 @@
 	group.Wait()
 	accepted := err == nil
 	if errors.Is(err, document.ErrUnknownOutcome) {
-		accepted = x.settled(edit)
+		accepted = x.editAccepted(edit)
 	}
 	if accepted {
 		x.awaitWeight(weight, generation)
 		return
 	}
-	time.Sleep(acceptedWithin)
-	for _, n := range x.living() {
+	time.Sleep(convergenceTimeout)
+	for _, n := range x.runningNodes() {
 		if weightOf(n, "fitters-east") == weight {
-			x.fail("an edit that was not accepted (%v) is in force on %s", err, n.self.Node)
+			x.fail("rejected edit (%v) is in force on %s", err, n.self.Node)
 		}
 	}
 }
 
-// settled asks what became of an edit.
-func (x *trial) settled(edit document.Edit) bool {
+// editAccepted reports whether an edit with an unknown outcome was accepted.
+func (x *trial) editAccepted(edit document.Edit) bool {
 	n := x.node(0)
 	_, err := n.config.Settle(context.Background(), edit.ID, 1)
 	if err != nil && !errors.Is(err, document.ErrNotAccepted) {
-		x.fail("the edit can't be settled: %v", err)
+		x.fail("outcome of the edit could not be resolved: %v", err)
 	}
 	return err == nil
 }
 
-// awaitWeight waits until the accepted weight is in force on every node.
+// awaitWeight waits until the accepted weight is in force on all nodes.
 func (x *trial) awaitWeight(weight int, generation uint64) {
-	deadline := time.Now().Add(acceptedWithin)
-	for _, n := range x.living() {
+	deadline := time.Now().Add(convergenceTimeout)
+	for _, n := range x.runningNodes() {
 		for weightOf(n, "fitters-east") != weight {
 			if time.Now().After(deadline) {
 				x.fail("generation %d is not in force on %s", generation, n.self.Node)
@@ -114,31 +117,31 @@
 	return table.Organisations[i].Weight
 }
 
-// runJoin has a node die and its next life join while callers are served.
+// runJoin crashes a node and lets its next incarnation join while callers are served.
 func (x *trial) runJoin() {
-	member := x.life(x.home).self
-	x.die(x.home)
-	time.Sleep(detection)
+	member := x.latest(x.home).self
+	x.crashAsync(x.home)
+	time.Sleep(detectionDelay)
 	x.setStatus(member, membership.StatusGone)
-	time.Sleep(detection)
+	time.Sleep(detectionDelay)
 	var group sync.WaitGroup
 	x.observeStep()
-	x.reborn(x.home)
+	x.restart(x.home)
 	x.callers("beside", "fitters-west", 2, &group)
 	x.callers("beside", "drafts", 2, &group)
-	x.run(x.victim(), 0)
+	x.run(x.newCall(), 0)
 	x.awaitFault()
 	group.Wait()
 }
 
-// runDrain has a node leave that has requests in progress. Its process ends when
-// the drain says that nothing is left.
+// runDrain drains a node that has requests in progress. The node is stopped when
+// Drain returns.
 func (x *trial) runDrain() {
 	var group sync.WaitGroup
-	draining := x.life(x.home)
-	x.patient = true
+	draining := x.latest(x.home)
+	x.longFirstTimeout = true
 	x.callers("beside", "fitters-west", 3, &group)
-	group.Go(func() { x.run(x.victim(), 1) })
+	group.Go(func() { x.run(x.newCall(), 1) })
 	time.Sleep(300 * time.Millisecond)
 	x.mu.Lock()
 	inProgress := slices.Clone(x.calls)
@@ -148,25 +151,26 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	go func() { drained <- draining.Drain(ctx) }()
-	if x.step.at == nil {
+	if x.step.matches == nil {
 		time.Sleep(10 * time.Millisecond)
-		x.fire()
+		x.beginFault()
 	}
 	<-drained
-	x.die(x.home)
+	x.crashAsync(x.home)
 	x.awaitFault()
 	group.Wait()
 	x.checkDrain(draining, inProgress)
 }
 
-// checkDrain fails if a request was cut that only the drain could have cut.
+// checkDrain fails if a request in progress was not answered although the fault does
+// not interrupt requests.
 func (x *trial) checkDrain(draining *runningNode, inProgress []*call) {
-	if !x.fault.gentle {
+	if !x.fault.nonDisruptive {
 		return
 	}
 	for _, k := range inProgress {
-		if k.lives[0] == draining && k.first != "answered" {
-			x.fail("%s was in progress at the draining node and got %q", k.key, k.first)
+		if k.attemptedAt[0] == draining && k.firstOutcome != "answered" {
+			x.fail("%s was in progress on the draining node and ended as %q", k.key, k.firstOutcome)
 		}
 	}
 }
--- a/node/matrix_faults_test.go
+++ b/node/matrix_faults_test.go
@@ -16,82 +16,82 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// fault is something that goes wrong for faultSpan.
+// fault is a failure that lasts for faultDuration.
 type fault struct {
 	name       string
 	begin, end func(x *trial)
-	// never says why the fault can't occur at any step, empty if it can.
-	never string
-	// gentle faults cut no request that is in progress.
-	gentle bool
+	// inapplicable states why the fault can't occur at any step; empty if it can.
+	inapplicable string
+	// nonDisruptive faults don't interrupt requests in progress.
+	nonDisruptive bool
 }
 
-// part is a role in the trial.
-type part struct {
+// role is a node's role in the trial.
+type role struct {
 	name string
 	of   func(x *trial) domain.NodeID
 }
 
-func parts() []part {
-	return []part{
+func roles() []role {
+	return []role{
 		{"entry node", func(x *trial) domain.NodeID { return x.entry }},
 		{"key's home", func(x *trial) domain.NodeID { return x.home }},
 		{"pool's owner", func(x *trial) domain.NodeID { return x.owner }},
 	}
 }
 
-// faults are the rows of the grid.
+// faults returns the rows of the matrix.
 func faults() []*fault {
 	var all []*fault
-	for _, p := range parts() {
-		all = append(all, dies(p), paused(p))
+	for _, r := range roles() {
+		all = append(all, crashFault(r), pauseFault(r))
 	}
 	all = append(all, linkFaults()...)
 	all = append(all, endpointFaults()...)
 	all = append(all, storeFaults()...)
 	all = append(all, otherFaults()...)
 	for _, f := range all {
-		f.gentle = slices.Contains(gentle, f.name)
+		f.nonDisruptive = slices.Contains(nonDisruptiveFaults, f.name)
 	}
 	return all
 }
 
-// gentle names the faults that cut no request in progress.
-var gentle = []string{
+// nonDisruptiveFaults names the faults that don't interrupt requests in progress.
+var nonDisruptiveFaults = []string{
 	"link between entry and home is cut", "link between entry and owner is cut", "data centre is cut off from the platform",
 	"endpoint straggles", "endpoint leaves", "endpoint answers late", "endpoint answers out of order", "endpoint answers twice",
 	"store is down", "store is slow", "store's answer is lost after its effect", "store gives an old value",
 	"operators race each other", "peer sends rubbish",
 }
 
-// detection is how long peers take to believe that a node is gone.
-const detection = 3 * time.Second
+// detectionDelay is how long after a failure the view of the nodes reflects it.
+const detectionDelay = 3 * time.Second
 
-func dies(p part) *fault {
+func crashFault(r role) *fault {
 	return &fault{
-		name: p.name + " dies",
+		name: r.name + " dies",
 		begin: func(x *trial) {
-			node := p.of(x)
-			member := x.life(node).self
-			x.die(node)
-			time.AfterFunc(detection, func() { x.setStatus(member, membership.StatusGone) })
+			node := r.of(x)
+			member := x.latest(node).self
+			x.crashAsync(node)
+			time.AfterFunc(detectionDelay, func() { x.setStatus(member, membership.StatusGone) })
 		},
-		end: func(x *trial) { x.reborn(p.of(x)) },
+		end: func(x *trial) { x.restart(r.of(x)) },
 	}
 }
 
-func paused(p part) *fault {
+func pauseFault(r role) *fault {
 	return &fault{
-		name: p.name + " is paused and wakes late",
+		name: r.name + " is paused and wakes late",
 		begin: func(x *trial) {
-			node := p.of(x)
-			member := x.life(node).self
+			node := r.of(x)
+			member := x.latest(node).self
 			x.pause(node)
-			time.AfterFunc(detection, func() { x.setStatus(member, membership.StatusUnreachable) })
+			time.AfterFunc(detectionDelay, func() { x.setStatus(member, membership.StatusUnreachable) })
 		},
 		end: func(x *trial) {
-			x.resume(p.of(x))
-			x.setStatus(x.life(p.of(x)).self, membership.StatusAlive)
+			x.resume(r.of(x))
+			x.setStatus(x.latest(r.of(x)).self, membership.StatusAlive)
 		},
 	}
 }
@@ -99,7 +99,7 @@
 func linkFaults() []*fault {
 	cut := func(name string, begin func(x *trial)) *fault {
 		return &fault{name: name, begin: func(x *trial) {
-			x.sever()
+			x.markPartitioned()
 			begin(x)
 		}, end: func(x *trial) { x.network.HealAll() }}
 	}
@@ -109,15 +109,15 @@
 		cut("entry reaches nobody, one way", func(x *trial) { x.oneWay(func(n domain.NodeID) { x.network.CutOneWay(x.entry, n) }) }),
 		cut("nobody reaches entry, one way", func(x *trial) { x.oneWay(func(n domain.NodeID) { x.network.CutOneWay(n, x.entry) }) }),
 		cut("data centres are cut off from one another", (*trial).partition),
-		{name: "data centre is cut off from the platform", begin: func(x *trial) { x.platform(true) }, end: func(x *trial) { x.platform(false) }},
+		{name: "data centre is cut off from the platform", begin: func(x *trial) { x.setStoreDown(true) }, end: func(x *trial) { x.setStoreDown(false) }},
 	}
 }
 
-// sever notes that nodes can't reach one another.
-func (x *trial) sever() {
+// markPartitioned records that some nodes can't reach one another.
+func (x *trial) markPartitioned() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.severed = true
+	x.partitioned = true
 }
 
 func (x *trial) oneWay(cut func(domain.NodeID)) {
@@ -138,16 +138,16 @@
 	}
 }
 
-// platform cuts Palermo's nodes off from the store, or ends that.
-func (x *trial) platform(down bool) {
-	for _, n := range x.living() {
+// setStoreDown sets whether the store is unreachable from Palermo's nodes.
+func (x *trial) setStoreDown(down bool) {
+	for _, n := range x.runningNodes() {
 		if n.self.DataCentre == "palermo" {
 			n.client.SetDown(down)
 		}
 	}
 }
 
-// endpointFaults are those of Palermo's engine, which runs the request.
+// endpointFaults returns the faults of Palermo's engine, which runs the request.
 func endpointFaults() []*fault {
 	const id domain.EndpointID = "palermo-engine-1"
 	set := func(name string, f engine.Faults) *fault {
@@ -161,7 +161,7 @@
 	announce := leaves.begin
 	leaves.begin = func(x *trial) {
 		x.mu.Lock()
-		x.left[id] = time.Now()
+		x.leavingSince[id] = time.Now()
 		x.mu.Unlock()
 		announce(x)
 	}
@@ -183,7 +183,7 @@
 		{name: "store is slow", begin: func(x *trial) { x.store.SetDelay(3 * time.Second) }, end: func(x *trial) { x.store.SetDelay(0) }},
 		{name: "store's answer is lost after its effect", begin: func(x *trial) { x.store.SetFunc(loseAnswers) }, end: func(x *trial) { x.store.SetFunc(nil) }},
 		{name: "store gives an old value", begin: func(x *trial) { x.store.SetOldBy(5 * time.Second) }, end: func(x *trial) { x.store.SetOldBy(0) }},
-		{name: "lease lapses unknown to its holder", never: "the grid's nodes hold no lease, as they give no orders unless the settings say so; the tests of packages store/lease and coordinator bring it about"},
+		{name: "lease lapses unknown to its holder", inapplicable: "the grid's nodes hold no lease, as they give no orders unless the settings say so; the tests of packages store/lease and coordinator bring it about"},
 	}
 }
 
@@ -193,34 +193,34 @@
 
 func otherFaults() []*fault {
 	return []*fault{
-		{name: "burst", begin: func(x *trial) { x.async.Go(x.burst) }},
-		{name: "operators race each other", begin: func(x *trial) { x.async.Go(x.race) }},
-		{name: "poisonous request sent again", begin: func(x *trial) { x.async.Go(x.poisoned) }},
+		{name: "burst", begin: func(x *trial) { x.faultTasks.Go(x.burst) }},
+		{name: "operators race each other", begin: func(x *trial) { x.faultTasks.Go(x.concurrentEdits) }},
+		{name: "poisonous request sent again", begin: func(x *trial) { x.faultTasks.Go(x.sendPoisonous) }},
 		{name: "clock jumps back: home restarts as an earlier life",
-			begin: func(x *trial) { x.die(x.home) },
-			end:   func(x *trial) { x.rebornAs(x.home, -1) }},
-		{name: "clock jumps while a process runs", never: "no decision reads the wall clock (TestNoDecisionReadsTheWallClock); a leap of the monotonic clock is a pause"},
-		{name: "peer sends rubbish", begin: func(x *trial) { x.async.Go(x.rubbish) }},
+			begin: func(x *trial) { x.crashAsync(x.home) },
+			end:   func(x *trial) { x.restartAs(x.home, -1) }},
+		{name: "clock jumps while a process runs", inapplicable: "no decision reads the wall clock (TestNoDecisionReadsTheWallClock); a leap of the monotonic clock is a pause"},
+		{name: "peer sends rubbish", begin: func(x *trial) { x.faultTasks.Go(x.sendMalformed) }},
 		{name: "host list lags: home dies and stays listed",
-			begin: func(x *trial) { x.die(x.home) },
-			end:   func(x *trial) { x.reborn(x.home) }},
+			begin: func(x *trial) { x.crashAsync(x.home) },
+			end:   func(x *trial) { x.restart(x.home) }},
 		{name: "host list lies: paused entry is called gone, and wakes",
 			begin: func(x *trial) {
 				x.pause(x.entry)
-				x.setStatus(x.life(x.entry).self, membership.StatusGone)
+				x.setStatus(x.latest(x.entry).self, membership.StatusGone)
 			},
 			end: func(x *trial) {
 				x.resume(x.entry)
-				x.setStatus(x.life(x.entry).self, membership.StatusAlive)
+				x.setStatus(x.latest(x.entry).self, membership.StatusAlive)
 			}},
 		{name: "host list lies: home is called gone",
-			begin: func(x *trial) { x.setStatus(x.life(x.home).self, membership.StatusGone) },
-			end:   func(x *trial) { x.setStatus(x.life(x.home).self, membership.StatusAlive) }},
+			begin: func(x *trial) { x.setStatus(x.latest(x.home).self, membership.StatusGone) },
+			end:   func(x *trial) { x.setStatus(x.latest(x.home).self, membership.StatusAlive) }},
 	}
 }
 
-// both has one fault happen and another one a little later.
-func both(f, g *fault, gap time.Duration) *fault {
+// combine returns a fault that begins g after f, at a distance of gap.
+func combine(f, g *fault, gap time.Duration) *fault {
 	return &fault{
 		name: f.name + " and " + g.name,
 		begin: func(x *trial) {
@@ -237,7 +237,7 @@
 	}
 }
 
-// burst sends more than all engines take, of every tier.
+// burst sends requests of every tier, more than all engines can take.
 func (x *trial) burst() {
 	var group sync.WaitGroup
 	for _, org := range []domain.OrganisationID{"drafts", "fitters-east", "showrooms"} {
@@ -246,8 +246,8 @@
 	group.Wait()
 }
 
-// race has two operators change the same row and different rows at once.
-func (x *trial) race() {
+// concurrentEdits changes the same row and different rows from three nodes at once.
+func (x *trial) concurrentEdits() {
 	var group sync.WaitGroup
 	for i, node := range []domain.NodeID{x.entry, x.far, x.owner} {
 		group.Go(func() { x.changeWeight(node, []domain.OrganisationID{"drafts", "training", "drafts"}[i], 50+i) })
@@ -255,10 +255,11 @@
 	group.Wait()
 }
 
-// changeWeight edits the weight of an organisation as seen by the node.
+// changeWeight edits the weight of an organisation, based on the node's
+// configuration.
 func (x *trial) changeWeight(node domain.NodeID, org domain.OrganisationID, weight int) (document.Edit, uint64, error) {
 	edit := document.Edit{ID: document.NewEditID(), Author: "test"}
-	n := x.life(node)
+	n := x.latest(node)
 	table, _, err := n.config.Table(context.Background(), 0)
 	if err != nil {
 		return edit, 0, err
@@ -273,10 +274,10 @@
 	return edit, version.Generation, err
 }
 
-// poisoned sends a request that crashes engines, and sends it again under new keys.
-func (x *trial) poisoned() {
+// sendPoisonous sends a request that crashes engines, several times under new keys.
+func (x *trial) sendPoisonous() {
 	for i := range 4 {
-		k := &call{org: "training", key: fmt.Sprintf("poison-%d", i), prompt: poison}
+		k := &call{org: "training", key: fmt.Sprintf("poison-%d", i), prompt: poisonPrompt}
 		x.mu.Lock()
 		x.calls = append(x.calls, k)
 		x.mu.Unlock()
@@ -284,8 +285,8 @@
 	}
 }
 
-// methods are those that a peer may send rubbish for.
-var methods = []peer.Method{
+// peerMethods are the methods for which sendMalformed sends malformed payloads.
+var peerMethods = []peer.Method{
 	"ledger.claim", "ledger.commit", "ledger.mirror", "ledger.finish", "ledger.release", "ledger.lookup", "ledger.collect",
 	"ledger.table", "ledger.settled", "ledger.holds", "ledger.confirm", "capacity.ask", "capacity.notice", "capacity.release",
 	"capacity.renew", "capacity.list", "capacity.register", "capacity.collect", "capacity.quote", "capacity.leaving",
@@ -293,14 +294,15 @@
 	"limits.report", "quarantine.report", "quarantine.pull", "answer.read", "answer.cancel",
 }
 
-// rubbish has a node that is no member send broken messages of each kind to all.
-func (x *trial) rubbish() {
+// sendMalformed sends malformed payloads for each method to all nodes, from a node
+// that is not a member.
+func (x *trial) sendMalformed() {
 	rogue := x.network.Node(domain.Member{Node: "rogue", Incarnation: 1, DataCentre: "palermo"})
 	payloads := [][]byte{nil, {0xff}, {0xa0}, {0xa1, 0x01, 0x02}, {0xbf, 0x00}, []byte("rubbish"), {0xf6}, {0x80}}
-	ctx, cancel := context.WithTimeout(context.Background(), faultSpan)
+	ctx, cancel := context.WithTimeout(context.Background(), faultDuration)
 	defer cancel()
 	for _, m := range x.members {
-		for _, method := range methods {
+		for _, method := range peerMethods {
 			for _, payload := range payloads {
 				_, _ = rogue.Call(ctx, m, method, payload)
 			}
--- a/node/matrix_lives_test.go
+++ b/node/matrix_lives_test.go
@@ -5,35 +5,35 @@
 	"hawthornrill.example/hawthornrill/membership"
 )
 
-// living returns the nodes that have not crashed.
-func (x *trial) living() []*runningNode {
+// runningNodes returns the nodes that have not crashed.
+func (x *trial) runningNodes() []*runningNode {
 	x.cluster.mu.Lock()
 	defer x.cluster.mu.Unlock()
-	var living []*runningNode
+	var running []*runningNode
 	for _, n := range x.nodes {
 		if !n.gate.isCrashed() {
-			living = append(living, n)
+			running = append(running, n)
 		}
 	}
-	return living
+	return running
 }
 
-// die ends a node's life without waiting, so that the node's own goroutines may
-// call it.
-func (x *trial) die(node domain.NodeID) {
+// crashAsync crashes a node without waiting for it to end, so that it can be called
+// from the node's own goroutines.
+func (x *trial) crashAsync(node domain.NodeID) {
 	x.cluster.mu.Lock()
 	defer x.cluster.mu.Unlock()
 	if n := x.nodes[node]; n != nil && !n.gate.isCrashed() {
 		n.kill(x.network)
-		x.killed <- n
+		x.crashed <- n
 	}
 }
 
-// reborn starts the next life of a dead node.
-func (x *trial) reborn(node domain.NodeID) { x.rebornAs(node, 1) }
+// restart starts the next incarnation of a crashed node.
+func (x *trial) restart(node domain.NodeID) { x.restartAs(node, 1) }
 
-// rebornAs starts a life of a dead node whose incarnation is so much higher.
-func (x *trial) rebornAs(node domain.NodeID, step int) {
+// restartAs restarts a crashed node with its incarnation changed by step.
+func (x *trial) restartAs(node domain.NodeID, step int) {
 	x.cluster.mu.Lock()
 	n := x.nodes[node]
 	x.cluster.mu.Unlock()
--- a/node/matrix_page_test.go
+++ b/node/matrix_page_test.go
@@ -12,65 +12,67 @@
 
 const faultPage = "../docs/FAULTS.md"
 
-// noLeaseSteps are the steps that no node takes, with the reason.
-var noLeaseSteps = []string{"lease", "order", "read back"}
+// inapplicableSteps are steps that the nodes of the matrix never take, because of
+// inapplicableReason.
+var inapplicableSteps = []string{"lease", "order", "read back"}
 
-const noLeaseReason = "the grid's nodes give no orders unless the settings say so; the faults at these steps are in the tests of package coordinator"
+const inapplicableReason = "the grid's nodes give no orders unless the settings say so; the faults at these steps are in the tests of package coordinator"
 
-// grid is what the cells gave.
-type grid map[string]*cell
+// matrix holds the results of the cells by name.
+type matrix map[string]*cell
 
 func cellName(f *fault, s *step) string { return f.name + " at " + s.name }
 
-// page writes the grid. It holds no counts that differ from run to run.
-func (g grid) page() string {
+// page returns the page with the matrix and the counts. Only the counts differ from
+// run to run.
+func (m matrix) page() string {
 	steps := append(requestSteps(), controlSteps()...)
 	var b strings.Builder
-	b.WriteString(pageHead)
-	tested, never := 0, 0
-	fmt.Fprintf(&b, "| fault | %s |\n|%s\n", names(steps), strings.Repeat("---|", 1+len(steps)+len(noLeaseSteps)))
+	b.WriteString(pageHeader)
+	tested, inapplicable := 0, 0
+	fmt.Fprintf(&b, "| fault | %s |\n|%s\n", stepNames(steps), strings.Repeat("---|", 1+len(steps)+len(inapplicableSteps)))
 	for _, f := range faults() {
 		fmt.Fprintf(&b, "| %s |", f.name)
 		for _, s := range steps {
 			mark := "-"
-			if c := g[cellName(f, s)]; c != nil {
+			if c := m[cellName(f, s)]; c != nil {
 				mark = c.mark()
 				tested++
 			} else {
-				never++
+				inapplicable++
 			}
 			fmt.Fprintf(&b, " %s |", mark)
 		}
-		never += len(noLeaseSteps)
-		b.WriteString(strings.Repeat(" - |", len(noLeaseSteps)) + "\n")
+		inapplicable += len(inapplicableSteps)
+		b.WriteString(strings.Repeat(" - |", len(inapplicableSteps)) + "\n")
 	}
-	fmt.Fprintf(&b, "\n%d cells: %d tested, %d can't occur.\n\n## Cells that can't occur\n\n", tested+never, tested, never)
-	fmt.Fprintf(&b, "- steps %s: %s.\n", strings.Join(noLeaseSteps, ", "), noLeaseReason)
+	fmt.Fprintf(&b, "\n%d cells: %d tested, %d can't occur.\n\n## Cells that can't occur\n\n", tested+inapplicable, tested, inapplicable)
+	fmt.Fprintf(&b, "- steps %s: %s.\n", strings.Join(inapplicableSteps, ", "), inapplicableReason)
 	for _, f := range faults() {
-		if f.never != "" {
-			fmt.Fprintf(&b, "- fault \"%s\": %s.\n", f.name, f.never)
+		if f.inapplicable != "" {
+			fmt.Fprintf(&b, "- fault \"%s\": %s.\n", f.name, f.inapplicable)
 		}
 	}
-	return b.String() + "\n" + g.counts()
+	return b.String() + "\n" + m.counts()
 }
 
-// mark is a cell on the page.
+// mark returns the text of a cell on the page.
 func (c *cell) mark() string {
-	if len(c.broken) > 0 {
+	if len(c.violations) > 0 {
 		return "broken"
 	}
 	return "held"
 }
 
-func names(steps []*step) string {
+func stepNames(steps []*step) string {
 	var all []string
 	for _, s := range steps {
 		all = append(all, s.name)
 	}
-	return strings.Join(append(all, noLeaseSteps...), " | ")
+	return strings.Join(append(all, inapplicableSteps...), " | ")
 }
 
-const pageHead = `# Faults
+const pageHeader = `# Faults
 
 Every fault at every step, written by ` + "`go test ./node -run TestFaultMatrix -update`" + `; the same test without the flag
 fails when this page is out of date. Whole nodes run in virtual time over an in-memory network, store and engines.
@@ -85,26 +87,27 @@
 
 `
 
-// comparePage fails if the page is not what the grid says.
-func (g grid) comparePage(t *testing.T) {
-	want := g.page()
+// comparePage fails if the matrix on the page differs from m. With -update it writes
+// the page instead.
+func (m matrix) comparePage(t *testing.T) {
+	want := m.page()
 	if golden.FlagUpdate() {
 		assert.NilError(t, os.WriteFile(faultPage, []byte(want), 0o644))
 		return
 	}
 	have, err := os.ReadFile(faultPage)
 	assert.NilError(t, err)
-	haveGrid, _, found := strings.Cut(string(have), countsTitle)
-	wantGrid, _, _ := strings.Cut(want, countsTitle)
+	haveMatrix, _, found := strings.Cut(string(have), countsTitle)
+	wantMatrix, _, _ := strings.Cut(want, countsTitle)
 	assert.Assert(t, found)
-	assert.Equal(t, haveGrid, wantGrid, "docs/FAULTS.md is out of date; see its first line")
+	assert.Equal(t, haveMatrix, wantMatrix, "docs/FAULTS.md is out of date; see its first line")
 }
 
-// countsTitle begins the part of the page that differs from run to run.
+// countsTitle starts the part of the page that differs from run to run.
 const countsTitle = "## Counts"
 
-// counts writes what the callers were told, by fault.
-func (g grid) counts() string {
+// counts returns the table of outcomes by fault.
+func (m matrix) counts() string {
 	var b strings.Builder
 	b.WriteString(countsTitle + `
 
@@ -119,7 +122,7 @@
 	for _, f := range faults() {
 		var sum tally
 		for _, s := range append(requestSteps(), controlSteps()...) {
-			if c := g[cellName(f, s)]; c != nil {
+			if c := m[cellName(f, s)]; c != nil {
 				sum.add(c.report)
 			}
 		}
--- a/node/matrix_steps_test.go
+++ b/node/matrix_steps_test.go
@@ -7,82 +7,83 @@
 	"time"
 )
 
-// step is a moment in which a fault happens.
+// step is a point in the course of a trial at which a fault is injected.
 type step struct {
 	name string
-	// at reports whether the event is the moment; nil for stepReceive, which the
-	// caller's body tells.
-	at func(x *trial, e event) bool
+	// matches reports whether the event marks the step. It is nil for steps that are
+	// not marked by an event: stepReceive, which hookedBody reports, and the start of a
+	// drain.
+	matches func(x *trial, e event) bool
 	// prepare runs before the request is sent, if set.
 	prepare func(x *trial, group *sync.WaitGroup)
-	// late is how long after the event the fault happens.
-	late time.Duration
-	// run does what the step is a part of, until its end.
+	// delay is the time from the event to the fault.
+	delay time.Duration
+	// run performs the operation that the step belongs to, until its end.
 	run func(x *trial)
 }
 
 const stepReceive = "receive"
 
-// atEntry matches an event of the entry node by its name.
+// atEntry matches an event of the entry node by name.
 func atEntry(name string) func(*trial, event) bool {
 	return func(x *trial, e event) bool { return e.node == x.entry && e.name == name }
 }
 
-// ofKey matches an event of the request itself.
+// ofKey matches an event of the request by name and offset.
 func ofKey(name string, offset uint64) func(*trial, event) bool {
 	return func(x *trial, e event) bool {
 		return e.name == name && e.offset == offset && (e.key == x.key || strings.HasSuffix(e.key, ":"+x.key))
 	}
 }
 
-// requestSteps are the steps of a request, in order.
+// requestSteps returns the steps of a request, in order.
 func requestSteps() []*step {
 	steps := []*step{
 		{name: stepReceive},
-		{name: "claim", at: atEntry("ledger.claim")},
-		{name: "queue", at: atEntry("capacity.ask done"), prepare: fillEngines, late: 200 * time.Millisecond},
-		{name: "grant", at: atEntry("capacity.ask done")},
-		{name: "commit", at: atEntry("ledger.commit")},
-		{name: "dispatch", at: ofKey(eventStart, 0)},
-		{name: "first token", at: ofKey(eventToken, 0)},
-		{name: "mid-stream", at: ofKey(eventToken, midOffset)},
-		{name: "finish", at: atEntry("ledger.finish")},
-		{name: "answer delivered", at: ofKey(eventWrite, 0)},
+		{name: "claim", matches: atEntry("ledger.claim")},
+		{name: "queue", matches: atEntry("capacity.ask done"), prepare: fillEngines, delay: 200 * time.Millisecond},
+		{name: "grant", matches: atEntry("capacity.ask done")},
+		{name: "commit", matches: atEntry("ledger.commit")},
+		{name: "dispatch", matches: ofKey(eventStart, 0)},
+		{name: "first token", matches: ofKey(eventToken, 0)},
+		{name: "mid-stream", matches: ofKey(eventToken, midOffset)},
+		{name: "finish", matches: atEntry("ledger.finish")},
+		{name: "answer delivered", matches: ofKey(eventWrite, 0)},
 	}
 	for _, s := range steps {
 		s.run = (*trial).runRequest
 	}
-	replay := &step{name: "replay", run: (*trial).runReplay, at: func(x *trial, e event) bool {
+	replay := &step{name: "replay", run: (*trial).runReplay, matches: func(x *trial, e event) bool {
 		return e.node == x.far && e.name == "answer.read"
 	}}
 	return append(steps, replay)
 }
 
-// fillEngines takes all places, so that the request waits.
+// fillEngines occupies all slots, so that the request is queued.
 func fillEngines(x *trial, group *sync.WaitGroup) {
 	x.callers("filler", "showrooms", 16, group)
 	time.Sleep(100 * time.Millisecond)
 }
 
-// observeStep has the fault happen at the step's moment.
+// observeStep arranges for the fault to be injected at the step.
 func (x *trial) observeStep() {
-	if x.step.at == nil {
+	if x.step.matches == nil {
 		return
 	}
-	x.watch(func(e event) {
-		if !x.step.at(x, e) || x.fired.Load() {
+	x.setObserver(func(e event) {
+		if !x.step.matches(x, e) || x.faultBegun.Load() {
 			return
 		}
-		if x.step.late > 0 {
-			time.AfterFunc(x.step.late, x.fire)
+		if x.step.delay > 0 {
+			time.AfterFunc(x.step.delay, x.beginFault)
 			return
 		}
-		x.fire()
+		x.beginFault()
 	})
 }
 
-// runRequest sends the request, beside those of other callers, until all have a
-// final word.
+// runRequest sends the request, along with those of other callers, until all have a
+// final outcome.
 func (x *trial) runRequest() {
 	var group sync.WaitGroup
 	if x.step.prepare != nil {
@@ -91,24 +92,24 @@
 	x.callers("beside", "fitters-west", 2, &group)
 	x.callers("beside", "drafts", 2, &group)
 	x.observeStep()
-	x.run(x.victim(), 0)
+	x.run(x.newCall(), 0)
 	x.awaitFault()
 	group.Wait()
 }
 
-// runReplay has the request answered first, and sends it again elsewhere.
+// runReplay waits for the request to be answered and sends it again to another node.
 func (x *trial) runReplay() {
 	var group sync.WaitGroup
-	x.run(x.victim(), 0)
+	x.run(x.newCall(), 0)
 	x.callers("beside", "fitters-west", 2, &group)
 	x.observeStep()
-	x.run(x.victim(), 2)
+	x.run(x.newCall(), 2)
 	x.awaitFault()
 	group.Wait()
 }
 
-// victim is a new caller of the trial's key.
-func (x *trial) victim() *call {
+// newCall returns a new call with the trial's key.
+func (x *trial) newCall() *call {
 	k := &call{org: "showrooms", key: x.key, prompt: x.prompt}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -116,29 +117,29 @@
 	return k
 }
 
-// awaitFault waits until the fault has been mended and once more sends the key
-// then.
+// awaitFault waits until the fault has ended and then sends the key once more.
 func (x *trial) awaitFault() {
 	select {
-	case <-x.over:
-	case <-time.After(stepLimit):
-		x.watch(nil)
-		x.fail("the step did not happen")
+	case <-x.faultEnded:
+	case <-time.After(stepTimeout):
+		x.setObserver(nil)
+		x.fail("the step was not reached")
 		return
 	}
-	x.async.Wait()
-	x.run(x.victim(), 3)
+	x.faultTasks.Wait()
+	x.run(x.newCall(), 3)
 }
 
-// stepLimit is how long a step may take to come, its fault included.
-const stepLimit = time.Minute
+// stepTimeout bounds the time until the step is reached and its fault has ended.
+const stepTimeout = time.Minute
 
-// trialLimit bounds a trial, in virtual time.
-const trialLimit = 10 * time.Minute
+// trialTimeout bounds a trial, in virtual time.
+const trialTimeout = 10 * time.Minute
 
-// background runs what watches the trial; the returned function ends it.
+// background starts the checks that run during the trial. The returned function
+// stops them.
 func (x *trial) background() (stop func()) {
-	ctx, cancel := context.WithTimeout(context.Background(), trialLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 	var group sync.WaitGroup
 	group.Go(func() { x.watchConfiguration(ctx) })
 	return func() {
--- a/node/matrix_test.go
+++ b/node/matrix_test.go
@@ -6,26 +6,26 @@
 	"testing/synctest"
 )
 
-// cell is a fault at a step, with what came of it.
+// cell is the result of a fault at a step.
 type cell struct {
-	report tally
-	broken []string
+	report     tally
+	violations []string
 }
 
-// TestFaultMatrix has every fault happen at every step, and compares the page with
-// the grid. Under the race detector, whose price is high, it takes a part of the
-// cells, each step and each fault among them, and leaves the page.
+// TestFaultMatrix injects every fault at every step and compares the results with the
+// page. Under the race detector, which is slow, it runs a subset of the cells that
+// covers each step and each fault, and does not compare the page.
 func TestFaultMatrix(t *testing.T) {
 	var mu sync.Mutex
-	cells, wanted := make(grid), 0
+	cells, wanted := make(matrix), 0
 	t.Run("cells", func(t *testing.T) {
 		for i, f := range faults() {
-			if f.never != "" {
+			if f.inapplicable != "" {
 				continue
 			}
 			for j, s := range append(requestSteps(), controlSteps()...) {
 				wanted++
-				if raceEnabled && (i+j)%raceShare != 0 {
+				if raceEnabled && (i+j)%raceSampling != 0 {
 					continue
 				}
 				t.Run(cellName(f, s), func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 	t.Logf("%d cells: %+v", len(cells), total)
 	if len(cells) < wanted {
-		t.Logf("%d of %d cells were run: the page is not compared", len(cells), wanted)
+		t.Logf("%d of %d cells were run, so the page is not compared", len(cells), wanted)
 		return
 	}
 	cells.comparePage(t)
@@ -59,13 +59,13 @@
 	s.run(x)
 	stop()
 	x.finish()
-	c.broken = x.check()
+	c.violations = x.check()
 	c.report = x.report
-	for _, broken := range c.broken {
-		t.Error(broken)
+	for _, violation := range c.violations {
+		t.Error(violation)
 	}
 	t.Logf("%+v", c.report)
 }
 
-// raceShare is one cell in how many runs under the race detector.
-const raceShare = 5
+// raceSampling means that under the race detector one in raceSampling cells is run.
+const raceSampling = 5
--- a/node/matrix_trial_test.go
+++ b/node/matrix_trial_test.go
@@ -17,78 +17,78 @@
 )
 
 const (
-	// faultSpan is how long a fault lasts.
-	faultSpan = 8 * time.Second
-	// firstPatience is how long a caller waits for its first attempt, and
-	// callerPatience for a later one; callerPause is the pause before the next one.
-	// The first ends before a fault does, so that attempts of one key overlap.
-	firstPatience  = 5 * time.Second
-	callerPatience = 25 * time.Second
-	callerPause    = time.Second
-	// maxAttempts bounds a caller's attempts.
-	maxAttempts = 12
-	// trialTokens is the length of the answers.
-	trialTokens = 60
-	midOffset   = trialTokens / 2
-	poison      = "crashes whoever reads it"
+	faultDuration = 8 * time.Second
+	// firstAttemptTimeout applies to a caller's first attempt, attemptTimeout to later
+	// ones. The first is shorter than faultDuration, so that attempts with the same key
+	// overlap. retryDelay is the initial delay between attempts.
+	firstAttemptTimeout = 5 * time.Second
+	attemptTimeout      = 25 * time.Second
+	retryDelay          = time.Second
+	maxAttempts         = 12
+	// trialTokens is the length of the answers in tokens.
+	trialTokens  = 60
+	midOffset    = trialTokens / 2
+	poisonPrompt = "crashes whoever reads it"
 )
 
-// trial is one cell of the matrix: a cluster, a request in whose life a fault
-// happens, and what the witnesses must say in the end.
+// trial runs one cell of the matrix: it injects a fault during a request and checks
+// the outcomes against the logs of the engines.
 type trial struct {
 	*cluster
-	// entry takes the first attempt, home decides about the key, owner grants
-	// places: three nodes of Palermo. far is in another data centre.
+	// entry receives the first attempt, home decides about the key and owner grants
+	// slots: three nodes in Palermo. far is in another data centre.
 	entry, home, owner, far domain.NodeID
 	key, prompt             string
 	fault                   *fault
 	step                    *step
-	fired                   atomic.Bool
-	// over is closed when the fault has been mended.
-	over   chan struct{}
-	killed chan *runningNode
-	// async is what faults do beside the trial.
-	async sync.WaitGroup
-	// serving are attempts at nodes, also those whose callers have gone.
-	serving sync.WaitGroup
+	faultBegun              atomic.Bool
+	// faultEnded is closed when the fault has ended.
+	faultEnded chan struct{}
+	crashed    chan *runningNode
+	// faultTasks are goroutines started by faults.
+	faultTasks sync.WaitGroup
+	// attempts are the attempts being served, including those whose callers have
+	// disconnected.
+	attempts sync.WaitGroup
 
-	mu      sync.Mutex
-	calls   []*call
-	left    map[domain.EndpointID]time.Time
-	report  tally
-	broken  []string
-	severed bool
-	// patient callers wait as long for the first attempt as for later ones.
-	patient bool
+	mu           sync.Mutex
+	calls        []*call
+	leavingSince map[domain.EndpointID]time.Time
+	report       tally
+	violations   []string
+	partitioned  bool
+	// longFirstTimeout applies attemptTimeout to first attempts too.
+	longFirstTimeout bool
 }
 
-// call is one caller with one key.
+// call is a caller that sends one key, and its attempts.
 type call struct {
 	org         domain.OrganisationID
 	key, prompt string
-	// first and final are what the caller was told at first and at last.
-	first, final string
-	// lives took the attempts.
-	lives []*runningNode
+	// firstOutcome and finalOutcome are the outcomes of the first and last attempt.
+	firstOutcome, finalOutcome string
+	// attemptedAt holds the nodes that received the attempts, in order.
+	attemptedAt []*runningNode
 }
 
-// orphaned reports whether a life that took an attempt of the key has died. Such a
-// key may be told ran although it was not: a known fault, since a commit whose life
-// died before it sent the request can't be told from a stream that the engine forgot.
-func (x *trial) orphaned(key string) bool {
+// attemptCrashed reports whether a node has crashed that served an attempt with the
+// key. Such a key may be reported as ran although no engine ran it, which is a known
+// fault: a commit by a node that crashed before it dispatched the request can't be
+// distinguished from a stream that the engine has forgotten.
+func (x *trial) attemptCrashed(key string) bool {
 	for _, k := range x.calls {
-		if k.key == key && slices.ContainsFunc(k.lives, func(n *runningNode) bool { return n.gate.isCrashed() }) {
+		if k.key == key && slices.ContainsFunc(k.attemptedAt, func(n *runningNode) bool { return n.gate.isCrashed() }) {
 			return true
 		}
 	}
 	return false
 }
 
-// tally counts what callers were told.
+// tally counts the outcomes of attempts.
 type tally struct {
 	Attempts, Answered, NotRun, Unknown, Ran, Cut int
-	// Unrun counts keys that were told ran at last, though no engine had them: the
-	// life that had committed them died before it sent them.
+	// NotAtEngine counts keys whose final outcome is ran although no engine ran them:
+	// the node that committed them crashed before it dispatched them.
 	NotAtEngine int
 }
 
@@ -102,35 +102,36 @@
 	t.NotAtEngine += o.NotAtEngine
 }
 
-// matrixDeployment is Cucine with one engine of four places in each data centre;
-// the keys of the organisations are decided in Palermo.
+// matrixDeployment returns the Cucine deployment with one engine of four slots in
+// each data centre. Palermo is the home data centre of all organisations.
 func matrixDeployment() *deployment.Deployment {
-	d := small()
+	d := smallDeployment()
 	for i := range d.Table.Organisations {
 		d.Table.Organisations[i].HomeDataCentre = "palermo"
 	}
 	return d
 }
 
-// newTrial starts a cluster and finds out who has which part.
+// newTrial starts a cluster and assigns the roles.
 func newTrial(t *testing.T) *trial {
-	c := newCluster(t, matrixDeployment(), engine.Options{Speed: engine.GenerationA(), Poison: poison})
+	c := newCluster(t, matrixDeployment(), engine.Options{Speed: engine.GenerationA(), Poison: poisonPrompt})
 	x := &trial{
-		cluster: c,
-		far:     "catania-1",
-		over:    make(chan struct{}),
-		killed:  make(chan *runningNode, 16),
-		left:    make(map[domain.EndpointID]time.Time),
+		cluster:      c,
+		far:          "catania-1",
+		faultEnded:   make(chan struct{}),
+		crashed:      make(chan *runningNode, 16),
+		leavingSince: make(map[domain.EndpointID]time.Time),
 	}
-	x.findOwner()
+	x.assignRoles()
 	x.chooseKey()
 	return x
 }
 
-// findOwner sends requests until one node asks another for a place.
-func (x *trial) findOwner() {
+// assignRoles sends requests to two nodes to see which node grants the slots. That
+// node is the owner; the other two nodes of Palermo become entry and home.
+func (x *trial) assignRoles() {
 	var owner atomic.Value
-	x.watch(func(e event) {
+	x.setObserver(func(e event) {
 		if e.name == "capacity.ask" && strings.HasPrefix(string(e.node), "palermo") && strings.HasPrefix(string(e.to), "palermo") {
 			owner.Store(e.to)
 		}
@@ -138,7 +139,7 @@
 	for _, node := range []domain.NodeID{"palermo-1", "palermo-2"} {
 		x.chat(context.Background(), node, "showrooms", "warm-"+string(node), "warm up", 2)
 	}
-	x.watch(nil)
+	x.setObserver(nil)
 	x.owner = owner.Load().(domain.NodeID)
 	for _, m := range x.members {
 		if m.DataCentre == "palermo" && m.Node != x.owner {
@@ -147,7 +148,7 @@
 	}
 }
 
-// chooseKey finds a key that home decides about.
+// chooseKey chooses a key whose home is the home node.
 func (x *trial) chooseKey() {
 	table := x.nodes[x.entry].tables.Table("palermo")
 	for i := 0; ; i++ {
@@ -164,8 +165,8 @@
 	}
 }
 
-// watch sets the observer of events.
-func (x *trial) watch(f func(event)) {
+// setObserver sets the observer of events; nil removes it.
+func (x *trial) setObserver(f func(event)) {
 	if f == nil {
 		x.observe.Store(nil)
 		return
@@ -173,40 +174,41 @@
 	x.observe.Store(&f)
 }
 
-// fire lets the fault happen, once, and mends it later.
-func (x *trial) fire() {
-	if !x.fired.CompareAndSwap(false, true) {
+// beginFault begins the fault, at most once, and ends it after faultDuration.
+func (x *trial) beginFault() {
+	if !x.faultBegun.CompareAndSwap(false, true) {
 		return
 	}
 	x.fault.begin(x)
-	x.async.Go(x.during)
+	x.faultTasks.Go(x.sendDuringFault)
 	go func() {
-		time.Sleep(faultSpan)
+		time.Sleep(faultDuration)
 		if x.fault.end != nil {
 			x.fault.end(x)
 		}
-		close(x.over)
+		close(x.faultEnded)
 	}()
 }
 
-// during has callers come while the fault lasts.
-func (x *trial) during() {
+// sendDuringFault starts further callers while the fault lasts.
+func (x *trial) sendDuringFault() {
 	var group sync.WaitGroup
 	for i := range 4 {
-		time.Sleep(faultSpan / 5)
+		time.Sleep(faultDuration / 5)
 		x.callers(fmt.Sprintf("during-%d", i), "fitters-east", 1, &group)
 	}
 	group.Wait()
 }
 
-// fail notes that a promise was broken.
+// fail records a violation of a guarantee.
 func (x *trial) fail(format string, args ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.broken = append(x.broken, fmt.Sprintf(format, args...))
+	x.violations = append(x.violations, fmt.Sprintf(format, args...))
 }
 
-// node returns a node that takes calls: the wanted one, or the next that lives.
+// node returns the node with the index in a fixed order, or the next one that has not
+// crashed.
 func (x *trial) node(index int) *runningNode {
 	x.cluster.mu.Lock()
 	defer x.cluster.mu.Unlock()
@@ -219,40 +221,41 @@
 	return nil
 }
 
-// life returns the latest life of a node.
-func (x *trial) life(node domain.NodeID) *runningNode {
+// latest returns the latest incarnation of a node.
+func (x *trial) latest(node domain.NodeID) *runningNode {
 	x.cluster.mu.Lock()
 	defer x.cluster.mu.Unlock()
 	return x.nodes[node]
 }
 
-// pause and resume are the cluster's, while lives begin and end beside them.
+// pause is cluster.pause for use while nodes are stopped and started concurrently.
 func (x *trial) pause(node domain.NodeID) {
 	x.network.Pause(node)
-	x.life(node).gate.pause()
+	x.latest(node).gate.pause()
 }
 
+// resume is cluster.resume for use while nodes are stopped and started concurrently.
 func (x *trial) resume(node domain.NodeID) {
-	x.life(node).gate.resume()
+	x.latest(node).gate.resume()
 	x.network.Resume(node)
 }
 
-// run has a caller send its key until it is answered, or told that it ran, or has
-// no patience left; each attempt goes to another node.
+// run sends a caller's key, each attempt to another node, until it is answered,
+// reported as ran, or maxAttempts is reached.
 func (x *trial) run(k *call, first int) {
 	for i := range maxAttempts {
 		outcome := x.attempt(k, x.node(first+i))
 		if outcome == "answered" || outcome == string(domain.OutcomeRan) {
 			return
 		}
-		time.Sleep(callerPause * time.Duration(1+i))
+		time.Sleep(retryDelay * time.Duration(1+i))
 	}
 }
 
-// tierOf are the ranks of the organisations' tiers.
+// tierOf holds the rank of each organisation's tier.
 var tierOf = map[domain.OrganisationID]int{"showrooms": 0, "fitters-west": 1, "fitters-east": 1, "drafts": 2, "training": 2}
 
-// checkShed fails if the request was shed while a lower tier was being served.
+// checkShed fails if the request was shed while one of a lower tier was being served.
 func (x *trial) checkShed(k *call, code, outcome string) {
 	if code != "shed" || outcome != string(domain.OutcomeNotRun) {
 		return
@@ -261,20 +264,20 @@
 		for _, run := range e.Runs() {
 			org, _, _ := strings.Cut(run.Key, ":")
 			served := run.State == engine.RunRunning || run.State == engine.RunWaiting
-			if served && tierOf[domain.OrganisationID(org)] > tierOf[k.org] && !x.cutOff() {
+			if served && tierOf[domain.OrganisationID(org)] > tierOf[k.org] && !x.isPartitioned() {
 				x.fail("%s of %s was shed while %s served %s", k.key, k.org, id, run.Key)
 			}
 		}
 	}
 }
 
-func (x *trial) cutOff() bool {
+func (x *trial) isPartitioned() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.severed
+	return x.partitioned
 }
 
-// runsOf counts the runs of a key over all engines.
+// runsOf counts the executions of a key over all engines.
 func (x *trial) runsOf(k *call) int {
 	runs := 0
 	for _, e := range x.engines {
@@ -287,7 +290,7 @@
 	return runs
 }
 
-// callers starts callers of other keys at nodes other than entry.
+// callers starts callers with other keys at nodes other than entry.
 func (x *trial) callers(name string, org domain.OrganisationID, count int, group *sync.WaitGroup) {
 	for i := range count {
 		k := &call{org: org, key: fmt.Sprintf("%s-%s-%d", name, org, i), prompt: fmt.Sprintf("%s of %s, number %d", name, org, i)}
@@ -298,50 +301,53 @@
 	}
 }
 
-// check holds the witnesses against the promises.
+// check compares the outcomes with the logs of the engines and returns all violations
+// of the trial.
 func (x *trial) check() []string {
 	for key, n := range x.runs() {
 		if n > 1 {
-			x.fail("%s was run %d times", key, n)
+			x.fail("%s was executed %d times", key, n)
 		}
 	}
 	for _, k := range x.calls {
-		ran := x.runsOf(k)
-		if k.final == string(domain.OutcomeNotRun) && ran != 0 {
-			x.fail("%s was told not_run at last, and run %d times", k.key, ran)
+		runs := x.runsOf(k)
+		if k.finalOutcome == string(domain.OutcomeNotRun) && runs != 0 {
+			x.fail("%s has the final outcome not_run but was executed %d times", k.key, runs)
 		}
-		if k.final == string(domain.OutcomeRan) && ran == 0 {
+		if k.finalOutcome == string(domain.OutcomeRan) && runs == 0 {
 			x.report.NotAtEngine++
-			if !x.orphaned(k.key) {
-				x.fail("%s was told ran, and no engine had it", k.key)
+			if !x.attemptCrashed(k.key) {
+				x.fail("%s has the final outcome ran but no engine ran it", k.key)
 			}
 		}
 	}
-	for id, since := range x.left {
+	for id, since := range x.leavingSince {
 		for _, run := range x.engines[id].Runs() {
-			// Another fault of a pair may have ended the leaving.
+			// The other fault of a pair may have ended the leaving state, so
+			// run.Leaving is checked too.
 			if run.Leaving && run.Arrived.Sub(since) > leaveGrace {
-				x.fail("%s was sent to %s %v after it had said that it leaves", run.Key, id, run.Arrived.Sub(since))
+				x.fail("%s was sent to %s %v after the endpoint had reported itself as leaving", run.Key, id, run.Arrived.Sub(since))
 			}
 		}
 	}
-	return x.broken
+	return x.violations
 }
 
 // leaveGrace is how long a leaving endpoint may get new work.
 const leaveGrace = 3 * time.Second
 
-// watchConfiguration fails if a node's generation goes down, until the trial ends.
+// watchConfiguration fails if the configuration revision of a node decreases. It runs
+// until ctx is done.
 func (x *trial) watchConfiguration(ctx context.Context) {
 	highest := make(map[domain.NodeID]config.Revision)
 	for ctx.Err() == nil {
-		for _, n := range x.living() {
+		for _, n := range x.runningNodes() {
 			s := n.config.Current()
 			if s == nil {
 				continue
 			}
 			if s.Revision < highest[n.self.Node] {
-				x.fail("%s went back from revision %d to %d", n.self.Node, highest[n.self.Node], s.Revision)
+				x.fail("revision on %s decreased from %d to %d", n.self.Node, highest[n.self.Node], s.Revision)
 			}
 			highest[n.self.Node] = max(s.Revision, highest[n.self.Node])
 		}
@@ -349,13 +355,13 @@
 	}
 }
 
-// finish ends the cluster.
+// finish stops the cluster and waits for all its goroutines.
 func (x *trial) finish() {
-	x.watch(nil)
+	x.setObserver(nil)
 	x.close()
-	x.serving.Wait()
-	close(x.killed)
-	for n := range x.killed {
+	x.attempts.Wait()
+	close(x.crashed)
+	for n := range x.crashed {
 		<-n.done
 	}
 }
--- a/node/members.go
+++ b/node/members.go
@@ -6,13 +6,13 @@
 	"hawthornrill.example/hawthornrill/membership"
 )
 
-// Members is the node's view of its peers, and its own word to them.
+// Members is the node's view of its peers, and announces its own state to them.
 type Members interface {
 	membership.View
-	// Run keeps the view up to date until the context ends.
+	// Run keeps the view up to date until ctx is done.
 	Run(ctx context.Context) error
-	// Leave tells the peers that this node takes nothing new.
+	// Leave announces to the peers that this node accepts no new work.
 	Leave(ctx context.Context) error
-	// Farewell tells the peers that this life has ended.
+	// Farewell announces to the peers that this incarnation has stopped.
 	Farewell(ctx context.Context) error
 }
--- a/node/node.go
+++ b/node/node.go
@@ -29,14 +29,14 @@
 )
 
 const (
-	// joinPatience is how long a new node waits for its place in the ledger table.
-	joinPatience = 15 * time.Second
-	// expireEvery is the interval at which finished answers that are too old go.
-	expireEvery = 10 * time.Second
+	// joinTimeout is how long a new node may report not ready while it joins the
+	// ledger table.
+	joinTimeout = 15 * time.Second
+	// expireInterval is how often finished answers past their retention are dropped.
+	expireInterval = 10 * time.Second
 )
 
-// Node is one node of the system. Its parts are made by New, and work while Run
-// runs.
+// Node is one node of the system. New creates its services, and Run runs them.
 type Node struct {
 	options    Options
 	self       domain.Member
@@ -49,8 +49,8 @@
 	capacity   *capacity.Service
 	routers    *routing.Factory
 	endpoints  *endpoints
-	reports    *reports
-	// coordinator and placement are nil if the node gives no orders.
+	reports    *reportPoller
+	// coordinator and placement are nil if the node is no coordinator candidate.
 	coordinator *coordinator.Service
 	placement   *placement
 	answers     *answer.Registry
@@ -59,23 +59,23 @@
 	enrolment   *enrolment
 	started     time.Time
 	draining    atomic.Bool
-	// enrolling ends before the node departs, so that it does not join again; then
-	// enrolled is closed.
-	enrolling context.Context
-	stopEnrol context.CancelFunc
-	enrolled  chan struct{}
+	// enrolCtx is cancelled before the node departs, so that it does not join again.
+	// enrolmentDone is closed when the enrolment loop has ended.
+	enrolCtx      context.Context
+	stopEnrol     context.CancelFunc
+	enrolmentDone chan struct{}
 }
 
-// New puts a node together and registers its handlers with the transport.
+// New creates a node and registers its handlers with the transport.
 func New(options Options) (*Node, error) {
 	n := &Node{
 		options: options,
 		self:    options.Transport.Self(),
 
-		started:  time.Now(),
-		enrolled: make(chan struct{}),
+		started:       time.Now(),
+		enrolmentDone: make(chan struct{}),
 	}
-	n.enrolling, n.stopEnrol = context.WithCancel(context.Background())
+	n.enrolCtx, n.stopEnrol = context.WithCancel(context.Background())
 	for _, build := range []func() error{n.buildDocuments, n.buildLedger, n.buildLimits, n.buildCapacity, n.buildCoordinator, n.buildScheduler, n.buildEntry} {
 		if err := build(); err != nil {
 			return nil, fmt.Errorf("node: %w", err)
@@ -96,12 +96,12 @@
 		return err
 	}
 	n.documents = documents
-	n.config, err = agreed.New(documents, agreed.Options{InForce: n.inForce})
+	n.config, err = agreed.New(documents, agreed.Options{InForce: n.logInForce})
 	return err
 }
 
-// inForce notes that a configuration came into force.
-func (n *Node) inForce(s *config.Snapshot) {
+// logInForce logs that a configuration has been applied.
+func (n *Node) logInForce(s *config.Snapshot) {
 	n.options.Log.Info().Uint64("revision", uint64(s.Revision)).Msg("configuration in force")
 }
 
@@ -156,14 +156,14 @@
 	}
 	n.capacity = capacity.New(n.capacityOptions())
 	n.endpoints = newEndpoints(n.config, n.options.Adapters)
-	n.reports = newReports(n.capacity, n.endpoints)
+	n.reports = newReportPoller(n.capacity, n.endpoints)
 	if n.options.EntryHostList != nil {
 		n.options.EntryHostList.bind(n.capacity)
 	}
 	return nil
 }
 
-// capacityOptions fills the parts into the numbers that were given.
+// capacityOptions returns the configured options with the node's services filled in.
 func (n *Node) capacityOptions() capacity.Options {
 	o := n.options.Capacity
 	o.Transport = n.options.Transport
@@ -200,8 +200,8 @@
 	return err
 }
 
-// lengths returns the predictor of answers' lengths.
-func (n *Node) lengths() scheduler.LengthPredictor {
+// lengthPredictor returns the configured predictor or the default one.
+func (n *Node) lengthPredictor() scheduler.LengthPredictor {
 	if n.options.LengthPredictor != nil {
 		return n.options.LengthPredictor
 	}
@@ -221,7 +221,7 @@
 		Answers:         n.answers,
 		Relay:           answer.NewRelay(n.options.Transport, n.answers),
 		Transport:       n.options.Transport,
-		LengthPredictor: n.lengths(),
+		LengthPredictor: n.lengthPredictor(),
 	}, n.options.Scheduler)
 	return nil
 }
@@ -240,7 +240,7 @@
 	return nil
 }
 
-// Run works until the context ends. A graceful end calls Drain first.
+// Run runs the node until ctx is done. Call Drain first for a graceful shutdown.
 func (n *Node) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return n.options.Members.Run(ctx) })
@@ -250,15 +250,15 @@
 	group.Go(func() error { return n.quarantine.Run(ctx) })
 	group.Go(func() error { return n.capacity.Run(ctx) })
 	group.Go(func() error { return n.reports.run(ctx) })
-	group.Go(func() error { return n.housekeep(ctx) })
+	group.Go(func() error { return n.expireLoop(ctx) })
 	if n.coordinator != nil {
 		group.Go(func() error { return n.coordinator.Run(ctx) })
 		group.Go(func() error { return n.placement.run(ctx) })
 	}
 	context.AfterFunc(ctx, n.stopEnrol)
 	group.Go(func() error {
-		defer close(n.enrolled)
-		_ = n.enrolment.run(n.enrolling)
+		defer close(n.enrolmentDone)
+		_ = n.enrolment.run(n.enrolCtx)
 		return nil
 	})
 	err := group.Wait()
@@ -270,9 +270,9 @@
 	return err
 }
 
-// housekeep drops old answers.
-func (n *Node) housekeep(ctx context.Context) error {
-	expire := time.NewTicker(expireEvery)
+// expireLoop drops expired answers and reports of leaving endpoints.
+func (n *Node) expireLoop(ctx context.Context) error {
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	for {
 		select {
@@ -287,15 +287,16 @@
 	}
 }
 
-// Drain ends the node gracefully: it says that it is not ready, its peers are
-// told, new requests are served for the notice period and then refused, requests
-// in progress finish and are delivered, and its records are handed over. It
-// returns when nothing is left, or the context's error; Run goes on until its own
-// context ends.
+// Drain shuts the node down gracefully. It reports the node as not ready and
+// announces to the peers that it is leaving. New requests are accepted for the
+// notice period and then refused; requests in progress are completed and
+// delivered. Finally the ledger records are handed over. Drain returns when all
+// of this is done, or with the context's error. Run continues until its own
+// context is done.
 func (n *Node) Drain(ctx context.Context) error {
 	n.draining.Store(true)
 	if err := n.options.Members.Leave(ctx); err != nil {
-		n.options.Log.Warn().Err(err).Msg("peers not told of leaving")
+		n.options.Log.Warn().Err(err).Msg("leaving not announced to peers")
 	}
 	if !pacing.Sleep(ctx, n.options.NoticePeriod) {
 		return ctx.Err()
@@ -305,7 +306,7 @@
 	}
 	n.stopEnrol()
 	select {
-	case <-n.enrolled:
+	case <-n.enrolmentDone:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -313,15 +314,15 @@
 	return errors.Join(err, n.options.Members.Farewell(ctx))
 }
 
-// Table returns the operators' table on this node.
+// Config returns the configuration service of this node.
 func (n *Node) Config() *agreed.Service { return n.config }
 
-// Callers registers the routes towards callers.
+// RegisterCallerRoutes registers the routes of the API for callers.
 func (n *Node) RegisterCallerRoutes(e *echo.Echo) { n.entry.Register(e) }
 
-// Ready returns nil if the node can take requests, else the reason why not. A node
-// that starts while the store is down can't join the ledger table; after some
-// time it is ready all the same, for what it can do without.
+// Ready returns nil if the node can accept requests, else the reason why not. A
+// node that starts while the store is down can't join the ledger table. After
+// joinTimeout it reports ready regardless, to serve what does not need the ledger.
 func (n *Node) Ready() error {
 	if n.draining.Load() {
 		return ErrDraining
@@ -329,11 +330,11 @@
 	if err := n.documents.Ready(); err != nil {
 		return err
 	}
-	if time.Since(n.started) < joinPatience && !n.joined() {
+	if time.Since(n.started) < joinTimeout && !n.joined() {
 		return ErrJoining
 	}
 	return nil
 }
 
-// joined reports whether the node can decide about keys.
+// joined reports whether the ledger can decide about request keys.
 func (n *Node) joined() bool { return n.ledger.Ready() }
--- a/node/observe_test.go
+++ b/node/observe_test.go
@@ -9,8 +9,9 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// Names of events that are no peer message. Those of peer messages are the method
-// itself before the call, and with one of the suffixes after it or when served.
+// Names of events other than peer messages. Events of peer messages are named by the
+// method before the call, and by the method with a suffix after the call and when a
+// message is received.
 const (
 	eventStart  = "engine.start"
 	eventToken  = "engine.token"
@@ -21,25 +22,26 @@
 	suffixServe = " served"
 )
 
-// event is something that a node is about to do, or has got.
+// event is an operation that a node is about to perform, or one whose result it has
+// received.
 type event struct {
 	node domain.NodeID
 	name string
-	// to is the peer of a call, key the request of an engine's event or the key in
-	// the store.
+	// to is the other node of a peer message. key is the request key of an engine or
+	// caller event, or the key of a store event.
 	to     domain.NodeID
 	key    string
 	offset uint64
 }
 
-// emit tells the observer of an event.
+// emit passes an event to the observer.
 func (c *cluster) emit(e event) {
 	if f := c.observe.Load(); f != nil {
 		(*f)(e)
 	}
 }
 
-// observedTransport tells the cluster of what its node sends and is sent.
+// observedTransport reports the messages that a node sends and receives to the cluster.
 type observedTransport struct {
 	peer.Transport
 	c *cluster
@@ -68,14 +70,14 @@
 	})
 }
 
-// gatedStore is the store as one node reaches it: a crashed node writes nothing
-// more, and a paused one goes on when it wakes.
+// gatedStore is the store called through the gate of a node: a crashed node writes
+// nothing more, and the calls of a paused one wait until it resumes.
 type gatedStore struct {
 	store.Store
 	gate *gate
 }
 
-// pass waits while the node is paused, and holds back what a crashed one sends.
+// pass waits while the node is paused, and returns an error if it has crashed.
 func (s gatedStore) pass(ctx context.Context) error {
 	if s.gate.pass(ctx) != nil {
 		return store.ErrUnavailable
@@ -83,8 +85,9 @@
 	return nil
 }
 
-// through makes a call that a paused node neither sends nor gets the answer of.
-func through[T any](ctx context.Context, s gatedStore, call func() (T, error)) (T, error) {
+// gatedCall makes a call through the gate: while the node is paused, neither the call
+// is sent nor its result returned.
+func gatedCall[T any](ctx context.Context, s gatedStore, call func() (T, error)) (T, error) {
 	var none T
 	if err := s.pass(ctx); err != nil {
 		return none, err
@@ -97,34 +100,34 @@
 }
 
 func (s gatedStore) Get(ctx context.Context, key string) (store.Entry, error) {
-	s.gate.note(eventGet, key, 0)
-	entry, err := through(ctx, s, func() (store.Entry, error) { return s.Store.Get(ctx, key) })
-	s.gate.note(eventGet+suffixAfter, key, 0)
+	s.gate.observe(eventGet, key, 0)
+	entry, err := gatedCall(ctx, s, func() (store.Entry, error) { return s.Store.Get(ctx, key) })
+	s.gate.observe(eventGet+suffixAfter, key, 0)
 	return entry, err
 }
 
 func (s gatedStore) List(ctx context.Context, prefix string) ([]store.Entry, error) {
-	return through(ctx, s, func() ([]store.Entry, error) { return s.Store.List(ctx, prefix) })
+	return gatedCall(ctx, s, func() ([]store.Entry, error) { return s.Store.List(ctx, prefix) })
 }
 
 func (s gatedStore) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
-	s.gate.note(eventSwap, key, 0)
-	revision, err := through(ctx, s, func() (store.Revision, error) {
+	s.gate.observe(eventSwap, key, 0)
+	revision, err := gatedCall(ctx, s, func() (store.Revision, error) {
 		return s.Store.CompareAndSwap(ctx, key, expected, value, lease)
 	})
-	s.gate.note(eventSwap+suffixAfter, key, 0)
+	s.gate.observe(eventSwap+suffixAfter, key, 0)
 	return revision, err
 }
 
 func (s gatedStore) Delete(ctx context.Context, key string, expected store.Revision) error {
-	_, err := through(ctx, s, func() (struct{}, error) { return struct{}{}, s.Store.Delete(ctx, key, expected) })
+	_, err := gatedCall(ctx, s, func() (struct{}, error) { return struct{}{}, s.Store.Delete(ctx, key, expected) })
 	return err
 }
 
 func (s gatedStore) Watch(ctx context.Context, key string, after store.Revision) (store.Entry, error) {
-	return through(ctx, s, func() (store.Entry, error) { return s.Store.Watch(ctx, key, after) })
+	return gatedCall(ctx, s, func() (store.Entry, error) { return s.Store.Watch(ctx, key, after) })
 }
 
 func (s gatedStore) GrantLease(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
-	return through(ctx, s, func() (store.LeaseID, error) { return s.Store.GrantLease(ctx, ttl) })
+	return gatedCall(ctx, s, func() (store.LeaseID, error) { return s.Store.GrantLease(ctx, ttl) })
 }
--- a/node/operators.go
+++ b/node/operators.go
@@ -20,8 +20,8 @@
 	"hawthornrill.example/hawthornrill/scheduler"
 )
 
-// State is the dump of a node's state. It holds no secrets, keys of requests or
-// contents.
+// State is a dump of the node's state for debugging. It contains no secrets,
+// request keys or request contents.
 type State struct {
 	Version        string                 `json:"version"`
 	Self           domain.Member          `json:"self"`
@@ -38,10 +38,10 @@
 	ConfigRevision uint64                 `json:"config_revision"`
 }
 
-// readyText is what State.Ready says of a node that is ready.
+// readyText is the value of State.Ready, and the body of /readyz, for a ready node.
 const readyText = "ready"
 
-// State returns the dump.
+// State returns a dump of the current state.
 func (n *Node) State() State {
 	s := State{
 		Version:    buildinfo.String(),
@@ -69,13 +69,13 @@
 	return s
 }
 
-// Health registers /livez and /readyz.
+// RegisterHealthRoutes registers /livez and /readyz.
 func (n *Node) RegisterHealthRoutes(e *echo.Echo) {
 	e.GET("/livez", func(c echo.Context) error { return c.String(http.StatusOK, "live\n") })
 	e.GET("/readyz", n.readyz)
 }
 
-// Observe registers /metrics and /debug/state.
+// RegisterDebugRoutes registers /metrics and /debug/state.
 func (n *Node) RegisterDebugRoutes(e *echo.Echo) {
 	e.GET("/metrics", func(c echo.Context) error {
 		c.Response().Header().Set(echo.HeaderContentType, "text/plain; version=0.0.4")
@@ -92,7 +92,7 @@
 	return c.String(http.StatusOK, readyText+"\n")
 }
 
-// WriteMetrics writes the node's metrics in Prometheus' text format.
+// WriteMetrics writes the node's metrics in the Prometheus text format.
 func (n *Node) WriteMetrics(w io.Writer) {
 	n.options.Metrics.WritePrometheus(w)
 	n.scheduler.WriteMetrics(w)
--- a/node/options.go
+++ b/node/options.go
@@ -15,42 +15,43 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// Options are the seams and numbers of a Node. Transport, Store, Members and
-// Adapters are required; the transport must not have started.
+// Options holds the dependencies and settings of a Node. Transport, Store, Members
+// and Adapters are required; the transport must not have been started.
 type Options struct {
 	Transport peer.Transport
 	Store     store.Store
 	Members   Members
-	// EntryHostList tells which endpoints the platform takes away; nil for none.
+	// EntryHostList reports the endpoints that the platform is removing; optional.
 	EntryHostList *EntryHostList
 	Adapters      Adapters
 	Log           zerolog.Logger
 	Metrics       *metrics.Set
 
-	// SessionSecrets sign session tokens, the first; all verify.
+	// SessionSecrets are the keys for session tokens: the first signs, all verify.
 	SessionSecrets [][]byte
 	SessionTTL     time.Duration
 
-	// Retention is how long finished requests are remembered, MaxKeys how many, and
-	// AnswerBytes how much of their answers.
+	// Retention is how long finished requests are kept, MaxKeys the maximum number of
+	// records, and AnswerBytes the size of the answer cache.
 	Retention   time.Duration
 	MaxKeys     int
 	AnswerBytes int
 
-	// NoticePeriod is how long a draining node still serves what is new, for the
-	// balancer to notice.
+	// NoticePeriod is how long a draining node still accepts new requests, so that
+	// the load balancer can notice that it is not ready.
 	NoticePeriod time.Duration
 
 	Entry     entry.Options
 	Scheduler scheduler.Options
 	Routing   routing.Options
-	// Capacity holds numbers, and NewChooser if the node is not to use package
-	// routing; the parts are filled in by the node.
+	// Capacity holds settings, and NewChooser to replace package routing; the node
+	// fills in the dependencies.
 	Capacity capacity.Options
-	// Coordinator makes the node a candidate for giving engines their orders, and
-	// keeps requests from engines that have not loaded the model; nil for neither.
-	// It holds numbers and Weights; the other parts are filled in by the node.
+	// Coordinator makes the node a candidate for coordinator, and keeps requests away
+	// from engines that have not loaded the model; nil disables both. It holds
+	// settings and the budget for loading models; the node fills in the rest.
 	Coordinator *coordinator.Options
-	// Lengths predicts the lengths of answers; nil for a routing.LengthPredictor.
+	// LengthPredictor predicts the length of answers; nil uses the one of package
+	// routing.
 	LengthPredictor scheduler.LengthPredictor
 }
--- a/node/partition_test.go
+++ b/node/partition_test.go
@@ -14,9 +14,9 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// TestPartition cuts Palermo off from the other data centres and from the store.
-// Every data centre goes on serving what is decided in it; no key is run twice
-// however often it is sent on both sides.
+// TestPartition partitions Palermo from the other data centres while the store is
+// down. Every data centre must still serve the keys that it decides about, and no key
+// may be executed twice when it is sent on both sides.
 func TestPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, deployment.Cucine(), engine.Options{Speed: engine.GenerationA()})
@@ -41,14 +41,14 @@
 					served = true
 					continue
 				}
-				assert.Equal(t, problemOf(t, response).Outcome, domain.OutcomeUnknown, response.Body.String())
+				assert.Equal(t, decodeProblem(t, response).Outcome, domain.OutcomeUnknown, response.Body.String())
 				unknown++
 			}
 			if served {
 				answered++
 			}
 		}
-		t.Logf("%d of %d keys answered on one side, %d of %d attempts told unknown", answered, keys, unknown, 4*keys)
+		t.Logf("%d of %d keys answered on one side, %d of %d attempts with unknown outcome", answered, keys, unknown, 4*keys)
 		assert.Equal(t, answered, keys)
 		c.assertAtMostOnce()
 
--- a/node/path_test.go
+++ b/node/path_test.go
@@ -14,9 +14,9 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// TestWholePath sends each request to every node in turn: one runs it, the others
-// give the same answer.
-func TestWholePath(t *testing.T) {
+// TestEachKeyRunsOnce sends each request to every node in turn. It must be executed
+// once, and all nodes must return the same answer.
+func TestEachKeyRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, deployment.Cucine(), engine.Options{Speed: engine.GenerationA()})
 		defer c.close()
@@ -37,9 +37,9 @@
 	})
 }
 
-// TestJoiningIsCheap shows what the start of a deployment costs the store, and that
-// nothing is written per request.
-func TestJoiningIsCheap(t *testing.T) {
+// TestNoStoreWritePerRequest logs the store calls made by the start of a deployment,
+// and fails if requests cause writes to the store.
+func TestNoStoreWritePerRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, deployment.Cucine(), engine.Options{Speed: engine.GenerationA()})
 		defer c.close()
--- a/node/placement.go
+++ b/node/placement.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// stateEvery is the interval at which an owner reads what its engines serve.
-	stateEvery = 5 * time.Second
-	// stateTTL is for how long an engine's word about what it serves counts.
-	stateTTL = 3 * stateEvery
+	// stateInterval is how often an owner reads which models its engines have loaded.
+	stateInterval = 5 * time.Second
+	// stateTTL is how long the state reported by an engine is valid.
+	stateTTL = 3 * stateInterval
 )
 
-// Orders implements coordinator.Engines. Not every engine takes orders.
+// Orders implements coordinator.Engines. It reports false for engines that don't
+// accept orders.
 func (e *endpoints) Orders(id domain.EndpointID) (endpoint.Orders, bool) {
 	engine, ok := e.Engine(id)
 	if !ok {
@@ -30,17 +31,17 @@
 	return orders, ok
 }
 
-// placement reads what the engines of the pools owned by this node serve, so that
-// no request goes to one that has not loaded its model.
+// placement polls the engines of the pools owned by this node for their loaded
+// models, so that no request is sent to an engine without its model.
 type placement struct {
 	capacity  *capacity.Service
 	endpoints *endpoints
 	readiness *coordinator.Readiness
 }
 
-// run reads until the context ends.
+// run polls the engines until ctx is done.
 func (p *placement) run(ctx context.Context) error {
-	ticker := time.NewTicker(stateEvery)
+	ticker := time.NewTicker(stateInterval)
 	defer ticker.Stop()
 	for {
 		p.readAll(ctx)
@@ -54,7 +55,7 @@
 
 func (p *placement) readAll(ctx context.Context) {
 	var group errgroup.Group
-	group.SetLimit(reportsAtOnce)
+	group.SetLimit(maxConcurrentReads)
 	for _, id := range p.capacity.Owned() {
 		group.Go(func() error {
 			p.read(ctx, id)
@@ -64,7 +65,8 @@
 	_ = group.Wait()
 }
 
-// read reads one engine; one that does not answer is soon unknown.
+// read polls one engine. The state of one that does not answer expires after
+// stateTTL.
 func (p *placement) read(ctx context.Context, id domain.EndpointID) {
 	orders, ok := p.endpoints.Orders(id)
 	if !ok {
@@ -78,7 +80,7 @@
 	}
 }
 
-// readyChooser leaves out the engines that are known not to have the ask's model.
+// readyChooser excludes engines known not to have loaded the requested model.
 type readyChooser struct {
 	capacity.Chooser
 	readiness *coordinator.Readiness
@@ -86,7 +88,8 @@
 
 var _ capacity.ReportReceiver = readyChooser{}
 
-// Choose implements capacity.Chooser. While no candidate is ready the ask waits.
+// Choose implements capacity.Chooser. The request waits while no candidate is
+// ready.
 func (c readyChooser) Choose(now time.Time, waiting *capacity.QueuedRequest, candidates []*capacity.EndpointState) (int, bool) {
 	model, isModel := strings.CutPrefix(string(waiting.Request.Pool), string(domain.ModelPool("")))
 	if !isModel {
--- a/node/placement_test.go
+++ b/node/placement_test.go
@@ -17,9 +17,9 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// TestPlacement starts whole nodes with engines that load their model when one of
-// the nodes tells them. An engine that has forgotten its model gets no request
-// until it has it again.
+// TestPlacement runs engines that load their model only when the coordinator orders
+// it. An engine that has crashed and lost its model must get no requests until it has
+// loaded the model again.
 func TestPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		speed := engine.GenerationA()
@@ -38,7 +38,7 @@
 		}
 		e := c.engines[slices.Min(slices.Collect(maps.Keys(c.engines)))]
 		e.Crash()
-		time.Sleep(stateEvery + 10*time.Second) // Told again, and loading.
+		time.Sleep(stateInterval + 10*time.Second) // Ordered again, and loading.
 		assert.Assert(t, !hasReady(t, e, "quote"))
 		refused := e.Counts().Refused
 		for range 10 {
@@ -64,12 +64,12 @@
 	return false
 }
 
-// Order implements endpoint.Orders, without the gate.
+// Order implements endpoint.Orders. It bypasses the gate.
 func (e gatedEngine) Order(ctx context.Context, order endpoint.Order) error {
 	return e.Engine.(endpoint.Orders).Order(ctx, order)
 }
 
-// State implements endpoint.Orders, without the gate.
+// State implements endpoint.Orders. It bypasses the gate.
 func (e gatedEngine) State(ctx context.Context) (endpoint.EngineState, error) {
 	return e.Engine.(endpoint.Orders).State(ctx)
 }
--- a/node/race_off_test.go
+++ b/node/race_off_test.go
@@ -2,5 +2,5 @@
 
 package node
 
-// raceEnabled reports whether the race detector watches.
+// raceEnabled reports whether the race detector is enabled.
 const raceEnabled = false
--- a/node/race_on_test.go
+++ b/node/race_on_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// raceEnabled reports whether the race detector watches.
+// raceEnabled reports whether the race detector is enabled.
 const raceEnabled = true
 
-// TestMain keeps the detector to one processor: with more, the runtime of Go 1.26.8
-// runs the timers of one synctest bubble on several threads under one context of
-// the detector, which then now and then crashes.
+// TestMain limits the race detector to one processor. With more, the runtime of Go
+// 1.26.8 runs timers of one synctest bubble on several threads with the same race
+// context, which occasionally crashes the detector.
 func TestMain(m *testing.M) {
 	runtime.GOMAXPROCS(1)
 	os.Exit(m.Run())
--- a/node/reports.go
+++ b/node/reports.go
@@ -13,45 +13,45 @@
 )
 
 const (
-	// reportEvery is the interval at which an owner reads its endpoints' reports.
-	reportEvery = 2 * time.Second
-	// reportTimeout bounds the reading of one endpoint's report.
+	// reportInterval is how often an owner reads the load reports of its endpoints.
+	reportInterval = 2 * time.Second
+	// reportTimeout bounds reading from one endpoint.
 	reportTimeout = time.Second
-	// reportsAtOnce bounds the reports that are read at a time.
-	reportsAtOnce = 8
+	// maxConcurrentReads bounds the endpoints that are read at the same time.
+	maxConcurrentReads = 8
 )
 
-// reports reads what the endpoints of the pools owned by this node say of
-// themselves and hands it on. An endpoint that says it is leaving is taken out
-// of service for new work.
-type reports struct {
+// reportPoller polls the endpoints of the pools owned by this node for load reports
+// and cache events and passes them to the capacity service. An endpoint that
+// reports itself as leaving gets no new work.
+type reportPoller struct {
 	capacity  *capacity.Service
 	endpoints *endpoints
 
 	mu sync.Mutex
-	// events is the last cache event seen, by endpoint.
-	events map[domain.EndpointID]uint64
-	// left are the endpoints that said they were leaving.
-	left map[domain.EndpointID]struct{}
+	// lastEvents holds the sequence number of the last cache event by endpoint.
+	lastEvents map[domain.EndpointID]uint64
+	// leaving holds the endpoints that report themselves as leaving.
+	leaving map[domain.EndpointID]struct{}
 }
 
-func newReports(c *capacity.Service, e *endpoints) *reports {
-	return &reports{
-		capacity:  c,
-		endpoints: e,
-		events:    make(map[domain.EndpointID]uint64),
-		left:      make(map[domain.EndpointID]struct{}),
+func newReportPoller(c *capacity.Service, e *endpoints) *reportPoller {
+	return &reportPoller{
+		capacity:   c,
+		endpoints:  e,
+		lastEvents: make(map[domain.EndpointID]uint64),
+		leaving:    make(map[domain.EndpointID]struct{}),
 	}
 }
 
-// run reads reports until the context ends.
-func (r *reports) run(ctx context.Context) error {
-	return pacing.Every(ctx, reportEvery, func() { r.readAll(ctx) })
+// run polls the endpoints until ctx is done.
+func (r *reportPoller) run(ctx context.Context) error {
+	return pacing.Every(ctx, reportInterval, func() { r.readAll(ctx) })
 }
 
-func (r *reports) readAll(ctx context.Context) {
+func (r *reportPoller) readAll(ctx context.Context) {
 	var group errgroup.Group
-	group.SetLimit(reportsAtOnce)
+	group.SetLimit(maxConcurrentReads)
 	for _, id := range r.capacity.Owned() {
 		group.Go(func() error {
 			r.read(ctx, id)
@@ -61,9 +61,9 @@
 	_ = group.Wait()
 }
 
-// read reads one endpoint's report; one that does not answer is left as it is,
-// since the owner's own account is exact.
-func (r *reports) read(ctx context.Context, id domain.EndpointID) {
+// read polls one endpoint. If it does not answer, its state stays unchanged, since
+// the owner's own accounting is exact.
+func (r *reportPoller) read(ctx context.Context, id domain.EndpointID) {
 	engine, ok := r.endpoints.Engine(id)
 	if !ok {
 		return
@@ -84,29 +84,29 @@
 	r.setLastEvent(id, events[len(events)-1].Sequence)
 }
 
-// setLeaving passes a change of the endpoint's own word on.
-func (r *reports) setLeaving(id domain.EndpointID, leaving bool) {
+// setLeaving passes on a change of the leaving state reported by the endpoint.
+func (r *reportPoller) setLeaving(id domain.EndpointID, leaving bool) {
 	r.mu.Lock()
-	_, before := r.left[id]
+	_, wasLeaving := r.leaving[id]
 	if leaving {
-		r.left[id] = struct{}{}
+		r.leaving[id] = struct{}{}
 	} else {
-		delete(r.left, id)
+		delete(r.leaving, id)
 	}
 	r.mu.Unlock()
-	if leaving != before {
+	if leaving != wasLeaving {
 		r.capacity.SetEndpointLeaving(id, leaving)
 	}
 }
 
-func (r *reports) lastEvent(id domain.EndpointID) uint64 {
+func (r *reportPoller) lastEvent(id domain.EndpointID) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.events[id]
+	return r.lastEvents[id]
 }
 
-func (r *reports) setLastEvent(id domain.EndpointID, sequence uint64) {
+func (r *reportPoller) setLastEvent(id domain.EndpointID, sequence uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.events[id] = sequence
+	r.lastEvents[id] = sequence
 }
--- a/node/tables.go
+++ b/node/tables.go
@@ -16,18 +16,18 @@
 )
 
 // tables distributes the ledger table of this node's data centre as a document. It
-// implements ledger.Tables and ledger.TableEditor. Tables of other data centres are
-// asked for by package ledger when they are met.
+// implements ledger.Tables and ledger.TableEditor. Package ledger fetches the
+// tables of other data centres when it needs them.
 type tables struct {
-	documents *document.Service
-	self      domain.Member
-	keep      time.Duration
-	current   atomic.Pointer[ledger.Table]
+	documents          *document.Service
+	self               domain.Member
+	departureRetention time.Duration
+	current            atomic.Pointer[ledger.Table]
 
 	mu          sync.Mutex
 	subscribers map[int]func(domain.DataCentre)
 	nextID      int
-	// ages counts the departures' ages on between edits.
+	// ages advances the ages of departures between edits.
 	ages ledger.AgeCounter
 }
 
@@ -36,13 +36,14 @@
 	_ ledger.TableEditor = (*tables)(nil)
 )
 
-// newTables registers the table's document; keep is for how long departures matter.
-func newTables(documents *document.Service, self domain.Member, keep time.Duration) (*tables, error) {
+// newTables registers the table's document. Departures are kept in the table for
+// departureRetention.
+func newTables(documents *document.Service, self domain.Member, departureRetention time.Duration) (*tables, error) {
 	t := &tables{
-		documents:   documents,
-		self:        self,
-		keep:        keep,
-		subscribers: make(map[int]func(domain.DataCentre)),
+		documents:          documents,
+		self:               self,
+		departureRetention: departureRetention,
+		subscribers:        make(map[int]func(domain.DataCentre)),
 	}
 	err := documents.Register(document.Spec{
 		Name:     ledger.TableKey(self.DataCentre),
@@ -52,20 +53,20 @@
 	return t, err
 }
 
-// apply puts a stored table in force.
+// apply makes a stored table the current one and notifies the subscribers.
 func (t *tables) apply(_ document.Version, value []byte) error {
 	table, err := ledger.DecodeTable(value)
 	if err != nil {
 		return err
 	}
-	for _, notify := range t.adopt(table) {
+	for _, notify := range t.setCurrent(table) {
 		notify(t.self.DataCentre)
 	}
 	return nil
 }
 
-// adopt stores the table and returns who is to be told.
-func (t *tables) adopt(table *ledger.Table) []func(domain.DataCentre) {
+// setCurrent sets the current table and returns the subscribers to notify.
+func (t *tables) setCurrent(table *ledger.Table) []func(domain.DataCentre) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ages.Count(table, time.Now())
@@ -95,8 +96,8 @@
 	}
 }
 
-// errUnchanged ends an edit that has nothing to change, also where there is no
-// table yet.
+// errUnchanged aborts an edit that changes nothing, including one made before the
+// table exists.
 var errUnchanged = errors.New("node: ledger table unchanged")
 
 // Edit implements ledger.TableEditor.
@@ -116,7 +117,7 @@
 		if result == current {
 			return document.Value{}, errUnchanged
 		}
-		if result, err = ledger.Forget(t.keep)(result); err != nil {
+		if result, err = ledger.Forget(t.departureRetention)(result); err != nil {
 			return document.Value{}, err
 		}
 		encoded, err := ledger.EncodeTable(result)
@@ -131,8 +132,8 @@
 	return result, nil
 }
 
-// decode reads a stored table, an empty one if there is none yet, and counts the
-// departures' ages on.
+// decode decodes a stored table and advances the ages of its departures. It returns
+// an empty table if none is stored yet.
 func (t *tables) decode(value []byte) (*ledger.Table, error) {
 	if len(value) == 0 {
 		return &ledger.Table{DataCentre: t.self.DataCentre}, nil
--- a/node/tables_test.go
+++ b/node/tables_test.go
@@ -15,9 +15,9 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// TestLeavingBeforeJoining has a node leave a table that does not exist yet, as one
-// does that stops before it has joined: nothing is written.
-func TestLeavingBeforeJoining(t *testing.T) {
+// TestLeaveBeforeJoin leaves a table that does not exist yet, as a node does that is
+// stopped before it has joined. Nothing may be written.
+func TestLeaveBeforeJoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := peertest.NewNetwork()
 		defer network.Close()
--- a/node/tiers_test.go
+++ b/node/tiers_test.go
@@ -18,8 +18,9 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// small returns Cucine with one engine of four places in each data centre.
-func small() *deployment.Deployment {
+// smallDeployment returns the Cucine deployment with one engine of four slots in each
+// data centre.
+func smallDeployment() *deployment.Deployment {
 	d := deployment.Cucine()
 	var rows []config.EndpointRow
 	for _, row := range d.Table.Endpoints {
@@ -32,11 +33,12 @@
 	return d
 }
 
-// TestTiersUnderOverload fills all engines with the lowest tier, and then sends
-// more of the highest tier than fits in time beside it.
+// TestTiersUnderOverload fills all engines with requests of the lowest tier and then
+// sends more of the highest tier than can be served in time beside them. All requests
+// of the highest tier must be answered, with no more revocations than needed.
 func TestTiersUnderOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, small(), engine.Options{Speed: engine.GenerationB()})
+		c := newCluster(t, smallDeployment(), engine.Options{Speed: engine.GenerationB()})
 		defer c.close()
 		var group sync.WaitGroup
 		send := func(org domain.OrganisationID, count, tokens int) []*httptest.ResponseRecorder {
@@ -62,15 +64,15 @@
 			outcomes[outcomeOf(t, r)]++
 		}
 		t.Logf("lowest tier: %v", outcomes)
-		assert.Check(t, outcomes[string(domain.OutcomeRan)] <= 10, "more was revoked than the higher tier needed")
+		assert.Check(t, outcomes[string(domain.OutcomeRan)] <= 10, "more requests were revoked than the higher tier needed")
 		c.assertAtMostOnce()
 	})
 }
 
-// outcomeOf returns "answered", or the outcome that the caller was told.
+// outcomeOf returns "answered", or the outcome in the problem document.
 func outcomeOf(t *testing.T, r *httptest.ResponseRecorder) string {
 	if r.Code == http.StatusOK {
 		return "answered"
 	}
-	return string(problemOf(t, r).Outcome)
+	return string(decodeProblem(t, r).Outcome)
 }
--- a/node/wallclock_test.go
+++ b/node/wallclock_test.go
@@ -11,21 +11,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// wallClock are the ways from a time.Time to the wall clock.
+// wallClock matches calls that read the wall-clock part of a time.Time.
 var wallClock = regexp.MustCompile(`\.Unix(Nano|Milli|Micro)?\(|time\.Unix|\.Round\(0\)|time\.Date\(`)
 
-// wallClockAllowed are packages that read the wall clock: session tokens expire by
-// it, a daemon's incarnation is taken from it, and sizing writes a date.
-var wallClockAllowed = []string{"session/", "daemon/", "sizing/", "standin/", "load/", "cmd/", "demo/"}
+// wallClockPackages may read the wall clock: session tokens expire by it, a daemon's
+// incarnation is derived from it, and sizing writes a date.
+var wallClockPackages = []string{"session/", "daemon/", "sizing/", "standin/", "load/", "cmd/", "demo/"}
 
-// TestNoDecisionReadsTheWallClock is why a jump of the clock changes no decision.
+// TestNoDecisionReadsTheWallClock checks that no other package reads the wall clock,
+// so that a clock jump can't affect decisions.
 func TestNoDecisionReadsTheWallClock(t *testing.T) {
 	read := 0
 	err := fs.WalkDir(os.DirFS(".."), ".", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		for _, allowed := range wallClockAllowed {
+		for _, allowed := range wallClockPackages {
 			if strings.HasPrefix(path, allowed) {
 				return nil
 			}
