--- a/peer/pki/errors.go
+++ b/peer/pki/errors.go
@@ -3,8 +3,8 @@
 import "errors"
 
 var (
-	// ErrNotNamed means that a certificate does not name the node.
-	ErrNotNamed = errors.New("pki: certificate does not name the node")
+	// ErrNameMismatch means that a certificate does not name the node.
+	ErrNameMismatch = errors.New("pki: certificate does not name the node")
 	// ErrNoCertificate means that the other side showed no certificate.
 	ErrNoCertificate = errors.New("pki: no certificate")
 	// ErrBadFile means that a certificate, key or authority file can't be used.
--- a/peer/pki/identity.go
+++ b/peer/pki/identity.go
@@ -11,11 +11,11 @@
 // uriPrefix begins the URI form of a node's name.
 const uriPrefix = "urn:hawthornrill:node:"
 
-// VerifyNode returns ErrNotNamed unless the certificate names the node. It does
+// VerifyNode returns ErrNameMismatch unless the certificate names the node. It does
 // not check who signed the certificate.
 func VerifyNode(certificate *x509.Certificate, node domain.NodeID) error {
 	if node == "" {
-		return fmt.Errorf("%w: empty node", ErrNotNamed)
+		return fmt.Errorf("%w: empty node", ErrNameMismatch)
 	}
 	if slices.Contains(certificate.DNSNames, string(node)) {
 		return nil
@@ -25,5 +25,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %q", ErrNotNamed, node)
+	return fmt.Errorf("%w: %q", ErrNameMismatch, node)
 }
--- a/peer/pki/pki_test.go
+++ b/peer/pki/pki_test.go
@@ -27,9 +27,9 @@
 	}{
 		{"dns", x509.Certificate{DNSNames: []string{"usk-1", "taf-1"}}, "taf-1", nil},
 		{"uri", x509.Certificate{URIs: []*url.URL{uri}}, "taf-1", nil},
-		{"other", x509.Certificate{DNSNames: []string{"taf-10"}, URIs: []*url.URL{uri}}, "taf-2", ErrNotNamed},
-		{"none", x509.Certificate{}, "taf-1", ErrNotNamed},
-		{"empty node", x509.Certificate{DNSNames: []string{""}}, "", ErrNotNamed},
+		{"other", x509.Certificate{DNSNames: []string{"taf-10"}, URIs: []*url.URL{uri}}, "taf-2", ErrNameMismatch},
+		{"none", x509.Certificate{}, "taf-1", ErrNameMismatch},
+		{"empty node", x509.Certificate{DNSNames: []string{""}}, "", ErrNameMismatch},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/peer/wslink/accept.go
+++ b/peer/wslink/accept.go
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(t.ctx, t.options.DialTimeout)
 	defer cancel()
 	if conn.Subprotocol() != subprotocol {
-		return domain.Member{}, fmt.Errorf("%w: subprotocol %q", ErrNonsense, conn.Subprotocol())
+		return domain.Member{}, fmt.Errorf("%w: subprotocol %q", ErrProtocol, conn.Subprotocol())
 	}
 	hello, err := readHello(ctx, conn)
 	if err != nil {
@@ -65,7 +65,7 @@
 	if !errors.Is(err, ErrIdentity) {
 		reason = closeReasonNonsense
 	}
-	if errors.Is(err, ErrIdentity) || errors.Is(err, ErrNonsense) {
+	if errors.Is(err, ErrIdentity) || errors.Is(err, ErrProtocol) {
 		t.reportNonsense(domain.NodeID(hostOf(address)+" as "+string(node)), err)
 	}
 	_ = conn.Close(websocket.StatusPolicyViolation, reason)
--- a/peer/wslink/dial.go
+++ b/peer/wslink/dial.go
@@ -17,7 +17,7 @@
 // goroutines are not started yet.
 func (t *Transport) dial(to domain.Member) (*link, error) {
 	if t.options.Credentials == nil && !isLoopback(to.Address) {
-		return nil, fmt.Errorf("%w: dialling %q", ErrPlain, to.Address)
+		return nil, fmt.Errorf("%w: dialling %q", ErrTLSRequired, to.Address)
 	}
 	ctx, cancel := context.WithTimeout(t.ctx, t.options.DialTimeout)
 	defer cancel()
@@ -77,7 +77,7 @@
 // greet exchanges hellos on a dialled connection and checks who answered.
 func (t *Transport) greet(ctx context.Context, conn *websocket.Conn, node domain.NodeID) (domain.Member, error) {
 	if conn.Subprotocol() != subprotocol {
-		return domain.Member{}, fmt.Errorf("%w: subprotocol %q", ErrNonsense, conn.Subprotocol())
+		return domain.Member{}, fmt.Errorf("%w: subprotocol %q", ErrProtocol, conn.Subprotocol())
 	}
 	if err := t.sendHello(ctx, conn); err != nil {
 		return domain.Member{}, err
--- a/peer/wslink/doc.go
+++ b/peer/wslink/doc.go
@@ -11,7 +11,7 @@
 //
 // A Call fails with peer.ErrNotSent if its message certainly did not reach a
 // handler: no link could be had, another life of the node answered
-// (*OtherLifeError), the link failed before the message was written, or the other
+// (*IncarnationMismatchError), the link failed before the message was written, or the other
 // end refused it. It fails with peer.ErrUnreachable if the message was written and
 // no reply came. A handler's context carries what was left of the caller's
 // deadline and ends when the serving transport closes; it does not end with the
--- a/peer/wslink/errors.go
+++ b/peer/wslink/errors.go
@@ -9,10 +9,10 @@
 )
 
 var (
-	// ErrPlain means that links without TLS were asked for away from loopback.
-	ErrPlain = errors.New("wslink: links without TLS are allowed on loopback only")
-	// ErrNonsense means that the other end broke the protocol.
-	ErrNonsense = errors.New("wslink: protocol violation")
+	// ErrTLSRequired means that links without TLS were asked for away from loopback.
+	ErrTLSRequired = errors.New("wslink: links without TLS are allowed on loopback only")
+	// ErrProtocol means that the other end broke the protocol.
+	ErrProtocol = errors.New("wslink: protocol violation")
 	// ErrIdentity means that the other end is not the node that was dialled or that
 	// it says it is.
 	ErrIdentity = errors.New("wslink: wrong identity")
@@ -24,24 +24,24 @@
 	ErrOverload = errors.New("wslink: link overloaded")
 	// ErrTooLarge means that a frame is larger than allowed.
 	ErrTooLarge = errors.New("wslink: frame too large")
-	// ErrSilent means that the other end did not answer a ping.
-	ErrSilent = errors.New("wslink: no answer to ping")
+	// ErrPingTimeout means that the other end did not answer a ping.
+	ErrPingTimeout = errors.New("wslink: no answer to ping")
 
 	// errDraining means that the link takes no new calls; another may be opened.
 	errDraining = errors.New("wslink: link is closing")
 )
 
-// OtherLifeError means that the node runs, but in another life than the one
+// IncarnationMismatchError means that the node runs, but in another life than the one
 // called. It is a peer.ErrNotSent.
-type OtherLifeError struct {
+type IncarnationMismatchError struct {
 	// Called is the life that was called, Found the one that answered.
 	Called, Found domain.Member
 }
 
 // Error names both lives.
-func (e *OtherLifeError) Error() string {
+func (e *IncarnationMismatchError) Error() string {
 	return fmt.Sprintf("wslink: %s called, %s answered", e.Called, e.Found)
 }
 
 // Unwrap returns peer.ErrNotSent.
-func (e *OtherLifeError) Unwrap() error { return peer.ErrNotSent }
+func (e *IncarnationMismatchError) Unwrap() error { return peer.ErrNotSent }
--- a/peer/wslink/frame.go
+++ b/peer/wslink/frame.go
@@ -92,11 +92,11 @@
 	return cbor.Marshal(f)
 }
 
-// decodeFrame returns the frame in data, which it does not keep, or ErrNonsense.
+// decodeFrame returns the frame in data, which it does not keep, or ErrProtocol.
 func decodeFrame(data []byte) (*frame, error) {
 	f := new(frame)
 	if err := frameDecoder.Unmarshal(data, f); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrNonsense, err)
+		return nil, fmt.Errorf("%w: %w", ErrProtocol, err)
 	}
 	if err := f.check(); err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	return f, nil
 }
 
-// check returns ErrNonsense for a frame that no well-behaved end sends.
+// check returns ErrProtocol for a frame that no well-behaved end sends.
 func (f *frame) check() error {
 	switch f.Kind {
 	case kindHello:
@@ -118,7 +118,7 @@
 	case kindClose:
 		return nil
 	default:
-		return fmt.Errorf("%w: frame of kind %d", ErrNonsense, f.Kind)
+		return fmt.Errorf("%w: frame of kind %d", ErrProtocol, f.Kind)
 	}
 }
 
@@ -135,7 +135,7 @@
 	if ok {
 		return nil
 	}
-	return fmt.Errorf("%w: malformed %s", ErrNonsense, what)
+	return fmt.Errorf("%w: malformed %s", ErrProtocol, what)
 }
 
 // millis rounds a duration up to whole milliseconds.
--- a/peer/wslink/hello.go
+++ b/peer/wslink/hello.go
@@ -43,7 +43,7 @@
 		return domain.Member{}, fmt.Errorf("wslink: read hello: %w", err)
 	}
 	if f.Kind != kindHello {
-		return domain.Member{}, fmt.Errorf("%w: no hello", ErrNonsense)
+		return domain.Member{}, fmt.Errorf("%w: no hello", ErrProtocol)
 	}
 	return *f.Member, nil
 }
--- a/peer/wslink/housekeep.go
+++ b/peer/wslink/housekeep.go
@@ -36,7 +36,7 @@
 		case dueDrain:
 			l.drain()
 		case dueEnd:
-			l.end(fmt.Errorf("%w: not closed in time", ErrSilent))
+			l.end(fmt.Errorf("%w: not closed in time", ErrPingTimeout))
 		case duePing:
 			t.ping(l)
 		}
@@ -79,7 +79,7 @@
 		ctx, cancel := context.WithTimeout(l.ctx, t.options.PingTimeout)
 		defer cancel()
 		if err := l.conn.Ping(ctx); err != nil {
-			l.end(fmt.Errorf("%w: %w", ErrSilent, err))
+			l.end(fmt.Errorf("%w: %w", ErrPingTimeout, err))
 			return
 		}
 		l.lastReceived.Store(int64(t.uptime()))
--- a/peer/wslink/nonsense_test.go
+++ b/peer/wslink/nonsense_test.go
@@ -211,7 +211,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		decoded, err := decodeFrame(data)
 		if err != nil {
-			assert.ErrorIs(t, err, ErrNonsense)
+			assert.ErrorIs(t, err, ErrProtocol)
 			return
 		}
 		again, err := decodeFrame(encoded(t, decoded))
--- a/peer/wslink/reader.go
+++ b/peer/wslink/reader.go
@@ -37,14 +37,14 @@
 }
 
 // readFrame reads one frame into the buffer and decodes it. Errors that are the
-// other end's fault wrap ErrNonsense.
+// other end's fault wrap ErrProtocol.
 func readFrame(ctx context.Context, conn *websocket.Conn, buffer *bytes.Buffer) (*frame, int, error) {
 	kind, reader, err := conn.Reader(ctx)
 	if err != nil {
 		return nil, 0, readError(err)
 	}
 	if kind != websocket.MessageBinary {
-		return nil, 0, fmt.Errorf("%w: text message", ErrNonsense)
+		return nil, 0, fmt.Errorf("%w: text message", ErrProtocol)
 	}
 	buffer.Reset()
 	if _, err := buffer.ReadFrom(reader); err != nil {
@@ -57,14 +57,14 @@
 // readError marks what breaks the protocol.
 func readError(err error) error {
 	if errors.Is(err, websocket.ErrMessageTooBig) {
-		return fmt.Errorf("%w: %w", ErrNonsense, ErrTooLarge)
+		return fmt.Errorf("%w: %w", ErrProtocol, ErrTooLarge)
 	}
 	return err
 }
 
 // readFailed ends the link and, if the other end broke the protocol, says so.
 func (l *link) readFailed(err error) {
-	if errors.Is(err, ErrNonsense) {
+	if errors.Is(err, ErrProtocol) {
 		l.endNonsense(err)
 		return
 	}
@@ -84,7 +84,7 @@
 	case kindClose:
 		l.handleClose()
 	default:
-		return fmt.Errorf("%w: second hello", ErrNonsense)
+		return fmt.Errorf("%w: second hello", ErrProtocol)
 	}
 	return nil
 }
--- a/peer/wslink/remote.go
+++ b/peer/wslink/remote.go
@@ -82,7 +82,7 @@
 			return nil, fmt.Errorf("%w: dial %s: %w", peer.ErrNotSent, to, d.err)
 		}
 		if to.Incarnation != 0 && d.found.Incarnation != to.Incarnation {
-			return nil, &OtherLifeError{Called: to, Found: d.found}
+			return nil, &IncarnationMismatchError{Called: to, Found: d.found}
 		}
 	}
 	return nil, fmt.Errorf("%w: %s: %w", peer.ErrNotSent, to, errDraining)
@@ -100,7 +100,7 @@
 		return l, nil, nil
 	}
 	if later := r.later(to); later != nil {
-		return nil, nil, &OtherLifeError{Called: to, Found: later.remote}
+		return nil, nil, &IncarnationMismatchError{Called: to, Found: later.remote}
 	}
 	if r.dialing != nil {
 		return nil, r.dialing, nil
--- a/peer/wslink/serve.go
+++ b/peer/wslink/serve.go
@@ -17,7 +17,7 @@
 	}
 	l.mu.Unlock()
 	if after {
-		return fmt.Errorf("%w: request after close", ErrNonsense)
+		return fmt.Errorf("%w: request after close", ErrProtocol)
 	}
 	if full {
 		l.refuse(f)
--- a/peer/wslink/transport.go
+++ b/peer/wslink/transport.go
@@ -36,12 +36,12 @@
 var _ peer.Transport = (*Transport)(nil)
 
 // New returns a transport that dials and, through Handler, accepts links. It
-// returns ErrPlain for a plain transport that does not listen on loopback. Close
+// returns ErrTLSRequired for a plain transport that does not listen on loopback. Close
 // must be called.
 func New(options Options) (*Transport, error) {
 	options = options.withDefaults()
 	if options.Credentials == nil && !isLoopback(options.Self.Address) {
-		return nil, fmt.Errorf("%w: listening on %q", ErrPlain, options.Self.Address)
+		return nil, fmt.Errorf("%w: listening on %q", ErrTLSRequired, options.Self.Address)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &Transport{
--- a/peer/wslink/transport_test.go
+++ b/peer/wslink/transport_test.go
@@ -60,7 +60,7 @@
 			{"nobody listens", domain.Member{Node: "d", Incarnation: 1, Address: "127.0.0.1:7"}, echoMethod, 0, peer.ErrNotSent, errRefused, 0},
 			{"earlier life called", life("b", 2), echoMethod, 0, peer.ErrNotSent, nil, 0},
 			{"later life called", life("b", 4), echoMethod, 0, peer.ErrNotSent, nil, 0},
-			{"another node answers", domain.Member{Node: "x", Incarnation: 1, Address: life("c", 1).Address}, echoMethod, 0, peer.ErrNotSent, pki.ErrNotNamed, 0},
+			{"another node answers", domain.Member{Node: "x", Incarnation: 1, Address: life("c", 1).Address}, echoMethod, 0, peer.ErrNotSent, pki.ErrNameMismatch, 0},
 		}
 		for _, c := range cases {
 			text := strings.Repeat("x", max(c.size, 0))
@@ -75,7 +75,7 @@
 			}
 			assert.Equal(t, r.served.Load(), c.served, c.name)
 		}
-		var other *OtherLifeError
+		var other *IncarnationMismatchError
 		_, err := echo(t.Context(), a, life("b", 2), "x")
 		assert.Assert(t, errors.As(err, &other))
 		assert.DeepEqual(t, other.Found, b.Self())
@@ -112,9 +112,9 @@
 		far := life("b", 1)
 		far.Node, far.Address = "far", "192.0.2.1:80"
 		_, err = echo(t.Context(), a, far, "x")
-		assert.ErrorIs(t, err, ErrPlain)
+		assert.ErrorIs(t, err, ErrTLSRequired)
 		_, err = New(Options{Self: far})
-		assert.ErrorIs(t, err, ErrPlain)
+		assert.ErrorIs(t, err, ErrTLSRequired)
 	})
 }
 
@@ -209,7 +209,7 @@
 		start := time.Now()
 		err := <-held
 		assert.ErrorIs(t, err, peer.ErrUnreachable)
-		assert.ErrorIs(t, err, ErrSilent)
+		assert.ErrorIs(t, err, ErrPingTimeout)
 		assert.Assert(t, time.Since(start) <= DefaultPingInterval+DefaultPingTimeout+2*housekeepingInterval)
 		r.net.frozen.Store(false)
 	})
@@ -231,7 +231,7 @@
 				a := r.start(life("a", 1), nil)
 				if c.there {
 					r.start(life("b", 1), nil)
-					var other *OtherLifeError
+					var other *IncarnationMismatchError
 					_, err := echo(t.Context(), a, c.called, "x")
 					assert.Assert(t, errors.As(err, &other))
 				}
