--- a/peer/pki/authority.go
+++ b/peer/pki/authority.go
@@ -15,31 +15,33 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Validity is how long the certificates of an Authority last.
+// Validity is the lifetime of the certificates of an Authority.
 const Validity = 30 * 24 * time.Hour
 
-// serialBits is the size of serial numbers.
+// serialBits is the size of the random serial numbers.
 const serialBits = 120
 
-// Authority is a certificate authority for tests and the demo. Its key lives in
-// this process only.
+// Authority is a certificate authority for tests and the demo. Its key is held in
+// memory only.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// PEM holds a node's certificate and key as files want them.
+// PEM holds the PEM encodings of a node's certificate, its key and the certificates
+// of the trusted authorities.
 type PEM struct {
 	Certificate []byte
 	Key         []byte
 	Authorities []byte
 }
 
-// NewAuthority makes an authority with a new key, valid from an hour before now.
+// NewAuthority creates an authority with a new key. Its certificate is valid from an
+// hour before now.
 func NewAuthority(now time.Time) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, fmt.Errorf("pki: make key: %w", err)
+		return nil, fmt.Errorf("pki: generate key: %w", err)
 	}
 	template, err := newTemplate("hawthornrill test authority", now)
 	if err != nil {
@@ -50,20 +52,20 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		return nil, fmt.Errorf("pki: sign authority: %w", err)
+		return nil, fmt.Errorf("pki: sign authority certificate: %w", err)
 	}
 	certificate, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, fmt.Errorf("pki: parse authority: %w", err)
+		return nil, fmt.Errorf("pki: parse authority certificate: %w", err)
 	}
 	return &Authority{certificate: certificate, key: key}, nil
 }
 
-// Issue makes a certificate that names the node, for both ends of a link.
+// Issue issues a certificate that names the node, for use as server and as client.
 func (a *Authority) Issue(node domain.NodeID, now time.Time) (*PEM, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, fmt.Errorf("pki: make key: %w", err)
+		return nil, fmt.Errorf("pki: generate key: %w", err)
 	}
 	template, err := newTemplate(string(node), now)
 	if err != nil {
@@ -74,7 +76,7 @@
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, key.Public(), a.key)
 	if err != nil {
-		return nil, fmt.Errorf("pki: sign %s: %w", node, err)
+		return nil, fmt.Errorf("pki: sign certificate of %s: %w", node, err)
 	}
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -87,7 +89,8 @@
 	}, nil
 }
 
-// Bundle makes a certificate that names the node, ready for use.
+// Bundle issues a certificate like Issue and returns it as a Bundle that trusts this
+// authority.
 func (a *Authority) Bundle(node domain.NodeID, now time.Time) (*Bundle, error) {
 	files, err := a.Issue(node, now)
 	if err != nil {
@@ -95,7 +98,7 @@
 	}
 	certificate, err := tls.X509KeyPair(files.Certificate, files.Key)
 	if err != nil {
-		return nil, fmt.Errorf("pki: key pair of %s: %w", node, err)
+		return nil, fmt.Errorf("pki: load key pair of %s: %w", node, err)
 	}
 	roots := x509.NewCertPool()
 	roots.AddCert(a.certificate)
@@ -105,7 +108,7 @@
 func newTemplate(name string, now time.Time) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, fmt.Errorf("pki: make serial number: %w", err)
+		return nil, fmt.Errorf("pki: generate serial number: %w", err)
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
--- a/peer/pki/config.go
+++ b/peer/pki/config.go
@@ -8,12 +8,13 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// protocols are offered in the handshake. WebSocket runs over HTTP/1.1.
+// protocols are offered by ALPN. WebSocket runs over HTTP/1.1.
 var protocols = []string{"http/1.1"}
 
-// ServerConfig returns the configuration of a peer listener. Each handshake uses
-// the credentials as they are then, and demands a certificate that one of the
-// trusted authorities signed. Which node it names is for the caller to check.
+// ServerConfig returns the TLS configuration of a peer listener. Each handshake uses
+// the credentials that are current at that time and requires a client certificate
+// signed by a trusted authority. The caller must check which node the certificate
+// names.
 func ServerConfig(credentials Credentials) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -35,17 +36,18 @@
 	}
 }
 
-// ClientConfig returns the configuration for dialling the node, with the
-// credentials as they are now. The handshake fails unless the other side's
-// certificate is signed by a trusted authority and names the node.
+// ClientConfig returns the TLS configuration for dialling the node, with the current
+// credentials. The handshake fails unless the server's certificate is signed by a
+// trusted authority and names the node.
 func ClientConfig(credentials Credentials, node domain.NodeID) *tls.Config {
 	bundle := credentials.Current()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   protocols,
 		Certificates: []tls.Certificate{bundle.Certificate},
-		// Nodes are dialled by IP address and known by name: the whole check is in
-		// VerifyConnection, which the handshake always calls.
+		// Nodes are dialled by IP address but certificates name nodes, so the standard
+		// check does not apply. VerifyConnection, which every handshake calls, makes
+		// the complete check instead.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyServer(state.PeerCertificates, bundle.Roots, node)
@@ -53,7 +55,8 @@
 	}
 }
 
-// verifyServer checks the chain, its dates, its purpose and its name.
+// verifyServer checks the certificate chain, its validity period, its key usage and
+// the node that it names.
 func verifyServer(chain []*x509.Certificate, roots *x509.CertPool, node domain.NodeID) error {
 	if len(chain) == 0 {
 		return ErrNoCertificate
@@ -68,7 +71,7 @@
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 	}
 	if _, err := chain[0].Verify(options); err != nil {
-		return fmt.Errorf("pki: verify: %w", err)
+		return fmt.Errorf("pki: verify server certificate: %w", err)
 	}
 	return VerifyNode(chain[0], node)
 }
--- a/peer/pki/credentials.go
+++ b/peer/pki/credentials.go
@@ -5,24 +5,23 @@
 	"crypto/x509"
 )
 
-// Bundle is a node's own certificate and the authorities it trusts. It must not
-// be changed.
+// Bundle holds a node's own certificate and the authorities that it trusts. It must
+// not be modified.
 type Bundle struct {
 	Certificate tls.Certificate
 	Roots       *x509.CertPool
 }
 
-// Credentials give the bundle to use for the next handshake. Links that are open
-// keep what they were opened with. Implementations are safe for concurrent use.
+// Credentials provide the bundle for the next handshake. Open links are not affected
+// when it changes. Implementations are safe for concurrent use.
 type Credentials interface {
 	Current() *Bundle
 }
 
-// Static credentials never change.
+// Static is Credentials that never change.
 type Static struct{ bundle *Bundle }
 
-// NewStatic returns credentials that never change.
 func NewStatic(bundle *Bundle) Static { return Static{bundle} }
 
-// Current returns the bundle.
+// Current implements Credentials.
 func (s Static) Current() *Bundle { return s.bundle }
--- a/peer/pki/files.go
+++ b/peer/pki/files.go
@@ -11,20 +11,21 @@
 	"time"
 )
 
-// RecheckInterval is how often, at most, Files looks whether its files changed.
+// RecheckInterval is the minimum time between two checks of Files for changed files.
 const RecheckInterval = 10 * time.Second
 
-// Paths name PEM files.
+// Paths are the paths of the PEM files of a node's credentials.
 type Paths struct {
 	Certificate string
 	Key         string
-	// Authorities holds the certificates of the trusted authorities.
+	// Authorities is the file with the certificates of the trusted authorities.
 	Authorities string
 }
 
-// Files are credentials that are read again when their files change. The files
-// are looked at when a handshake needs them, no more often than RecheckInterval.
-// If the new files can't be used, the last good bundle stays in use.
+// Files is Credentials that are reloaded when their files change. The files are
+// checked when a handshake needs the credentials, at most once per
+// RecheckInterval. If the changed files are invalid, the last valid bundle stays
+// in use.
 type Files struct {
 	paths    Paths
 	onReload func(error)
@@ -35,14 +36,14 @@
 	stamps  [3]stamp
 }
 
-// stamp tells one state of a file from another.
+// stamp identifies a version of a file.
 type stamp struct {
 	modified time.Time
 	size     int64
 }
 
 // LoadFiles reads the files. onReload, if not nil, is called after each later
-// change with nil or the reason why the change could not be used.
+// change, with nil or with the error that prevented the reload.
 func LoadFiles(paths Paths, onReload func(error)) (*Files, error) {
 	f := &Files{paths: paths, onReload: onReload, checked: time.Now()}
 	stamps, err := paths.stamps()
@@ -58,13 +59,14 @@
 	return f, nil
 }
 
-// Current returns the last good bundle.
+// Current returns the last valid bundle, after reloading changed files.
 func (f *Files) Current() *Bundle {
 	f.recheck(time.Now())
 	return f.bundle.Load()
 }
 
-// recheck reads the files again if it is time and they have changed.
+// recheck reloads the files if they have changed, unless they were checked within
+// RecheckInterval.
 func (f *Files) recheck(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,7 +81,8 @@
 	f.report(f.reload(stamps, err))
 }
 
-// reload takes the changed files in use, or returns why it can't.
+// reload loads the changed files and replaces the bundle. err is the error of reading
+// the stamps.
 func (f *Files) reload(stamps [3]stamp, err error) error {
 	if err != nil {
 		return err
@@ -122,7 +125,7 @@
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%w: %s: %w", ErrBadFile, p.Authorities, errors.New("no certificates"))
+		return nil, fmt.Errorf("%w: %s: %w", ErrBadFile, p.Authorities, errors.New("contains no certificates"))
 	}
 	return &Bundle{Certificate: certificate, Roots: roots}, nil
 }
--- a/peer/pki/identity.go
+++ b/peer/pki/identity.go
@@ -8,14 +8,14 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// uriPrefix begins the URI form of a node's name.
+// uriPrefix is the prefix of the URI that names a node.
 const uriPrefix = "urn:hawthornrill:node:"
 
 // VerifyNode returns ErrNameMismatch unless the certificate names the node. It does
-// not check who signed the certificate.
+// not verify the signature of the certificate.
 func VerifyNode(certificate *x509.Certificate, node domain.NodeID) error {
 	if node == "" {
-		return fmt.Errorf("%w: empty node", ErrNameMismatch)
+		return fmt.Errorf("%w: empty node name", ErrNameMismatch)
 	}
 	if slices.Contains(certificate.DNSNames, string(node)) {
 		return nil
--- a/peer/pki/pki_test.go
+++ b/peer/pki/pki_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// handshake runs one between two nodes and returns both sides' errors.
+// handshake runs a TLS handshake between two nodes and returns the errors of both
+// ends.
 func handshake(server, client Credentials, dialled domain.NodeID) (serverErr, clientErr error) {
 	a, b := net.Pipe()
 	defer a.Close()
@@ -54,7 +55,8 @@
 	if clientErr != nil {
 		_ = b.Close()
 	} else {
-		// The server's verdict on our certificate comes with the first read.
+		// With TLS 1.3 the client learns from its first read whether the server accepted
+		// its certificate.
 		_, _ = connection.Read(make([]byte, 1))
 	}
 	return <-done, clientErr
@@ -62,16 +64,16 @@
 
 func TestHandshakeChecksBothSides(t *testing.T) {
 	now := time.Now()
-	ours, err := NewAuthority(now)
+	trusted, err := NewAuthority(now)
 	assert.NilError(t, err)
-	theirs, err := NewAuthority(now)
+	untrusted, err := NewAuthority(now)
 	assert.NilError(t, err)
 	bundle := func(a *Authority, node domain.NodeID, at time.Time) Credentials {
 		b, err := a.Bundle(node, at)
 		assert.NilError(t, err)
 		return NewStatic(b)
 	}
-	good := bundle(ours, "b", now)
+	valid := bundle(trusted, "b", now)
 	cases := []struct {
 		name           string
 		server, client Credentials
@@ -79,11 +81,11 @@
 		serverOK       bool
 		clientOK       bool
 	}{
-		{"good", good, bundle(ours, "a", now), "b", true, true},
-		{"another node answers", good, bundle(ours, "a", now), "c", false, false},
-		{"unknown authority", good, bundle(theirs, "a", now), "b", false, false},
-		{"expired server", bundle(ours, "b", now.Add(-2*Validity)), bundle(ours, "a", now), "b", false, false},
-		{"expired client", good, bundle(ours, "a", now.Add(-2*Validity)), "b", false, true},
+		{"valid", valid, bundle(trusted, "a", now), "b", true, true},
+		{"another node answers", valid, bundle(trusted, "a", now), "c", false, false},
+		{"unknown authority", valid, bundle(untrusted, "a", now), "b", false, false},
+		{"expired server", bundle(trusted, "b", now.Add(-2*Validity)), bundle(trusted, "a", now), "b", false, false},
+		{"expired client", valid, bundle(trusted, "a", now.Add(-2*Validity)), "b", false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -94,7 +96,7 @@
 	}
 }
 
-func write(t *testing.T, dir string, files *PEM) Paths {
+func writePEMFiles(t *testing.T, dir string, files *PEM) Paths {
 	t.Helper()
 	paths := Paths{filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"), filepath.Join(dir, "ca.pem")}
 	assert.NilError(t, os.WriteFile(paths.Certificate, files.Certificate, 0o600))
@@ -103,7 +105,7 @@
 	return paths
 }
 
-func TestFilesReloadAndKeepTheLastGood(t *testing.T) {
+func TestFilesReloadKeepsLastValidBundle(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		authority, err := NewAuthority(time.Now())
@@ -112,26 +114,26 @@
 		assert.NilError(t, err)
 		second, err := authority.Issue("a", time.Now())
 		assert.NilError(t, err)
-		paths := write(t, dir, first)
+		paths := writePEMFiles(t, dir, first)
 		var reloads []error
 		files, err := LoadFiles(paths, func(err error) { reloads = append(reloads, err) })
 		assert.NilError(t, err)
 		before := files.Current()
 
-		touch := func(files *PEM, at time.Time) {
-			write(t, dir, files)
+		replaceFiles := func(files *PEM, at time.Time) {
+			writePEMFiles(t, dir, files)
 			for _, path := range []string{paths.Certificate, paths.Key, paths.Authorities} {
 				assert.NilError(t, os.Chtimes(path, at, at))
 			}
 		}
-		touch(&PEM{Certificate: []byte("rubbish"), Key: second.Key, Authorities: second.Authorities}, time.Now().Add(time.Hour))
+		replaceFiles(&PEM{Certificate: []byte("rubbish"), Key: second.Key, Authorities: second.Authorities}, time.Now().Add(time.Hour))
 		assert.Equal(t, files.Current(), before)
 		time.Sleep(RecheckInterval)
 		assert.Equal(t, files.Current(), before)
 		assert.Equal(t, len(reloads), 1)
 		assert.ErrorIs(t, reloads[0], ErrBadFile)
 
-		touch(second, time.Now().Add(2*time.Hour))
+		replaceFiles(second, time.Now().Add(2*time.Hour))
 		time.Sleep(RecheckInterval)
 		assert.Assert(t, files.Current() != before)
 		assert.Equal(t, len(reloads), 2)
