--- a/peer/peertest/action.go
+++ b/peer/peertest/action.go
@@ -7,23 +7,23 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Action says what happens to one message. The zero value delivers it.
+// Action is the fault to apply to one message. The zero value delivers it.
 type Action struct {
-	// Drop loses the message.
+	// Drop discards the message.
 	Drop bool
-	// Delay is added to the link's own delay.
+	// Delay is added to the one-way delay of the link.
 	Delay time.Duration
-	// Duplicate delivers a request twice, which no real transport does. It has no
-	// effect on replies.
+	// Duplicate delivers a request twice, which peer.Transport does not allow. It has
+	// no effect on replies.
 	Duplicate bool
 }
 
-// Interceptor decides about each message that leaves its sender. It is called
-// for requests and, with reply true, for replies, whose from is the node that
-// replies. It must be safe for concurrent use.
+// Interceptor returns the fault to apply to each message that a node sends. For a
+// reply, reply is true and from is the node that replies. It must be safe for
+// concurrent use.
 type Interceptor func(from, to domain.NodeID, method peer.Method, reply bool) Action
 
-// dropRule loses the next remaining messages that match.
+// dropRule discards the next messages that match, as many as remaining.
 type dropRule struct {
 	from, to  domain.NodeID
 	method    peer.Method
@@ -31,7 +31,6 @@
 	remaining int
 }
 
-// matches reports whether the rule is about such messages.
 func (r *dropRule) matches(from, to domain.NodeID, method peer.Method, reply bool) bool {
 	return r.from == from && r.to == to && r.method == method && r.reply == reply
 }
--- a/peer/peertest/count.go
+++ b/peer/peertest/count.go
@@ -5,23 +5,22 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Count is a number of messages and their payload bytes.
+// Count is the number of messages sent and the sum of their payload sizes.
 type Count struct {
 	Messages int
 	Bytes    int
 }
 
-// add counts one more message.
+// add returns the count with one more message of the given payload size.
 func (c Count) add(bytes int) Count {
 	return Count{Messages: c.Messages + 1, Bytes: c.Bytes + bytes}
 }
 
-// plus adds two counts.
 func (c Count) plus(o Count) Count {
 	return Count{Messages: c.Messages + o.Messages, Bytes: c.Bytes + o.Bytes}
 }
 
-// countKey names a counter: what a node has sent of a method.
+// countKey identifies the counter of messages of one method sent by one node.
 type countKey struct {
 	node   domain.NodeID
 	method peer.Method
--- a/peer/peertest/exchange.go
+++ b/peer/peertest/exchange.go
@@ -12,13 +12,13 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// result is what a caller gets.
+// result is the outcome of a call.
 type result struct {
 	payload []byte
 	err     error
 }
 
-// exchange is one request with its reply.
+// exchange is one request and its reply.
 type exchange struct {
 	network *Network
 	from    *Node
@@ -26,11 +26,11 @@
 	method  peer.Method
 	payload []byte
 	oneWay  bool
-	// timeLeft is what was left of the caller's deadline; zero for none.
+	// timeLeft is the time until the caller's deadline; zero for no deadline.
 	timeLeft time.Duration
-	// done gets the first result; later ones are dropped.
+	// done receives the first result; later ones are dropped.
 	done chan result
-	// lost gets a value when a message of the exchange was lost.
+	// lost receives a value when a message of the exchange is lost.
 	lost chan struct{}
 }
 
@@ -46,7 +46,6 @@
 	}
 }
 
-// call delivers the request and waits for the reply.
 func (e *exchange) call(ctx context.Context) ([]byte, error) {
 	if deadline, ok := ctx.Deadline(); ok {
 		e.timeLeft = time.Until(deadline)
@@ -57,18 +56,19 @@
 	return e.await(ctx)
 }
 
-// await returns the reply, or ErrUnreachable when the context ends, or when for
-// the network's timeout no reply could have come.
+// await returns the reply. It returns ErrUnreachable when the context ends, when
+// the calling node crashes, or when no reply has been possible for the network's
+// timeout.
 func (e *exchange) await(ctx context.Context) ([]byte, error) {
 	var lost bool
-	var giveUp <-chan time.Time
+	var timedOut <-chan time.Time
 	for {
 		changed, broken, timeout := e.linkState()
 		switch {
 		case !lost && !broken:
-			giveUp = nil
-		case giveUp == nil:
-			giveUp = time.After(timeout)
+			timedOut = nil
+		case timedOut == nil:
+			timedOut = time.After(timeout)
 		}
 		select {
 		case r := <-e.done:
@@ -76,7 +76,7 @@
 		case <-e.lost:
 			lost = true
 		case <-changed:
-		case <-giveUp:
+		case <-timedOut:
 			return nil, fmt.Errorf("%w: %s from %s: timeout", peer.ErrUnreachable, e.method, e.to)
 		case <-ctx.Done():
 			return nil, fmt.Errorf("%w: %s from %s: %w", peer.ErrUnreachable, e.method, e.to, ctx.Err())
@@ -86,7 +86,8 @@
 	}
 }
 
-// linkState reports whether a reply can't come as things stand.
+// linkState reports whether the current faults make a reply impossible, and
+// returns a channel that is closed when the faults change.
 func (e *exchange) linkState() (changed <-chan struct{}, broken bool, timeout time.Duration) {
 	n := e.network
 	n.mu.Lock()
@@ -97,14 +98,15 @@
 	return n.changed, broken, n.timeout
 }
 
-// deliver carries the request to its handler, once or, on order, twice.
+// deliver passes the request to its handler, twice if the interceptor asks for a
+// duplicate.
 func (e *exchange) deliver(ctx context.Context) {
-	action, delay := e.network.pass(e.from.self, e.to, e.method, false, len(e.payload))
+	action, delay := e.network.transmit(e.from.self, e.to, e.method, false, len(e.payload))
 	if !action.Drop && !pacing.Sleep(ctx, delay) {
 		return
 	}
 	if action.Drop || e.network.isCut(e.from.self.Node, e.to.Node) {
-		e.lose()
+		e.markLost()
 		return
 	}
 	target, err := e.network.target(e.to)
@@ -113,7 +115,7 @@
 		return
 	}
 	if target == nil {
-		e.lose()
+		e.markLost()
 		return
 	}
 	if action.Duplicate {
@@ -122,9 +124,9 @@
 	e.serveAt(target)
 }
 
-// serveAt runs the handler and carries its reply back.
+// serveAt runs the handler on the target node and delivers its reply.
 func (e *exchange) serveAt(target *Node) {
-	if target.awaitAwake(target.ctx) != nil {
+	if target.awaitResumed(target.ctx) != nil {
 		return
 	}
 	ctx, cancel := e.handlerContext(target)
@@ -133,7 +135,7 @@
 	if e.oneWay {
 		return
 	}
-	target.holdWhilePaused()
+	target.blockWhilePaused()
 	if err != nil {
 		err = remoteError(err)
 	}
@@ -147,17 +149,18 @@
 	return context.WithCancel(target.ctx)
 }
 
-// reply carries a result back to the caller, unless the replying life ends first.
+// reply delivers a result to the caller, unless the replying node crashes before
+// the result arrives.
 func (e *exchange) reply(ctx context.Context, from domain.Member, r result) {
 	if e.oneWay {
 		return
 	}
-	action, delay := e.network.pass(from, e.from.self, e.method, true, len(r.payload))
+	action, delay := e.network.transmit(from, e.from.self, e.method, true, len(r.payload))
 	if !action.Drop && !pacing.Sleep(ctx, delay) {
 		return
 	}
 	if action.Drop || ctx.Err() != nil || e.network.isCut(from.Node, e.from.self.Node) {
-		e.lose()
+		e.markLost()
 		return
 	}
 	select {
@@ -166,15 +169,16 @@
 	}
 }
 
-// lose tells the waiting caller that no reply will come.
-func (e *exchange) lose() {
+// markLost notifies the waiting caller that a message of the exchange was lost.
+func (e *exchange) markLost() {
 	select {
 	case e.lost <- struct{}{}:
 	default:
 	}
 }
 
-// remoteError is how a handler's error looks to the caller.
+// remoteError converts a handler's error into the error that a remote caller gets
+// from the production transport.
 func remoteError(err error) error {
 	if errors.Is(err, peer.ErrUnknownMethod) {
 		return err
--- a/peer/peertest/fault.go
+++ b/peer/peertest/fault.go
@@ -12,13 +12,14 @@
 	n.setCut(true, link{a, b}, link{b, a})
 }
 
-// CutOneWay loses what from sends to to; the other direction works.
+// CutOneWay cuts the link for messages sent by from to to; the opposite direction
+// stays open.
 func (n *Network) CutOneWay(from, to domain.NodeID) {
 	n.setCut(true, link{from, to})
 }
 
 // Partition cuts all links between nodes of different groups. Links within a
-// group stay as they are.
+// group are not changed.
 func (n *Network) Partition(groups ...[]domain.NodeID) {
 	var links []link
 	for i, group := range groups {
@@ -29,7 +30,8 @@
 	n.setCut(true, links...)
 }
 
-// between returns the links of all pairs in both directions.
+// between returns the links, in both directions, of all pairs of nodes of the two
+// groups.
 func between(as, bs []domain.NodeID) []link {
 	var links []link
 	for _, a := range as {
@@ -40,17 +42,18 @@
 	return links
 }
 
-// Heal mends the links between two nodes in both directions.
+// Heal restores the links between two nodes in both directions.
 func (n *Network) Heal(a, b domain.NodeID) {
 	n.setCut(false, link{a, b}, link{b, a})
 }
 
-// HealAll mends all links. Pauses, crashes, drop rules and the interceptor stay.
+// HealAll restores all links. Pauses, crashes, drop rules and the interceptor are
+// kept.
 func (n *Network) HealAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.cuts)
-	n.announce()
+	n.notifyChanged()
 }
 
 func (n *Network) setCut(cut bool, links ...link) {
@@ -63,23 +66,23 @@
 		}
 		delete(n.cuts, l)
 	}
-	n.announce()
+	n.notifyChanged()
 }
 
-// Intercept lets f decide about each message; nil for no interceptor.
+// Intercept calls f for each message sent; nil removes the interceptor.
 func (n *Network) Intercept(f Interceptor) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.intercept = f
 }
 
-// DropNext loses the next count requests of the method on the link.
+// DropNext drops the next count requests for the method that from sends to to.
 func (n *Network) DropNext(from, to domain.NodeID, method peer.Method, count int) {
 	n.addRule(&dropRule{from: from, to: to, method: method, remaining: count})
 }
 
-// DropNextReplies loses the next count replies that from sends to to for the
-// method. The handlers will have run.
+// DropNextReplies drops the next count replies that from sends to to for the
+// method. Their handlers have run by then.
 func (n *Network) DropNextReplies(from, to domain.NodeID, method peer.Method, count int) {
 	n.addRule(&dropRule{from: from, to: to, method: method, reply: true, remaining: count})
 }
@@ -90,73 +93,75 @@
 	n.rules = append(n.rules, rule)
 }
 
-// Pause stops all lives of the node at their next send or receive: what they send
-// or are sent waits, and their Calls do not return, until Resume. What was sent to
-// a paused node is delivered when it wakes, also if the caller has given up.
-// Timers and code that does not use the network go on; see AwaitResume.
+// Pause blocks all incarnations of the node at their next send or receive: messages
+// from and to the node wait, and its Calls do not return, until Resume. Messages
+// sent to a paused node are delivered after Resume even if their callers have
+// timed out by then. Timers and code that does not use the network keep running;
+// see AwaitResume.
 func (n *Network) Pause(node domain.NodeID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, each := range n.livesOf(node) {
+	for _, each := range n.incarnationsLocked(node) {
 		if !each.paused {
 			each.paused = true
-			each.awake = make(chan struct{})
+			each.resumed = make(chan struct{})
 		}
 	}
-	n.announce()
+	n.notifyChanged()
 }
 
-// Resume wakes all lives of the node.
+// Resume ends the pause of all incarnations of the node.
 func (n *Network) Resume(node domain.NodeID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, each := range n.livesOf(node) {
-		each.wake()
+	for _, each := range n.incarnationsLocked(node) {
+		each.resume()
 	}
-	n.announce()
+	n.notifyChanged()
 }
 
-// AwaitResume returns when no life of the node is paused, or with the context's
-// error. Fakes of other interfaces call it, so that a paused process is paused there too.
+// AwaitResume blocks until no incarnation of the node is paused, or returns the
+// context's error. Fakes of other interfaces call it, so that a paused process also
+// blocks in those.
 func (n *Network) AwaitResume(ctx context.Context, node domain.NodeID) error {
-	for _, each := range n.lives(node) {
-		if err := each.awaitAwake(ctx); err != nil {
+	for _, each := range n.incarnations(node) {
+		if err := each.awaitResumed(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Crash ends all lives of the node: it can't be reached, its handlers' contexts
-// are cancelled, replies on their way are lost and its own calls fail. A new Node
-// with a later incarnation may take its place. The test must stop the code that
-// used the transport.
+// Crash ends all incarnations of the node: the node is unreachable, the contexts of
+// its handlers are cancelled, replies in flight are lost and its own calls fail. A
+// Node with a later incarnation may replace it. The test must stop the code that
+// used the transport of the crashed node.
 func (n *Network) Crash(node domain.NodeID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, each := range n.livesOf(node) {
+	for _, each := range n.incarnationsLocked(node) {
 		each.crashed = true
-		each.wake()
+		each.resume()
 		each.cancel()
-		delete(n.nodes, life{each.self.Node, each.self.Incarnation})
+		delete(n.nodes, incarnationKey{each.self.Node, each.self.Incarnation})
 	}
-	n.announce()
+	n.notifyChanged()
 }
 
-// lives returns the lives of a node that are there.
-func (n *Network) lives(node domain.NodeID) []*Node {
+// incarnations returns the incarnations of a node that have not crashed.
+func (n *Network) incarnations(node domain.NodeID) []*Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.livesOf(node)
+	return n.incarnationsLocked(node)
 }
 
-// livesOf is lives with the lock held.
-func (n *Network) livesOf(node domain.NodeID) []*Node {
-	var lives []*Node
+// incarnationsLocked is like incarnations, for callers that hold the lock.
+func (n *Network) incarnationsLocked(node domain.NodeID) []*Node {
+	var found []*Node
 	for key, each := range n.nodes {
 		if key.node == node {
-			lives = append(lives, each)
+			found = append(found, each)
 		}
 	}
-	return lives
+	return found
 }
--- a/peer/peertest/network.go
+++ b/peer/peertest/network.go
@@ -9,20 +9,20 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// DefaultTimeout is how long a Call without a deadline waits for a reply that
-// can no longer come.
+// DefaultTimeout is the time after which a Call fails once its reply has become
+// impossible.
 const DefaultTimeout = 10 * time.Second
 
-// link is one direction between two nodes.
+// link is one direction of the connection between two nodes.
 type link struct{ from, to domain.NodeID }
 
-// life is one life of a node.
-type life struct {
+// incarnationKey identifies one incarnation of a node.
+type incarnationKey struct {
 	node        domain.NodeID
 	incarnation domain.Incarnation
 }
 
-// Network connects nodes in memory. Its methods are safe for concurrent use.
+// Network is an in-memory network. Its methods are safe for concurrent use.
 type Network struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -30,25 +30,26 @@
 
 	mu        sync.Mutex
 	closed    bool
-	nodes     map[life]*Node
+	nodes     map[incarnationKey]*Node
 	cuts      map[link]bool
 	rules     []*dropRule
 	delay     func(from, to domain.Member) time.Duration
 	intercept Interceptor
 	timeout   time.Duration
 	counts    map[countKey]Count
-	// changed is closed and replaced whenever a cut, pause or crash begins or ends.
+	// changed is closed and replaced whenever a node is added, crashes, pauses or
+	// resumes, or a link is cut or restored.
 	changed chan struct{}
 }
 
-// NewNetwork returns a network without delays and faults. Under synctest it must
-// be made inside the bubble and closed before the bubble ends.
+// NewNetwork returns a network without delays or faults. Under synctest it must be
+// created inside the bubble and closed before the bubble ends.
 func NewNetwork() *Network {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Network{
 		ctx:     ctx,
 		cancel:  cancel,
-		nodes:   make(map[life]*Node),
+		nodes:   make(map[incarnationKey]*Node),
 		cuts:    make(map[link]bool),
 		timeout: DefaultTimeout,
 		counts:  make(map[countKey]Count),
@@ -56,9 +57,9 @@
 	}
 }
 
-// Node adds a node, reachable at once. A later incarnation may be added while an
-// earlier one is still there: both are reached by their own incarnation, and
-// incarnation zero reaches the latest.
+// Node adds a node to the network, which is reachable at once. A later incarnation
+// may be added while an earlier one exists: each is addressed by its own
+// incarnation, and incarnation zero addresses the latest.
 func (n *Network) Node(member domain.Member) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -69,14 +70,14 @@
 		ctx:      ctx,
 		cancel:   cancel,
 		handlers: make(map[peer.Method]peer.Handler),
-		awake:    closedChannel(),
+		resumed:  closedChannel(),
 	}
-	n.nodes[life{member.Node, member.Incarnation}] = node
-	n.announce()
+	n.nodes[incarnationKey{member.Node, member.Incarnation}] = node
+	n.notifyChanged()
 	return node
 }
 
-// Close ends all calls and handlers and waits for their goroutines.
+// Close cancels all calls and handlers and waits for their goroutines.
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -85,23 +86,24 @@
 	n.wg.Wait()
 }
 
-// SetTimeout sets how long a Call without a deadline waits for a reply that can
-// no longer come.
+// SetTimeout sets the time after which a Call fails once its reply has become
+// impossible.
 func (n *Network) SetTimeout(timeout time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.timeout = timeout
 }
 
-// SetDelay sets the one-way delay of messages; nil for none.
+// SetDelay sets the function that returns the one-way delay of messages; nil for no
+// delay.
 func (n *Network) SetDelay(delay func(from, to domain.Member) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = delay
 }
 
-// Counts returns what the node has sent, requests and replies, by method. What is
-// lost on the way is counted too; calls to oneself are not.
+// Counts returns the requests and replies that the node has sent, by method. Lost
+// messages are included; calls of a node to itself are not.
 func (n *Network) Counts(node domain.NodeID) map[peer.Method]Count {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,8 +116,8 @@
 	return counts
 }
 
-// Total returns what all nodes have sent of the method, or of all methods if
-// method is empty.
+// Total returns the messages that all nodes have sent for the method, or for all
+// methods if method is empty.
 func (n *Network) Total(method peer.Method) Count {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -128,20 +130,22 @@
 	return total
 }
 
-// ResetCounts sets all counters to zero.
+// ResetCounts resets all message counters.
 func (n *Network) ResetCounts() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.counts)
 }
 
-// announce wakes all waiting calls to look at the state again. The lock is held.
-func (n *Network) announce() {
+// notifyChanged makes all waiting calls check the state of the network again. The
+// lock must be held.
+func (n *Network) notifyChanged() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// start runs f in a goroutine that Close waits for, unless already closed.
+// start runs f in a goroutine that Close waits for. It returns false if the network
+// is closed.
 func (n *Network) start(f func()) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/peer/peertest/network_test.go
+++ b/peer/peertest/network_test.go
@@ -16,7 +16,7 @@
 
 const echoMethod peer.Method = "test.echo"
 
-// fixture is a network of two nodes; b echoes and counts.
+// fixture is a network of two nodes. Node b serves echoMethod and counts the calls.
 type fixture struct {
 	network *Network
 	a, b    *Node
@@ -27,7 +27,7 @@
 	return domain.Member{Node: node, Incarnation: incarnation, DataCentre: "palermo"}
 }
 
-// run runs f in a bubble and closes the network after it.
+// run runs f in a synctest bubble and then closes the network.
 func run(t *testing.T, f func(t *testing.T, x *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -43,12 +43,12 @@
 func (x *fixture) echo(_ context.Context, from domain.Member, text string) (string, error) {
 	x.served.Add(1)
 	if text == "fail" {
-		return "", errors.New("as ordered")
+		return "", errors.New("requested failure")
 	}
 	return string(from.Node) + " " + text, nil
 }
 
-// call calls b from a with a timeout.
+// call makes an echo call from a to b with a timeout.
 func (x *fixture) call(text string, timeout time.Duration) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -88,10 +88,10 @@
 		{"partition", func(x *fixture) { x.network.Partition([]domain.NodeID{"a"}, []domain.NodeID{"b"}) }, 0, peer.ErrUnreachable},
 		{"request dropped", drop(false), 0, peer.ErrUnreachable},
 		{"reply dropped", drop(true), 1, peer.ErrUnreachable},
-		{"next request", func(x *fixture) { x.network.DropNext("a", "b", echoMethod, 1) }, 0, peer.ErrUnreachable},
-		{"next reply", func(x *fixture) { x.network.DropNextReplies("b", "a", echoMethod, 1) }, 1, peer.ErrUnreachable},
-		{"crash", func(x *fixture) { x.network.Crash("b") }, 0, peer.ErrUnreachable},
-		{"crash of the caller", func(x *fixture) { x.network.Crash("a") }, 0, peer.ErrNotSent},
+		{"next request dropped", func(x *fixture) { x.network.DropNext("a", "b", echoMethod, 1) }, 0, peer.ErrUnreachable},
+		{"next reply dropped", func(x *fixture) { x.network.DropNextReplies("b", "a", echoMethod, 1) }, 1, peer.ErrUnreachable},
+		{"target crashed", func(x *fixture) { x.network.Crash("b") }, 0, peer.ErrUnreachable},
+		{"caller crashed", func(x *fixture) { x.network.Crash("a") }, 0, peer.ErrNotSent},
 		{"healed", func(x *fixture) { x.network.Cut("a", "b"); x.network.Heal("b", "a") }, 1, nil},
 		{"duplicate", func(x *fixture) {
 			x.network.Intercept(func(_, _ domain.NodeID, _ peer.Method, _ bool) Action { return Action{Duplicate: true} })
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestDelayCountsBothWays(t *testing.T) {
+func TestDelayAppliesBothWays(t *testing.T) {
 	run(t, func(t *testing.T, x *fixture) {
 		x.network.SetDelay(func(from, _ domain.Member) time.Duration {
 			if from.Node == "a" {
@@ -129,7 +129,7 @@
 	})
 }
 
-func TestPausedNodeServesLate(t *testing.T) {
+func TestPausedNodeServesAfterResume(t *testing.T) {
 	run(t, func(t *testing.T, x *fixture) {
 		x.network.Pause("b")
 		_, err := x.call("x", time.Second)
@@ -141,7 +141,7 @@
 	})
 }
 
-func TestPausedCallerReturnsLate(t *testing.T) {
+func TestPausedCallerReturnsAfterResume(t *testing.T) {
 	run(t, func(t *testing.T, x *fixture) {
 		x.network.SetDelay(func(_, _ domain.Member) time.Duration { return time.Second })
 		time.AfterFunc(time.Second/2, func() { x.network.Pause("a") })
@@ -153,7 +153,7 @@
 	})
 }
 
-func TestCrashCancelsHandlersAndLaterLifeServes(t *testing.T) {
+func TestCrashCancelsHandlersAndLaterIncarnationServes(t *testing.T) {
 	run(t, func(t *testing.T, x *fixture) {
 		x.b.Handle("test.wait", func(ctx context.Context, _ domain.Member, _ []byte) ([]byte, error) {
 			<-ctx.Done()
--- a/peer/peertest/node.go
+++ b/peer/peertest/node.go
@@ -9,7 +9,7 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// Node is one life's transport.
+// Node is the transport of one incarnation of a node.
 type Node struct {
 	network *Network
 	self    domain.Member
@@ -19,19 +19,19 @@
 	handlersMu sync.RWMutex
 	handlers   map[peer.Method]peer.Handler
 
-	// The rest is guarded by the network's lock.
+	// The fields below are guarded by the network's lock.
 	crashed bool
 	paused  bool
-	// awake is closed while the node is not paused.
-	awake chan struct{}
+	// resumed is closed while the node is not paused.
+	resumed chan struct{}
 }
 
 var _ peer.Transport = (*Node)(nil)
 
-// Self returns the member record.
+// Self implements peer.Transport.
 func (n *Node) Self() domain.Member { return n.self }
 
-// Handle registers the handler of a method.
+// Handle implements peer.Transport.
 func (n *Node) Handle(method peer.Method, handler peer.Handler) {
 	n.handlersMu.Lock()
 	defer n.handlersMu.Unlock()
@@ -48,7 +48,7 @@
 	}
 	exchange := newExchange(n, to, method, payload)
 	reply, err := exchange.call(ctx)
-	n.holdWhilePaused()
+	n.blockWhilePaused()
 	return reply, err
 }
 
@@ -68,9 +68,10 @@
 	return nil
 }
 
-// ready waits while the node is paused and refuses to send for a dead one.
+// ready blocks while the node is paused. It returns ErrNotSent if the context has
+// ended or the node has crashed.
 func (n *Node) ready(ctx context.Context) error {
-	n.holdWhilePaused()
+	n.blockWhilePaused()
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("%w: %w", peer.ErrNotSent, err)
 	}
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// callSelf serves a call to oneself.
+// callSelf serves a call of the node to itself.
 func (n *Node) callSelf(ctx context.Context, method peer.Method, payload []byte) ([]byte, error) {
 	reply, err := n.serve(ctx, n.self, method, payload)
 	if err != nil {
@@ -89,7 +90,6 @@
 	return reply, nil
 }
 
-// serve runs the handler of a method.
 func (n *Node) serve(ctx context.Context, from domain.Member, method peer.Method, payload []byte) ([]byte, error) {
 	n.handlersMu.RLock()
 	handler := n.handlers[method]
@@ -100,12 +100,12 @@
 	return handler(ctx, from, payload)
 }
 
-// holdWhilePaused blocks like a stopped process: no context ends it but the
-// node's own.
-func (n *Node) holdWhilePaused() { _ = n.awaitAwake(n.ctx) }
+// blockWhilePaused blocks until the node is resumed or crashes. Like a stopped
+// process, it does not react to the context of the caller.
+func (n *Node) blockWhilePaused() { _ = n.awaitResumed(n.ctx) }
 
-// awaitAwake returns when the node is not paused, or with the context's error.
-func (n *Node) awaitAwake(ctx context.Context) error {
+// awaitResumed blocks until the node is not paused, or returns the context's error.
+func (n *Node) awaitResumed(ctx context.Context) error {
 	for {
 		awake, paused := n.pauseState()
 		if !paused {
@@ -122,13 +122,13 @@
 func (n *Node) pauseState() (<-chan struct{}, bool) {
 	n.network.mu.Lock()
 	defer n.network.mu.Unlock()
-	return n.awake, n.paused
+	return n.resumed, n.paused
 }
 
-// wake ends a pause. The network's lock is held.
-func (n *Node) wake() {
+// resume ends a pause. The network's lock must be held.
+func (n *Node) resume() {
 	if n.paused {
 		n.paused = false
-		close(n.awake)
+		close(n.resumed)
 	}
 }
