--- a/peer/wslink/transport_test.go
+++ b/peer/wslink/transport_test.go
@@ -97,8 +97,8 @@
 
 func TestPlainLinksOnLoopbackOnly(t *testing.T) {
 	inBubble(t, func(t *testing.T, r *fixture) {
-		plain := func(o *Options) { o.Credentials = nil }
-		a, b := r.start(memberOf("a", 1), plain), r.start(memberOf("b", 1), plain)
+		withoutTLS := func(o *Options) { o.Credentials = nil }
+		a, b := r.start(memberOf("a", 1), withoutTLS), r.start(memberOf("b", 1), withoutTLS)
 		_, err := echo(t.Context(), a, b.Self(), "x")
 		assert.NilError(t, err)
 		assert.Equal(t, r.log.count("not encrypted"), 2)
--- a/peer/wslink/violation_test.go
+++ b/peer/wslink/violation_test.go
@@ -64,8 +64,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T, r *fixture) {
-				plain := func(o *Options) { o.Credentials = nil; o.MaxFrameBytes = 4000 }
-				a, b := r.start(memberOf("a", 1), plain), r.start(memberOf("b", 1), plain)
+				withoutTLS := func(o *Options) { o.Credentials = nil; o.MaxFrameBytes = 4000 }
+				a, b := r.start(memberOf("a", 1), withoutTLS), r.start(memberOf("b", 1), withoutTLS)
 				held := startCall(a, b.Self(), holdMethod)
 				for range 3 {
 					conn := r.connectRaw(b.Self(), c.messages...)
