--- a/coordinator/held.go
+++ b/coordinator/held.go
@@ -7,7 +7,7 @@
 	// Held reports whether this process certainly holds the lease.
 	Held() bool
 	// Fencing is the number that goes with every order.
-	Fencing() lease.Fencing
+	Fencing() lease.FencingToken
 }
 
 var _ Held = (*lease.Lease)(nil)
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -190,13 +190,13 @@
 		x.expect(ExitFailed, "", "table apply -yes @t.toml", "not accepted", "store")
 		// All its answers are lost; but the head can be read.
 		x.stores[1].SetDown(false)
-		x.stores[1].SetFunc(headWrites(func(int) memstore.Fault { return memstore.Fault{LoseAnswer: true} }))
+		x.stores[1].SetFunc(headWrites(func(int) memstore.Fault { return memstore.Fault{DropResponse: true} }))
 		x.expect(ExitOK, "", "table apply -yes @t.toml", "finding out", "generation 3")
 		x.expect(ExitOK, "", "table export @t.toml", "generation 3")
 		x.edit("t.toml", "weight = 6", "weight = 7")
 		// One answer is lost, and the store stays away from then on.
 		x.stores[1].SetFunc(headWrites(func(n int) memstore.Fault {
-			return memstore.Fault{LoseAnswer: n == 1, Down: n > 1}
+			return memstore.Fault{DropResponse: n == 1, Down: n > 1}
 		}))
 		time.AfterFunc(5*time.Second, func() { x.stores[1].SetDown(true) })
 		x.expect(ExitUnknown, "", "table apply -yes -wait 20s @t.toml", "not known whether")
--- a/document/edit_test.go
+++ b/document/edit_test.go
@@ -53,7 +53,7 @@
 		err   error
 		value string
 	}{
-		{"answers lost", func(_ *fleet, n *testNode) { n.client.LoseNext(7) }, nil, "one+"},
+		{"answers lost", func(_ *fleet, n *testNode) { n.client.DropNextResponses(7) }, nil, "one+"},
 		{"slow", func(_ *fleet, n *testNode) { n.client.SetDelay(400 * time.Millisecond) }, nil, "one+"},
 		{"down", func(_ *fleet, n *testNode) { n.client.SetDown(true) }, ErrNotAccepted, "one"},
 		{"down for the head", func(_ *fleet, n *testNode) {
@@ -66,7 +66,7 @@
 					return memstore.Fault{Down: calls > 0}
 				}
 				calls++
-				return memstore.Fault{LoseAnswer: calls == 1, Down: calls > 1}
+				return memstore.Fault{DropResponse: calls == 1, Down: calls > 1}
 			})
 		}, ErrUnknownOutcome, "one+"},
 		{"answer lost, then edited by another", func(f *fleet, n *testNode) {
@@ -76,7 +76,7 @@
 				if !lost && c.Operation == memstore.OperationCompareAndSwap && strings.HasSuffix(c.Key, "/head") {
 					lost = true
 					time.AfterFunc(10*time.Millisecond, func() { _, _ = watching[0].update(add("-")) })
-					return memstore.Fault{LoseAnswer: true}
+					return memstore.Fault{DropResponse: true}
 				}
 				return memstore.Fault{}
 			})
@@ -113,7 +113,7 @@
 		err   error
 		value string
 	}{
-		{"it had taken effect", memstore.Fault{LoseAnswer: true, Delay: 20 * time.Second}, nil, "one+"},
+		{"it had taken effect", memstore.Fault{DropResponse: true, Delay: 20 * time.Second}, nil, "one+"},
 		{"it is still on its way", memstore.Fault{Delay: time.Hour}, ErrNotAccepted, "one"},
 	}
 	for _, c := range cases {
--- a/document/service_test.go
+++ b/document/service_test.go
@@ -97,14 +97,14 @@
 		f.nodes[0].mustUpdate(set("one"))
 		f.nodes[0].mustUpdate(set("two"))
 		time.Sleep(5 * time.Second)
-		f.store.SetOldBy(6 * time.Second)
-		time.AfterFunc(5*time.Second, func() { f.store.SetOldBy(0) })
+		f.store.SetStaleness(6 * time.Second)
+		time.AfterFunc(5*time.Second, func() { f.store.SetStaleness(0) })
 		version := f.nodes[2].mustUpdate(add("+"))
 		assert.Equal(t, version.Generation, uint64(3))
-		f.store.SetOldBy(15 * time.Second)
+		f.store.SetStaleness(15 * time.Second)
 		time.Sleep(40 * time.Second)
 		f.expectAll("two+")
-		f.store.SetOldBy(0)
+		f.store.SetStaleness(0)
 		time.Sleep(time.Minute)
 		f.expectAll("two+")
 		assert.Equal(t, f.nodes[0].condition().Held.Generation, uint64(3))
@@ -112,9 +112,9 @@
 }
 
 func TestStoreRestoredFromAnOldCopy(t *testing.T) {
-	for name, copyOf := range map[string]func(f *fleet) memstore.Copy{
-		"old copy": func(f *fleet) memstore.Copy { return f.store.Save() },
-		"emptied":  func(*fleet) memstore.Copy { return memstore.New(memstore.Options{}).Save() },
+	for name, copyOf := range map[string]func(f *fleet) memstore.Snapshot{
+		"old copy": func(f *fleet) memstore.Snapshot { return f.store.Save() },
+		"emptied":  func(*fleet) memstore.Snapshot { return memstore.New(memstore.Options{}).Save() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, 2, 4, func(t *testing.T, f *fleet) {
--- a/document/supervise.go
+++ b/document/supervise.go
@@ -78,7 +78,7 @@
 		c.forget()
 		return
 	}
-	if err := c.collect(budget.WithPurpose(ctx, budget.PurposeCollect)); err != nil {
+	if err := c.collect(budget.WithPurpose(ctx, budget.PurposeGarbageCollection)); err != nil {
 		r.service.options.Logger.Warn().Str("document", r.spec.Name).Err(err).Msg("collection failed")
 	}
 }
--- a/endpoint/exchange/abandon_test.go
+++ b/endpoint/exchange/abandon_test.go
@@ -18,16 +18,16 @@
 func abandoned(t *testing.T, c *Client, l net.Listener) error {
 	t.Helper()
 	r := (&server{address: l.Addr().String()}).request("1")
-	r.Body = []byte(strings.Repeat("x", netdialtest.HeldBytes))
+	r.Body = []byte(strings.Repeat("x", netdialtest.PayloadBytes))
 	conn, err := c.connection(context.Background(), r)
 	assert.NilError(t, err)
-	assert.NilError(t, conn.Conn.Conn.(*net.TCPConn).SetWriteBuffer(2*netdialtest.HeldBytes))
+	assert.NilError(t, conn.Conn.Conn.(*net.TCPConn).SetWriteBuffer(2*netdialtest.PayloadBytes))
 	assert.NilError(t, conn.write(r))
 	return c.abandon(conn, endpoint.ErrBroken)
 }
 
 func TestUnacknowledgedRequestIsTold(t *testing.T) {
-	l := netdialtest.HeldUp(t)
+	l := netdialtest.ListenSmallBuffer(t)
 	set := metrics.NewSet()
 	c := New(Options{}, set)
 	err := abandoned(t, c, l)
@@ -46,7 +46,7 @@
 
 // Guards against requests that reach an endpoint after they were given up on, when a link that was cut is back.
 func TestRequestGivenUpOnIsNotDeliveredLater(t *testing.T) {
-	l := netdialtest.HeldUp(t)
+	l := netdialtest.ListenSmallBuffer(t)
 	err := abandoned(t, New(Options{}, metrics.NewSet()), l)
 	assert.ErrorIs(t, err, endpoint.ErrUnacknowledged)
 
--- a/endpoint/exchange/client.go
+++ b/endpoint/exchange/client.go
@@ -129,7 +129,7 @@
 // abandon closes a connection whose request has no answer, and adds to the error what was not acknowledged of it.
 func (c *Client) abandon(conn *conn, err error) error {
 	conn.close()
-	if errors.Is(err, endpoint.ErrNotDispatched) || !conn.Pending() {
+	if errors.Is(err, endpoint.ErrNotDispatched) || !conn.ClosedUnacknowledged() {
 		return err
 	}
 	c.unacknowledged.Inc()
--- a/endpoint/onesend/abandon_test.go
+++ b/endpoint/onesend/abandon_test.go
@@ -17,13 +17,13 @@
 
 // Guards against calls that reach a store or an endpoint after they were given up on, when a link that was cut is back.
 func TestCallGivenUpOnIsNotDeliveredLater(t *testing.T) {
-	l := netdialtest.HeldUp(t)
+	l := netdialtest.ListenSmallBuffer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	body := &lastRead{Reader: strings.NewReader(strings.Repeat("x", netdialtest.HeldBytes)), end: cancel}
+	body := &lastRead{Reader: strings.NewReader(strings.Repeat("x", netdialtest.PayloadBytes)), end: cancel}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr().String(), body)
 	assert.NilError(t, err)
-	request.ContentLength = netdialtest.HeldBytes
+	request.ContentLength = netdialtest.PayloadBytes
 	_, err = onesend.New(onesend.Options{}).Send(request)
 	assert.ErrorIs(t, err, endpoint.ErrBroken)
 
--- a/ledger/tablestore_test.go
+++ b/ledger/tablestore_test.go
@@ -18,7 +18,7 @@
 		return domain.Member{Node: nodeName(i), Incarnation: 1, DataCentre: testDataCentre}
 	}
 	tables := NewTableStore(s.NewClient(), testDataCentre, Options{})
-	s.LoseNext(1)
+	s.DropNextResponses(1)
 	first, err := tables.Edit(t.Context(), Join(member(0)))
 	assert.NilError(t, err)
 	assert.Equal(t, first.Epoch, uint64(1))
--- a/netdial/conn.go
+++ b/netdial/conn.go
@@ -72,7 +72,7 @@
 }
 
 // Pending reports whether the connection was closed before the other side had acknowledged all that was written.
-func (c *Conn) Pending() bool {
+func (c *Conn) ClosedUnacknowledged() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending
--- a/netdial/netdialtest/listener.go
+++ b/netdial/netdialtest/listener.go
@@ -16,13 +16,13 @@
 // receiveBuffer is less than the least that the kernel grants.
 const receiveBuffer = 1 << 10
 
-// HeldBytes is more than a connection of HeldUp takes unread, and less than a sender's kernel holds with a write buffer of
+// PayloadBytes is more than a connection of ListenSmallBuffer takes unread, and less than a sender's kernel holds with a write buffer of
 // twice that size.
-const HeldBytes = 32 << 10
+const PayloadBytes = 32 << 10
 
-// HeldUp returns a listener whose connections take few bytes before they are read, so that the sender's kernel holds the
+// ListenSmallBuffer returns a listener whose connections take few bytes before they are read, so that the sender's kernel holds the
 // rest, as it does on a link that is cut. It is closed with the test.
-func HeldUp(t testing.TB) net.Listener {
+func ListenSmallBuffer(t testing.TB) net.Listener {
 	t.Helper()
 	config := net.ListenConfig{Control: takeLittle}
 	l, err := config.Listen(context.Background(), "tcp4", "127.0.0.1:0")
@@ -31,8 +31,8 @@
 	return l
 }
 
-// DialHeldUp dials a connection that takes as few bytes before they are read; nil if the test has failed.
-func DialHeldUp(t testing.TB, address string) net.Conn {
+// DialSmallBuffer dials a connection that takes as few bytes before they are read; nil if the test has failed.
+func DialSmallBuffer(t testing.TB, address string) net.Conn {
 	dialer := net.Dialer{Control: takeLittle}
 	c, err := dialer.DialContext(context.Background(), "tcp4", address)
 	assert.Check(t, err)
@@ -48,21 +48,21 @@
 	return errors.Join(err, set)
 }
 
-// AssertDiscards fails the test if far, which has read nothing yet, gets all that is written to near before near is closed,
+// AssertCloseDiscards fails the test if far, which has read nothing yet, gets all that is written to near before near is closed,
 // or sees an ordinary end. It closes both.
-func AssertDiscards(t testing.TB, near, far net.Conn) {
+func AssertCloseDiscards(t testing.TB, near, far net.Conn) {
 	t.Helper()
-	_, err := near.Write(make([]byte, HeldBytes))
+	_, err := near.Write(make([]byte, PayloadBytes))
 	assert.NilError(t, err)
 	assert.NilError(t, near.Close())
 	AssertDiscarded(t, far)
 }
 
-// AssertDiscarded fails the test if far gets HeldBytes or sees an ordinary end of what was sent to it. It closes far.
+// AssertDiscarded fails the test if far gets PayloadBytes or sees an ordinary end of what was sent to it. It closes far.
 func AssertDiscarded(t testing.TB, far net.Conn) {
 	t.Helper()
 	defer far.Close()
 	delivered, err := io.ReadAll(far)
 	assert.ErrorIs(t, err, unix.ECONNRESET, "%d bytes and an ordinary end were delivered", len(delivered))
-	assert.Assert(t, len(delivered) < HeldBytes, "all was delivered")
+	assert.Assert(t, len(delivered) < PayloadBytes, "all was delivered")
 }
--- a/node/matrix_faults_test.go
+++ b/node/matrix_faults_test.go
@@ -182,13 +182,13 @@
 		{name: "store is down", begin: func(x *trial) { x.store.SetDown(true) }, end: func(x *trial) { x.store.SetDown(false) }},
 		{name: "store is slow", begin: func(x *trial) { x.store.SetDelay(3 * time.Second) }, end: func(x *trial) { x.store.SetDelay(0) }},
 		{name: "store's answer is lost after its effect", begin: func(x *trial) { x.store.SetFunc(loseAnswers) }, end: func(x *trial) { x.store.SetFunc(nil) }},
-		{name: "store gives an old value", begin: func(x *trial) { x.store.SetOldBy(5 * time.Second) }, end: func(x *trial) { x.store.SetOldBy(0) }},
+		{name: "store gives an old value", begin: func(x *trial) { x.store.SetStaleness(5 * time.Second) }, end: func(x *trial) { x.store.SetStaleness(0) }},
 		{name: "lease lapses unknown to its holder", never: "the grid's nodes hold no lease, as they give no orders unless the settings say so; the tests of packages store/lease and coordinator bring it about"},
 	}
 }
 
 func loseAnswers(c memstore.Call) memstore.Fault {
-	return memstore.Fault{LoseAnswer: c.Operation.IsWrite()}
+	return memstore.Fault{DropResponse: c.Operation.IsWrite()}
 }
 
 func otherFaults() []*fault {
--- a/peer/wslink/abandon_test.go
+++ b/peer/wslink/abandon_test.go
@@ -11,12 +11,12 @@
 
 // Guards against frames that reach another node after their link was ended, when a network that was cut is back.
 func TestFramesOfAnEndedLinkAreNotDeliveredLater(t *testing.T) {
-	l := netdialtest.HeldUp(t)
+	l := netdialtest.ListenSmallBuffer(t)
 	near, err := dialTCP(t.Context(), l.Addr().String())
 	assert.NilError(t, err)
 	far, err := l.Accept()
 	assert.NilError(t, err)
-	netdialtest.AssertDiscards(t, near, far)
+	netdialtest.AssertCloseDiscards(t, near, far)
 }
 
 // Guards against the same on links that the other node dialled.
@@ -26,8 +26,8 @@
 	accepting := accepted(l)
 	defer accepting.Close()
 	dialled := make(chan net.Conn, 1)
-	go func() { dialled <- netdialtest.DialHeldUp(t, l.Addr().String()) }()
+	go func() { dialled <- netdialtest.DialSmallBuffer(t, l.Addr().String()) }()
 	near, err := accepting.Accept()
 	assert.NilError(t, err)
-	netdialtest.AssertDiscards(t, near, <-dialled)
+	netdialtest.AssertCloseDiscards(t, near, <-dialled)
 }
--- a/standin/storeserver/control.go
+++ b/standin/storeserver/control.go
@@ -29,7 +29,7 @@
 	memory *memstore.Store
 
 	mu    sync.Mutex
-	saved memstore.Copy
+	saved memstore.Snapshot
 }
 
 func addControl(router *echo.Echo, memory *memstore.Store) {
@@ -58,8 +58,8 @@
 
 func (c *control) apply(f Faults) {
 	c.memory.SetDelay(millis(f.DelayMillis))
-	c.memory.SetOldBy(millis(f.OldByMillis))
-	c.memory.LoseNext(f.LoseAnswers)
+	c.memory.SetStaleness(millis(f.OldByMillis))
+	c.memory.DropNextResponses(f.LoseAnswers)
 	c.memory.SetDown(f.Down)
 }
 
--- a/standin/storeserver/handler.go
+++ b/standin/storeserver/handler.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, httpstore.Written{Revision: revision})
+	return c.JSON(http.StatusOK, httpstore.SwapResponse{Revision: revision})
 }
 
 func (h *handler) delete(c echo.Context) error {
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	return c.JSON(http.StatusOK, httpstore.LeaseGranted{Lease: lease})
+	return c.JSON(http.StatusOK, httpstore.LeaseResponse{Lease: lease})
 }
 
 func (h *handler) keepAlive(c echo.Context) error {
--- a/store/budget/purpose.go
+++ b/store/budget/purpose.go
@@ -15,8 +15,8 @@
 	PurposeEdit Purpose = "edit"
 	// PurposeRepair is writing back what the store has lost.
 	PurposeRepair Purpose = "repair"
-	// PurposeCollect is removing what nothing refers to.
-	PurposeCollect Purpose = "collect"
+	// PurposeGarbageCollection is removing what nothing refers to.
+	PurposeGarbageCollection Purpose = "collect"
 	// PurposeLease is holding a lease.
 	PurposeLease Purpose = "lease"
 )
--- a/store/budget/store_test.go
+++ b/store/budget/store_test.go
@@ -78,7 +78,7 @@
 func TestOneCallAtATimeTries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memstore.New(memstore.Options{})
-		m.SetFunc(func(memstore.Call) memstore.Fault { return memstore.Fault{Delay: time.Second, LoseAnswer: true} })
+		m.SetFunc(func(memstore.Call) memstore.Fault { return memstore.Fault{Delay: time.Second, DropResponse: true} })
 		s := New(m.NewClient(), Options{})
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Minute)
 		defer cancel()
@@ -132,7 +132,7 @@
 			return err
 		}, true},
 		{"answer lost", func(s *Store, m *memstore.Store) error {
-			m.LoseNext(1)
+			m.DropNextResponses(1)
 			_, err := s.CompareAndSwap(context.Background(), "k", 0, nil, 0)
 			return err
 		}, true},
--- a/store/httpstore/client.go
+++ b/store/httpstore/client.go
@@ -88,7 +88,7 @@
 
 // CompareAndSwap implements store.Store.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
-	var written Written
+	var written SwapResponse
 	_, err := c.do(ctx, c.timeout, call{
 		method: http.MethodPut,
 		path:   PathKey,
@@ -135,7 +135,7 @@
 	if err != nil {
 		return 0, err
 	}
-	var granted LeaseGranted
+	var granted LeaseResponse
 	_, err = c.do(ctx, c.timeout, call{method: http.MethodPost, path: PathLeases, body: body, result: &granted})
 	return granted.Lease, err
 }
--- a/store/httpstore/client_test.go
+++ b/store/httpstore/client_test.go
@@ -138,7 +138,7 @@
 
 func TestLostAnswer(t *testing.T) {
 	c, memory := newClient(t)
-	memory.LoseNext(1)
+	memory.DropNextResponses(1)
 	_, err := c.CompareAndSwap(t.Context(), "k", 0, []byte("v"), 0)
 	assert.ErrorIs(t, err, store.ErrUnknownOutcome)
 	_, err = c.Get(t.Context(), "k")
--- a/store/httpstore/wire.go
+++ b/store/httpstore/wire.go
@@ -21,8 +21,8 @@
 	ParameterAfter    = "after"
 )
 
-// Written answers a compare-and-swap.
-type Written struct {
+// SwapResponse answers a compare-and-swap.
+type SwapResponse struct {
 	Revision store.Revision `json:"revision"`
 }
 
@@ -31,7 +31,7 @@
 	TTLMillis int64 `json:"ttl_ms"`
 }
 
-// LeaseGranted is the answer to a LeaseRequest.
-type LeaseGranted struct {
+// LeaseResponse is the answer to a LeaseRequest.
+type LeaseResponse struct {
 	Lease store.LeaseID `json:"lease"`
 }
--- a/store/lease/acquire.go
+++ b/store/lease/acquire.go
@@ -66,7 +66,7 @@
 
 // claim writes the key. A write whose answer was lost is told by the record's
 // token; writing again can't take effect twice.
-func claim(ctx context.Context, s store.Store, key string, r record, id store.LeaseID) (Fencing, error) {
+func claim(ctx context.Context, s store.Store, key string, r record, id store.LeaseID) (FencingToken, error) {
 	encoded, err := cbor.Marshal(r)
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotAcquired, err)
@@ -75,7 +75,7 @@
 		revision, err := s.CompareAndSwap(ctx, key, 0, encoded, id)
 		switch {
 		case err == nil:
-			return Fencing(revision), nil
+			return FencingToken(revision), nil
 		case errors.Is(err, store.ErrConflict):
 			return inspect(ctx, s, key, r)
 		case errors.Is(err, store.ErrUnknownOutcome) && ctx.Err() == nil:
@@ -90,7 +90,7 @@
 const claimRetry = 50 * time.Millisecond
 
 // inspect tells whether the key was written by this very acquisition.
-func inspect(ctx context.Context, s store.Store, key string, mine record) (Fencing, error) {
+func inspect(ctx context.Context, s store.Store, key string, mine record) (FencingToken, error) {
 	entry, err := s.Get(ctx, key)
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotAcquired, err)
@@ -105,7 +105,7 @@
 	if holder.Token != mine.Token {
 		return 0, fmt.Errorf("%w: %s", ErrHeld, holder.Owner)
 	}
-	return Fencing(entry.Revision), nil
+	return FencingToken(entry.Revision), nil
 }
 
 // abandon revokes a store lease that is of no use; if that fails, it lapses.
--- a/store/lease/campaign.go
+++ b/store/lease/campaign.go
@@ -26,7 +26,7 @@
 		if errors.Is(err, ErrHeld) {
 			awaitEnd(ctx, s, key, o)
 		}
-		pause(ctx, o.Retry)
+		pause(ctx, o.RetryInterval)
 	}
 	return nil
 }
--- a/store/lease/lease.go
+++ b/store/lease/lease.go
@@ -11,9 +11,9 @@
 	"hawthornrill.example/hawthornrill/store/budget"
 )
 
-// Fencing numbers the holders of a lease: a later holder has a greater one, as
+// FencingToken numbers the holders of a lease: a later holder has a greater one, as
 // long as the store is not restored from an old copy.
-type Fencing uint64
+type FencingToken uint64
 
 // Lease is held from Acquire until it is released or lost. Its methods are safe
 // for concurrent use.
@@ -21,7 +21,7 @@
 	store   store.Store
 	options Options
 	id      store.LeaseID
-	fencing Fencing
+	fencing FencingToken
 
 	// origin and validFor tell until when the lease is held, on the monotonic clock.
 	origin   time.Time
@@ -35,7 +35,7 @@
 
 // newLease returns a lease whose key was written under a store lease that was
 // asked for at the given time.
-func newLease(s store.Store, o Options, id store.LeaseID, fencing Fencing, asked time.Time) *Lease {
+func newLease(s store.Store, o Options, id store.LeaseID, fencing FencingToken, asked time.Time) *Lease {
 	l := &Lease{
 		store:   s,
 		options: o,
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// Fencing is the number that goes with every order of this holder.
-func (l *Lease) Fencing() Fencing { return l.fencing }
+// FencingToken is the number that goes with every order of this holder.
+func (l *Lease) Fencing() FencingToken { return l.fencing }
 
 // Lost is closed when the lease is lost or released. A paused process sees Held
 // become false before this.
--- a/store/lease/lease_test.go
+++ b/store/lease/lease_test.go
@@ -61,7 +61,7 @@
 		held time.Duration
 	}{
 		{"none", func(*memstore.Store, *memstore.Client, *pausable) {}, 0},
-		{"answers lost", func(_ *memstore.Store, c *memstore.Client, _ *pausable) { c.LoseNext(2) }, 0},
+		{"answers lost", func(_ *memstore.Store, c *memstore.Client, _ *pausable) { c.DropNextResponses(2) }, 0},
 		{"slow", func(_ *memstore.Store, c *memstore.Client, _ *pausable) { c.SetDelay(2 * time.Second) }, 0},
 		// The last keep-alive was sent at 60 s; TTL 15 s less the margin of 3 s.
 		{"cut off from the store", func(_ *memstore.Store, c *memstore.Client, _ *pausable) { c.SetDown(true) }, 72 * time.Second},
@@ -121,7 +121,7 @@
 	}{
 		{"claim's answer lost", func(c *memstore.Client) {
 			c.SetFunc(func(call memstore.Call) memstore.Fault {
-				return memstore.Fault{LoseAnswer: call.Operation == memstore.OperationCompareAndSwap && call.Number == 2}
+				return memstore.Fault{DropResponse: call.Operation == memstore.OperationCompareAndSwap && call.Number == 2}
 			})
 		}, nil},
 		{"down", func(c *memstore.Client) { c.SetDown(true) }, ErrNotAcquired},
@@ -183,7 +183,7 @@
 		clients := []*memstore.Client{m.NewClient(), m.NewClient(), m.NewClient()}
 		ctx, cancel := context.WithCancel(t.Context())
 		var mu sync.Mutex
-		var fencings []Fencing
+		var fencings []FencingToken
 		leading, leader := 0, -1
 		var wg sync.WaitGroup
 		for i, client := range clients {
--- a/store/lease/options.go
+++ b/store/lease/options.go
@@ -17,7 +17,7 @@
 	Margin time.Duration
 	// Retry is the mean time between attempts at a lease whose holder does not
 	// answer (1 s).
-	Retry time.Duration
+	RetryInterval time.Duration
 }
 
 func (o Options) withDefaults() Options {
@@ -27,14 +27,14 @@
 	if o.Margin == 0 {
 		o.Margin = o.TTL / 5
 	}
-	if o.Retry == 0 {
-		o.Retry = time.Second
+	if o.RetryInterval == 0 {
+		o.RetryInterval = time.Second
 	}
 	return o
 }
 
 func (o Options) check() error {
-	if o.TTL <= 0 || o.Margin < 0 || o.Margin >= o.TTL/2 || o.Retry < 0 {
+	if o.TTL <= 0 || o.Margin < 0 || o.Margin >= o.TTL/2 || o.RetryInterval < 0 {
 		return errors.New("lease: the margin must be less than half the TTL, and nothing negative")
 	}
 	return nil
--- a/store/memstore/call.go
+++ b/store/memstore/call.go
@@ -42,7 +42,7 @@
 	if !pacing.Sleep(ctx, r.fault.Delay) {
 		return unavailable(ctx)
 	}
-	if r.fault.LoseAnswer {
+	if r.fault.DropResponse {
 		return store.ErrUnavailable
 	}
 	return nil
@@ -69,7 +69,7 @@
 }
 
 func (r runningCall) answer(err error) error {
-	if r.fault.LoseAnswer {
+	if r.fault.DropResponse {
 		return store.ErrUnknownOutcome
 	}
 	return err
--- a/store/memstore/client.go
+++ b/store/memstore/client.go
@@ -30,7 +30,7 @@
 	if err := call.delayRead(ctx); err != nil {
 		return store.Entry{}, err
 	}
-	entry, err := c.store.state.get(key, call.fault.OldBy)
+	entry, err := c.store.state.get(key, call.fault.Staleness)
 	c.countRead(len(entry.Value))
 	return entry, err
 }
@@ -44,7 +44,7 @@
 	if err := call.delayRead(ctx); err != nil {
 		return nil, err
 	}
-	entries := c.store.state.list(prefix, call.fault.OldBy)
+	entries := c.store.state.list(prefix, call.fault.Staleness)
 	for _, e := range entries {
 		c.countRead(len(e.Value))
 	}
--- a/store/memstore/fault.go
+++ b/store/memstore/fault.go
@@ -10,11 +10,11 @@
 	// meanwhile takes effect all the same, and its caller is told
 	// store.ErrUnknownOutcome.
 	Delay time.Duration
-	// LoseAnswer lets a write take effect and then answers
+	// DropResponse lets a write take effect and then answers
 	// store.ErrUnknownOutcome. Reads answer store.ErrUnavailable.
-	LoseAnswer bool
-	// OldBy makes a read answer as the store was so long ago.
-	OldBy time.Duration
+	DropResponse bool
+	// Staleness makes a read answer as the store was so long ago.
+	Staleness time.Duration
 }
 
 // FaultFunc decides the fault of each call. It must not call the store.
@@ -23,9 +23,9 @@
 // merge adds o to f; the worse of both counts.
 func (f Fault) merge(o Fault) Fault {
 	return Fault{
-		Down:       f.Down || o.Down,
-		Delay:      f.Delay + o.Delay,
-		LoseAnswer: f.LoseAnswer || o.LoseAnswer,
-		OldBy:      max(f.OldBy, o.OldBy),
+		Down:         f.Down || o.Down,
+		Delay:        f.Delay + o.Delay,
+		DropResponse: f.DropResponse || o.DropResponse,
+		Staleness:    max(f.Staleness, o.Staleness),
 	}
 }
--- a/store/memstore/faults.go
+++ b/store/memstore/faults.go
@@ -38,15 +38,15 @@
 	f.standing.Delay = delay
 }
 
-// SetOldBy makes all reads but watches answer as the store was so long ago.
-func (f *Faults) SetOldBy(age time.Duration) {
+// SetStaleness makes all reads but watches answer as the store was so long ago.
+func (f *Faults) SetStaleness(age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.standing.OldBy = age
+	f.standing.Staleness = age
 }
 
-// LoseNext loses the answers of the next n writes, after their effect.
-func (f *Faults) LoseNext(n int) {
+// DropNextResponses loses the answers of the next n writes, after their effect.
+func (f *Faults) DropNextResponses(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loseNext = n
@@ -69,7 +69,7 @@
 	fault := f.standing
 	if f.loseNext > 0 && operation.IsWrite() && !fault.Down {
 		f.loseNext--
-		fault.LoseAnswer = true
+		fault.DropResponse = true
 	}
 	if f.decide != nil {
 		fault = fault.merge(f.decide(Call{Operation: operation, Key: key, Number: f.calls}))
--- a/store/memstore/options.go
+++ b/store/memstore/options.go
@@ -15,14 +15,14 @@
 	ReadsPerSecond  float64
 	// History is for how long overwritten values can still be read by the fault
 	// "old value read". The default is one minute.
-	History time.Duration
+	HistoryRetention time.Duration
 }
 
 const defaultHistory = time.Minute
 
 func (o Options) withDefaults() Options {
-	if o.History == 0 {
-		o.History = defaultHistory
+	if o.HistoryRetention == 0 {
+		o.HistoryRetention = defaultHistory
 	}
 	return o
 }
--- a/store/memstore/state.go
+++ b/store/memstore/state.go
@@ -151,13 +151,13 @@
 	return e
 }
 
-func (s *state) save() Copy {
+func (s *state) save() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{revision: s.revision, entries: s.listLocked("", time.Now())}
+	return Snapshot{revision: s.revision, entries: s.listLocked("", time.Now())}
 }
 
-func (s *state) restore(c Copy) {
+func (s *state) restore(c Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.leases {
--- a/store/memstore/store.go
+++ b/store/memstore/store.go
@@ -23,7 +23,7 @@
 	options = options.withDefaults()
 	return &Store{
 		Faults: newFaults(),
-		state:  newState(options.History),
+		state:  newState(options.HistoryRetention),
 		writes: limiter(options.WritesPerSecond),
 		reads:  limiter(options.ReadsPerSecond),
 	}
@@ -46,15 +46,15 @@
 	return limit == nil || limit.AllowN(time.Now(), 1)
 }
 
-// Copy is the store's content at some time.
-type Copy struct {
+// Snapshot is the store's content at some time.
+type Snapshot struct {
 	revision store.Revision
 	entries  []store.Entry
 }
 
 // Save returns a copy of the entries and the revision. Leases are left out.
-func (s *Store) Save() Copy { return s.state.save() }
+func (s *Store) Save() Snapshot { return s.state.save() }
 
 // Restore brings back an old copy, as an operator would from a backup: newer
 // entries, leases and the revision counter are lost. Watches stay open.
-func (s *Store) Restore(c Copy) { s.state.restore(c) }
+func (s *Store) Restore(c Snapshot) { s.state.restore(c) }
--- a/store/memstore/store_test.go
+++ b/store/memstore/store_test.go
@@ -65,7 +65,7 @@
 	}{
 		"none":        {func(*memstore.Faults) {}, nil, true},
 		"down":        {func(f *memstore.Faults) { f.SetDown(true) }, store.ErrUnavailable, false},
-		"lost answer": {func(f *memstore.Faults) { f.LoseNext(1) }, store.ErrUnknownOutcome, true},
+		"lost answer": {func(f *memstore.Faults) { f.DropNextResponses(1) }, store.ErrUnknownOutcome, true},
 		"slow":        {func(f *memstore.Faults) { f.SetDelay(time.Second) }, nil, true},
 		"slower than the caller waits": {
 			func(f *memstore.Faults) { f.SetDelay(time.Minute) }, store.ErrUnknownOutcome, true,
@@ -98,7 +98,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
 		c, late := s.NewClient(), s.NewClient()
-		late.SetOldBy(30 * time.Second)
+		late.SetStaleness(30 * time.Second)
 		revision, err := c.CompareAndSwap(t.Context(), "k", 0, []byte("old"), 0)
 		assert.NilError(t, err)
 		time.Sleep(time.Minute)
