--- a/store/lease/acquire.go
+++ b/store/lease/acquire.go
@@ -15,19 +15,20 @@
 	"hawthornrill.example/hawthornrill/store/budget"
 )
 
-// record is the value of a held key.
+// record is the value stored under a lease's key.
 type record struct {
 	Owner string `cbor:"1,keyasint"`
-	// Token tells this acquisition from all others.
-	Token uuid.UUID `cbor:"2,keyasint"`
+	// AcquisitionID is unique to each acquisition.
+	AcquisitionID uuid.UUID `cbor:"2,keyasint"`
 }
 
 // Acquire takes the lease, or returns ErrHeld with its owner, or ErrNotAcquired.
-// The context bounds the acquisition alone; the lease is kept until Release, or
+// The context bounds the acquisition only; the lease is renewed until Release, or
 // until it is lost.
 //
-// A key without a store lease is what a restored copy of the store left of a
-// former holder. It is removed after a TTL, by which time that holder has stopped.
+// A key without a store lease belonged to a former holder and came back when the
+// store was restored from a backup. It is removed after one TTL, by which time
+// that holder has stopped.
 func Acquire(ctx context.Context, s store.Store, key string, options Options) (*Lease, error) {
 	o := options.withDefaults()
 	if err := o.check(); err != nil {
@@ -45,27 +46,28 @@
 }
 
 func tryAcquire(ctx context.Context, s store.Store, key string, o Options) (*Lease, error) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	bounded, cancel := context.WithTimeout(budget.WithPurpose(ctx, budget.PurposeLease), o.TTL-o.Margin)
 	defer cancel()
 	id, err := s.GrantLease(bounded, o.TTL)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotAcquired, err)
 	}
-	fencing, err := claim(bounded, s, key, record{Owner: o.Owner, Token: uuid.New()}, id)
+	fencing, err := claim(bounded, s, key, record{Owner: o.Owner, AcquisitionID: uuid.New()}, id)
 	if err != nil {
-		abandon(ctx, s, id, o)
+		revokeUnused(ctx, s, id, o)
 		return nil, err
 	}
-	l := newLease(s, o, id, fencing, asked)
-	keeping, stop := context.WithCancel(budget.WithPurpose(context.WithoutCancel(ctx), budget.PurposeLease))
-	l.stop = stop
-	go l.keep(keeping)
+	l := newLease(s, o, id, fencing, requestedAt)
+	keepAliveCtx, stop := context.WithCancel(budget.WithPurpose(context.WithoutCancel(ctx), budget.PurposeLease))
+	l.cancel = stop
+	go l.keepAliveLoop(keepAliveCtx)
 	return l, nil
 }
 
-// claim writes the key. A write whose answer was lost is told by the record's
-// token; writing again can't take effect twice.
+// claim writes the key. If the response to a write was lost, the record's
+// acquisition ID shows whether the write took effect. Retrying is safe, as
+// compare-and-swap can't take effect twice.
 func claim(ctx context.Context, s store.Store, key string, r record, id store.LeaseID) (FencingToken, error) {
 	encoded, err := cbor.Marshal(r)
 	if err != nil {
@@ -77,20 +79,21 @@
 		case err == nil:
 			return FencingToken(revision), nil
 		case errors.Is(err, store.ErrConflict):
-			return inspect(ctx, s, key, r)
+			return checkHolder(ctx, s, key, r)
 		case errors.Is(err, store.ErrUnknownOutcome) && ctx.Err() == nil:
-			pause(ctx, claimRetry)
+			sleepJittered(ctx, claimRetryInterval)
 		default:
 			return 0, fmt.Errorf("%w: %w", ErrNotAcquired, err)
 		}
 	}
 }
 
-// claimRetry is the mean time between attempts at a write with unknown outcome.
-const claimRetry = 50 * time.Millisecond
+// claimRetryInterval is the mean time between retries of a write with unknown outcome.
+const claimRetryInterval = 50 * time.Millisecond
 
-// inspect tells whether the key was written by this very acquisition.
-func inspect(ctx context.Context, s store.Store, key string, mine record) (FencingToken, error) {
+// checkHolder returns the fencing token if the key was written by this acquisition,
+// or else an error that names its holder.
+func checkHolder(ctx context.Context, s store.Store, key string, mine record) (FencingToken, error) {
 	entry, err := s.Get(ctx, key)
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotAcquired, err)
@@ -102,18 +105,20 @@
 	if entry.Lease == 0 {
 		return 0, &orphanError{entry: entry, owner: holder.Owner}
 	}
-	if holder.Token != mine.Token {
+	if holder.AcquisitionID != mine.AcquisitionID {
 		return 0, fmt.Errorf("%w: %s", ErrHeld, holder.Owner)
 	}
 	return FencingToken(entry.Revision), nil
 }
 
-// abandon revokes a store lease that is of no use; if that fails, it lapses.
-func abandon(ctx context.Context, s store.Store, id store.LeaseID, o Options) {
+// revokeUnused revokes a store lease that protects no key; if that fails, it
+// expires by itself.
+func revokeUnused(ctx context.Context, s store.Store, id store.LeaseID, o Options) {
 	ctx, cancel := context.WithTimeout(budget.WithPurpose(context.WithoutCancel(ctx), budget.PurposeLease), o.TTL/3)
 	defer cancel()
 	_ = s.RevokeLease(ctx, id)
 }
 
-// pause waits for a random time around the mean, or until the context ends.
-func pause(ctx context.Context, mean time.Duration) { pacing.Sleep(ctx, rand.N(2*mean+1)) }
+// sleepJittered waits for a random time between zero and twice the mean, or until
+// the context ends.
+func sleepJittered(ctx context.Context, mean time.Duration) { pacing.Sleep(ctx, rand.N(2*mean+1)) }
--- a/store/lease/example_test.go
+++ b/store/lease/example_test.go
@@ -9,7 +9,7 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// Of two processes one holds the lease. The other one gets it after the first has given it up, with a greater fencing number.
+// One of two processes holds the lease. The other acquires it once the first has released it, with a greater fencing token.
 func Example() {
 	ctx := context.Background()
 	store := memstore.New(memstore.Options{})
@@ -26,8 +26,8 @@
 	if err != nil {
 		panic(err)
 	}
-	fmt.Println("a holds it:", first.Held(), "- b's number is greater:", second.Fencing() > first.Fencing())
+	fmt.Println("a holds it:", first.Held(), "- b's token is greater:", second.Fencing() > first.Fencing())
 	// Output:
 	// a holds it: true - b is refused: true
-	// a holds it: false - b's number is greater: true
+	// a holds it: false - b's token is greater: true
 }
--- a/store/lease/lease.go
+++ b/store/lease/lease.go
@@ -11,46 +11,46 @@
 	"hawthornrill.example/hawthornrill/store/budget"
 )
 
-// FencingToken numbers the holders of a lease: a later holder has a greater one, as
-// long as the store is not restored from an old copy.
+// FencingToken identifies a holder of a lease. It increases from holder to holder,
+// as long as the store is not restored from a backup.
 type FencingToken uint64
 
-// Lease is held from Acquire until it is released or lost. Its methods are safe
-// for concurrent use.
+// Lease is a lease held from Acquire until it is released or lost. Its methods are
+// safe for concurrent use.
 type Lease struct {
 	store   store.Store
 	options Options
 	id      store.LeaseID
 	fencing FencingToken
 
-	// origin and validFor tell until when the lease is held, on the monotonic clock.
+	// The lease is held until origin plus validFor, on the monotonic clock.
 	origin   time.Time
 	validFor atomic.Int64
 
-	end  sync.Once
-	lost chan struct{}
-	done chan struct{}
-	stop context.CancelFunc
+	lostOnce sync.Once
+	lost     chan struct{}
+	done     chan struct{}
+	cancel   context.CancelFunc
 }
 
 // newLease returns a lease whose key was written under a store lease that was
-// asked for at the given time.
-func newLease(s store.Store, o Options, id store.LeaseID, fencing FencingToken, asked time.Time) *Lease {
+// requested at the given time.
+func newLease(s store.Store, o Options, id store.LeaseID, fencing FencingToken, requestedAt time.Time) *Lease {
 	l := &Lease{
 		store:   s,
 		options: o,
 		id:      id,
 		fencing: fencing,
-		origin:  asked,
+		origin:  requestedAt,
 		lost:    make(chan struct{}),
 		done:    make(chan struct{}),
 	}
-	l.extend(asked)
+	l.extend(requestedAt)
 	return l
 }
 
-// Held reports whether this process certainly holds the lease. Ask before every
-// act that only the holder may do.
+// Held reports whether this process is certain to hold the lease. Call it before
+// every action that is reserved to the holder.
 func (l *Lease) Held() bool {
 	select {
 	case <-l.lost:
@@ -60,7 +60,7 @@
 	}
 }
 
-// Check returns nil while the lease is held, else ErrLost.
+// Check returns nil while the lease is held, and ErrLost afterwards.
 func (l *Lease) Check() error {
 	if !l.Held() {
 		return ErrLost
@@ -68,17 +68,18 @@
 	return nil
 }
 
-// FencingToken is the number that goes with every order of this holder.
+// Fencing returns the token that must be sent with every order of this holder.
 func (l *Lease) Fencing() FencingToken { return l.fencing }
 
-// Lost is closed when the lease is lost or released. A paused process sees Held
-// become false before this.
+// Lost returns a channel that is closed when the lease is lost or released. In a
+// process that was paused, Held may be false before the channel is closed.
 func (l *Lease) Lost() <-chan struct{} { return l.lost }
 
-// Release gives the lease up at once; if the store can't be reached, it lapses.
+// Release gives up the lease at once; if the store can't be reached, the lease
+// expires by itself.
 func (l *Lease) Release(ctx context.Context) error {
-	l.lose()
-	l.stop()
+	l.markLost()
+	l.cancel()
 	<-l.done
 	err := l.store.RevokeLease(budget.WithPurpose(ctx, budget.PurposeLease), l.id)
 	if errors.Is(err, store.ErrLeaseNotFound) {
@@ -87,23 +88,23 @@
 	return err
 }
 
-// remaining is for how long the lease is still held; it is read from the clock
-// at each call.
+// remaining returns how long the lease is still valid. It reads the clock at each
+// call.
 func (l *Lease) remaining() time.Duration {
 	return time.Duration(l.validFor.Load()) - time.Since(l.origin)
 }
 
-// extend notes that a keep-alive sent at the given time was carried out.
+// extend records that the store processed a keep-alive sent at the given time.
 func (l *Lease) extend(sent time.Time) {
 	l.validFor.Store(int64(sent.Sub(l.origin) + l.options.TTL - l.options.Margin))
 }
 
-func (l *Lease) lose() { l.end.Do(func() { close(l.lost) }) }
+func (l *Lease) markLost() { l.lostOnce.Do(func() { close(l.lost) }) }
 
-// keep sends keep-alives until the lease is lost.
-func (l *Lease) keep(ctx context.Context) {
+// keepAliveLoop sends keep-alives until the lease is lost or the context ends.
+func (l *Lease) keepAliveLoop(ctx context.Context) {
 	defer close(l.done)
-	defer l.lose()
+	defer l.markLost()
 	interval := l.options.TTL / 3
 	for wait := interval; ; {
 		if !l.sleep(ctx, wait) {
@@ -121,8 +122,8 @@
 	}
 }
 
-// keepAlive extends the lease from the time before it was sent. An answer that
-// comes when the lease is no longer held does not bring it back.
+// keepAlive renews the lease, counting from the time before the call was sent. A
+// response that arrives after the lease has expired does not revive it.
 func (l *Lease) keepAlive(ctx context.Context) error {
 	sent := time.Now()
 	bounded, cancel := context.WithTimeout(ctx, l.options.TTL/3)
@@ -138,7 +139,8 @@
 	return nil
 }
 
-// sleep waits for d, or less if the lease ends before; false if it has ended.
+// sleep waits for d, or until the lease expires if that is sooner. It returns false
+// if the lease has expired or the context has ended.
 func (l *Lease) sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(min(d, max(l.remaining(), 0)))
 	defer timer.Stop()
--- a/store/lease/lease_test.go
+++ b/store/lease/lease_test.go
@@ -15,14 +15,15 @@
 
 const key = "leases/coordinator"
 
-// pausable is a store whose user's process can be stopped at its next call.
-type pausable struct {
+// pausableStore simulates a pause of the process that uses the store: keep-alives
+// return only when the pause has ended.
+type pausableStore struct {
 	store.Store
 	mu      sync.Mutex
 	resumed chan struct{}
 }
 
-func (p *pausable) pauseFor(d time.Duration) {
+func (p *pausableStore) pauseFor(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	resumed := make(chan struct{})
@@ -30,7 +31,7 @@
 	time.AfterFunc(d, func() { close(resumed) })
 }
 
-func (p *pausable) hold() {
+func (p *pausableStore) blockWhilePaused() {
 	p.mu.Lock()
 	resumed := p.resumed
 	p.mu.Unlock()
@@ -39,10 +40,10 @@
 	}
 }
 
-// KeepAlive carries the call out and holds its answer back.
-func (p *pausable) KeepAlive(ctx context.Context, id store.LeaseID) error {
+// KeepAlive makes the call and returns its result after the pause.
+func (p *pausableStore) KeepAlive(ctx context.Context, id store.LeaseID) error {
 	err := p.Store.KeepAlive(ctx, id)
-	p.hold()
+	p.blockWhilePaused()
 	return err
 }
 
@@ -56,31 +57,33 @@
 func TestHolderUnderFaults(t *testing.T) {
 	cases := []struct {
 		name  string
-		fault func(m *memstore.Store, c *memstore.Client, p *pausable)
-		// held is for how long the holder holds; zero for as long as the test runs.
+		fault func(m *memstore.Store, c *memstore.Client, p *pausableStore)
+		// held is how long the holder keeps the lease; zero for the whole test.
 		held time.Duration
 	}{
-		{"none", func(*memstore.Store, *memstore.Client, *pausable) {}, 0},
-		{"answers lost", func(_ *memstore.Store, c *memstore.Client, _ *pausable) { c.DropNextResponses(2) }, 0},
-		{"slow", func(_ *memstore.Store, c *memstore.Client, _ *pausable) { c.SetDelay(2 * time.Second) }, 0},
-		// The last keep-alive was sent at 60 s; TTL 15 s less the margin of 3 s.
-		{"cut off from the store", func(_ *memstore.Store, c *memstore.Client, _ *pausable) { c.SetDown(true) }, 72 * time.Second},
-		// The keep-alive sent at 65 s was carried out, but the holder can't know it
-		// by the time its lease ends.
-		{"paused", func(_ *memstore.Store, _ *memstore.Client, p *pausable) { p.pauseFor(2 * time.Minute) }, 72 * time.Second},
-		// The keep-alive of 65 s is answered at 69 s; the lease counts from 65 s.
-		{"answered late, then cut off", func(_ *memstore.Store, c *memstore.Client, p *pausable) {
+		{"none", func(*memstore.Store, *memstore.Client, *pausableStore) {}, 0},
+		{"responses lost", func(_ *memstore.Store, c *memstore.Client, _ *pausableStore) { c.DropNextResponses(2) }, 0},
+		{"slow", func(_ *memstore.Store, c *memstore.Client, _ *pausableStore) { c.SetDelay(2 * time.Second) }, 0},
+		// The last keep-alive is sent at 60 s; the lease ends after the TTL of 15 s less
+		// the margin of 3 s.
+		{"partitioned from the store", func(_ *memstore.Store, c *memstore.Client, _ *pausableStore) { c.SetDown(true) }, 72 * time.Second},
+		// The store processes the keep-alive sent at 65 s, but the holder doesn't learn
+		// of it before its lease ends.
+		{"paused", func(_ *memstore.Store, _ *memstore.Client, p *pausableStore) { p.pauseFor(2 * time.Minute) }, 72 * time.Second},
+		// The response to the keep-alive sent at 65 s arrives at 69 s; the lease is
+		// counted from 65 s.
+		{"late response, then partition", func(_ *memstore.Store, c *memstore.Client, p *pausableStore) {
 			p.pauseFor(8 * time.Second)
 			time.AfterFunc(5*time.Second, func() { c.SetDown(true) })
 		}, 77 * time.Second},
-		{"store restored", func(m *memstore.Store, _ *memstore.Client, _ *pausable) { m.Restore(m.Save()) }, 65 * time.Second},
+		{"store restored", func(m *memstore.Store, _ *memstore.Client, _ *pausableStore) { m.Restore(m.Save()) }, 65 * time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := memstore.New(memstore.Options{})
 				client := m.NewClient()
-				p := &pausable{Store: client}
+				p := &pausableStore{Store: client}
 				l := acquire(t, p, "a")
 				start := time.Now()
 				time.Sleep(61 * time.Second)
@@ -93,7 +96,7 @@
 					if second == nil {
 						second, _ = Acquire(t.Context(), other, key, Options{Owner: "b"})
 					}
-					// Never two at a time.
+					// The two processes never hold the lease at the same time.
 					assert.Assert(t, second == nil || !l.Held(), "after %s", time.Since(start))
 					held := c.held == 0 || time.Since(start) < c.held
 					assert.Equal(t, l.Held(), held, "after %s", time.Since(start))
@@ -119,13 +122,13 @@
 		fault func(c *memstore.Client)
 		err   error
 	}{
-		{"claim's answer lost", func(c *memstore.Client) {
+		{"response to the claim lost", func(c *memstore.Client) {
 			c.SetFunc(func(call memstore.Call) memstore.Fault {
 				return memstore.Fault{DropResponse: call.Operation == memstore.OperationCompareAndSwap && call.Number == 2}
 			})
 		}, nil},
 		{"down", func(c *memstore.Client) { c.SetDown(true) }, ErrNotAcquired},
-		{"too slow to be of use", func(c *memstore.Client) { c.SetDelay(20 * time.Second) }, ErrNotAcquired},
+		{"grant slower than the TTL", func(c *memstore.Client) { c.SetDelay(20 * time.Second) }, ErrNotAcquired},
 		{"claim too slow", func(c *memstore.Client) {
 			c.SetFunc(func(call memstore.Call) memstore.Fault {
 				if call.Operation == memstore.OperationCompareAndSwap {
@@ -159,12 +162,12 @@
 	}
 }
 
-// A holder that wakes late has a keep-alive's answer in its hand; it must not
-// take it for a lease that it still holds.
-func TestLateAnswerDoesNotBringALeaseBack(t *testing.T) {
+// A holder that resumes after its lease has expired may still receive the response
+// to a keep-alive; that response must not revive the lease.
+func TestLateResponseDoesNotReviveLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memstore.New(memstore.Options{})
-		p := &pausable{Store: m.NewClient()}
+		p := &pausableStore{Store: m.NewClient()}
 		l := acquire(t, p, "a")
 		time.Sleep(4 * time.Second)
 		p.pauseFor(10 * time.Second)
@@ -177,7 +180,7 @@
 	})
 }
 
-func TestCampaignHandsOver(t *testing.T) {
+func TestCampaignFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memstore.New(memstore.Options{})
 		clients := []*memstore.Client{m.NewClient(), m.NewClient(), m.NewClient()}
@@ -206,21 +209,21 @@
 		for range 4 {
 			time.Sleep(time.Minute)
 			mu.Lock()
-			lost := leader
+			failed := leader
 			mu.Unlock()
-			clients[lost].SetDown(true)
+			clients[failed].SetDown(true)
 			time.Sleep(30 * time.Second)
 			mu.Lock()
-			assert.Assert(t, leader != lost)
+			assert.Assert(t, leader != failed)
 			assert.Equal(t, leading, 1)
 			mu.Unlock()
-			clients[lost].SetDown(false)
+			clients[failed].SetDown(false)
 		}
 		cancel()
 		wg.Wait()
 		for i := range fencings[1:] {
 			assert.Assert(t, fencings[i+1] > fencings[i])
 		}
-		t.Logf("calls at rest and over 4 hand-overs in 6 min, 3 candidates: %+v", m.Counts())
+		t.Logf("store calls in 6 min with 4 failovers and 3 candidates: %+v", m.Counts())
 	})
 }
--- a/store/lease/options.go
+++ b/store/lease/options.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// Options describe a lease. Zero values mean the defaults.
+// Options configure a lease. Zero values mean the defaults.
 type Options struct {
-	// Owner is shown to others, such as the node's name.
+	// Owner names the holder to other processes, such as the node's name.
 	Owner string
-	// TTL is how long the lease outlives its last keep-alive (15 s).
+	// TTL is the time from the last keep-alive to the expiry of the lease (15 s).
 	TTL time.Duration
-	// Margin is by how much the holder stops before the store could let another
-	// one in (a fifth of the TTL). It covers clocks of different rates and what the
-	// holder does between a check and its effect.
+	// Margin is how long before the store could grant the lease to another process
+	// the holder stops (a fifth of the TTL). It covers clock drift and the time
+	// between a check by the holder and the effect of what it then does.
 	Margin time.Duration
-	// Retry is the mean time between attempts at a lease whose holder does not
-	// answer (1 s).
+	// RetryInterval is the mean time between attempts to acquire the lease (1 s).
 	RetryInterval time.Duration
 }
 
@@ -35,7 +34,7 @@
 
 func (o Options) check() error {
 	if o.TTL <= 0 || o.Margin < 0 || o.Margin >= o.TTL/2 || o.RetryInterval < 0 {
-		return errors.New("lease: the margin must be less than half the TTL, and nothing negative")
+		return errors.New("lease: the TTL must be above 0, the margin at least 0 and less than half the TTL, and the retry interval at least 0")
 	}
 	return nil
 }
--- a/store/lease/orphan.go
+++ b/store/lease/orphan.go
@@ -10,7 +10,7 @@
 	"hawthornrill.example/hawthornrill/store/budget"
 )
 
-// orphanError is ErrHeld for a key that no store lease will ever end.
+// orphanError is ErrHeld for a key that has no store lease, and so never expires.
 type orphanError struct {
 	entry store.Entry
 	owner string
@@ -18,14 +18,14 @@
 
 // Error names the former owner.
 func (e *orphanError) Error() string {
-	return fmt.Sprintf("%s: %s, without a lease of the store", ErrHeld, e.owner)
+	return fmt.Sprintf("%s: %s, but its key has no store lease", ErrHeld, e.owner)
 }
 
 // Unwrap returns ErrHeld.
 func (e *orphanError) Unwrap() error { return ErrHeld }
 
-// remove deletes the key once its former holder has certainly stopped: its
-// keep-alives have failed since before the key was seen.
+// remove deletes the key after one TTL. By then its former holder has stopped: its
+// keep-alives have failed since before the key was read.
 func (e *orphanError) remove(ctx context.Context, s store.Store, o Options) error {
 	ctx = budget.WithPurpose(ctx, budget.PurposeLease)
 	timer := time.NewTimer(o.TTL)
--- a/store/progress.go
+++ b/store/progress.go
@@ -5,34 +5,35 @@
 	"io"
 )
 
-// progressKey is the context's key of the function that is told of progress.
+// progressKey is the context key of the progress callback.
 type progressKey struct{}
 
-// WithProgress returns a context whose calls tell of each part of an answer as it arrives. A caller can so give up a call
-// that is silent and wait for one whose answer is long or whose link is slow.
-func WithProgress(ctx context.Context, arrived func()) context.Context {
-	return context.WithValue(ctx, progressKey{}, arrived)
+// WithProgress returns a context whose calls invoke onRead for each part of a response as it is read. This lets a caller
+// time out a call that receives nothing, yet keep waiting for one whose response is long or whose link is slow.
+func WithProgress(ctx context.Context, onRead func()) context.Context {
+	return context.WithValue(ctx, progressKey{}, onRead)
 }
 
-// ProgressReader returns a reader of an answer that tells the call's context of what arrives.
-func ProgressReader(ctx context.Context, answer io.Reader) io.Reader {
-	arrived, ok := ctx.Value(progressKey{}).(func())
+// ProgressReader wraps a response body so that reads invoke the callback set by WithProgress. Without a callback it
+// returns the body itself.
+func ProgressReader(ctx context.Context, response io.Reader) io.Reader {
+	onRead, ok := ctx.Value(progressKey{}).(func())
 	if !ok {
-		return answer
+		return response
 	}
-	return &progressReader{answer, arrived}
+	return &progressReader{response, onRead}
 }
 
 type progressReader struct {
 	io.Reader
-	arrived func()
+	onRead func()
 }
 
 // Read implements io.Reader.
 func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
-		r.arrived()
+		r.onRead()
 	}
 	return n, err
 }
