--- a/store/budget/calls.go
+++ b/store/budget/calls.go
@@ -7,16 +7,16 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// The operations as they stand in metrics.
+// Values of the metrics label operation.
 const (
-	operationGet       = "get"
-	operationList      = "list"
-	operationSwap      = "compare_and_swap"
-	operationDelete    = "delete"
-	operationWatch     = "watch"
-	operationGrant     = "grant_lease"
-	operationKeepAlive = "keep_alive"
-	operationRevoke    = "revoke_lease"
+	operationGet            = "get"
+	operationList           = "list"
+	operationCompareAndSwap = "compare_and_swap"
+	operationDelete         = "delete"
+	operationWatch          = "watch"
+	operationGrantLease     = "grant_lease"
+	operationKeepAlive      = "keep_alive"
+	operationRevokeLease    = "revoke_lease"
 )
 
 // Get implements store.Store.
@@ -25,7 +25,7 @@
 		entry, err = s.inner.Get(ctx, key)
 		return err
 	})
-	s.meters.read(purposeOf(ctx), len(entry.Value))
+	s.meters.recordRead(purposeOf(ctx), len(entry.Value))
 	return entry, err
 }
 
@@ -36,15 +36,15 @@
 		return err
 	})
 	for _, entry := range entries {
-		s.meters.read(purposeOf(ctx), len(entry.Value))
+		s.meters.recordRead(purposeOf(ctx), len(entry.Value))
 	}
 	return entries, err
 }
 
 // CompareAndSwap implements store.Store.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (revision store.Revision, err error) {
-	err = s.do(ctx, operationSwap, func() error {
-		s.meters.wrote(purposeOf(ctx), len(value))
+	err = s.do(ctx, operationCompareAndSwap, func() error {
+		s.meters.recordWrite(purposeOf(ctx), len(value))
 		revision, err = s.inner.CompareAndSwap(ctx, key, expected, value, lease)
 		return err
 	})
@@ -62,13 +62,13 @@
 		entry, err = s.inner.Watch(ctx, key, after)
 		return err
 	})
-	s.meters.read(purposeOf(ctx), len(entry.Value))
+	s.meters.recordRead(purposeOf(ctx), len(entry.Value))
 	return entry, err
 }
 
 // GrantLease implements store.Store.
 func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (lease store.LeaseID, err error) {
-	err = s.do(ctx, operationGrant, func() error {
+	err = s.do(ctx, operationGrantLease, func() error {
 		lease, err = s.inner.GrantLease(ctx, ttl)
 		return err
 	})
@@ -82,5 +82,5 @@
 
 // RevokeLease implements store.Store.
 func (s *Store) RevokeLease(ctx context.Context, lease store.LeaseID) error {
-	return s.do(ctx, operationRevoke, func() error { return s.inner.RevokeLease(ctx, lease) })
+	return s.do(ctx, operationRevokeLease, func() error { return s.inner.RevokeLease(ctx, lease) })
 }
--- a/store/budget/doc.go
+++ b/store/budget/doc.go
@@ -1,4 +1,4 @@
-// Package budget bounds what one node asks of the platform's store: calls a
-// second, and how soon it tries again after an outage. The service's rates are
-// shared by the whole fleet and grow more slowly than it does.
+// Package budget limits one node's load on the platform's store: its call rate, and
+// how soon it retries after an outage. The whole fleet shares the service's rate
+// limits, which grow more slowly than the fleet.
 package budget
--- a/store/budget/gate.go
+++ b/store/budget/gate.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// gate holds calls back after an error, with exponential backoff and full
-// jitter: 1,000 nodes that met the same outage come back spread out. One call
-// at a time tries; when it succeeds all others go on.
+// gate delays calls after an error, with exponential backoff and full jitter, so
+// that 1,000 nodes that met the same outage don't all retry at the same moment. One
+// call at a time is let through as a probe; when it succeeds, all others proceed.
 type gate struct {
 	min, max time.Duration
 
-	mu      sync.Mutex
-	failing bool
-	trying  bool
-	bound   time.Duration
-	next    time.Time
-	// changed is closed and replaced when a try ends.
+	mu           sync.Mutex
+	failing      bool
+	probing      bool
+	backoffBound time.Duration
+	nextProbe    time.Time
+	// changed is closed and replaced when a probe ends.
 	changed chan struct{}
 }
 
@@ -26,14 +26,14 @@
 	return &gate{min: lowest, max: highest, changed: make(chan struct{})}
 }
 
-// enter waits until a call may be made, or for the context's end.
-func (g *gate) enter(ctx context.Context) error {
+// wait blocks until a call may be made or the context ends.
+func (g *gate) wait(ctx context.Context) error {
 	for {
-		wait, changed := g.try()
+		delay, changed := g.tryPass()
 		if changed == nil {
 			return nil
 		}
-		timer := time.NewTimer(wait)
+		timer := time.NewTimer(delay)
 		select {
 		case <-timer.C:
 		case <-changed:
@@ -46,24 +46,25 @@
 	}
 }
 
-// try takes the turn to try, or tells how long to wait.
-func (g *gate) try() (wait time.Duration, changed <-chan struct{}) {
+// tryPass lets the call pass if changed is nil. Otherwise the caller tries again
+// after delay, or when changed is closed.
+func (g *gate) tryPass() (delay time.Duration, changed <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	switch {
 	case !g.failing:
 		return 0, nil
-	case g.trying:
+	case g.probing:
 		return g.max, g.changed
-	case now.Before(g.next):
-		return g.next.Sub(now), g.changed
+	case now.Before(g.nextProbe):
+		return g.nextProbe.Sub(now), g.changed
 	}
-	g.trying = true
+	g.probing = true
 	return 0, nil
 }
 
-// succeeded ends the backoff.
+// succeeded records a successful call, which ends the backoff.
 func (g *gate) succeeded() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -71,36 +72,36 @@
 		return
 	}
 	g.failing = false
-	g.bound = 0
-	g.endTry()
+	g.backoffBound = 0
+	g.endProbe()
 }
 
-// failed begins the backoff or makes it longer.
+// failed records a failed call, which starts or lengthens the backoff.
 func (g *gate) failed() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	if g.failing && now.Before(g.next) {
-		return // A call that began before the outage was noticed.
+	if g.failing && now.Before(g.nextProbe) {
+		return // This call began before the outage was detected.
 	}
 	g.failing = true
-	g.bound = min(max(2*g.bound, g.min), g.max)
-	g.next = now.Add(rand.N(g.bound))
-	g.endTry()
+	g.backoffBound = min(max(2*g.backoffBound, g.min), g.max)
+	g.nextProbe = now.Add(rand.N(g.backoffBound))
+	g.endProbe()
 }
 
-// undecided gives the turn back after a call that tells nothing, such as a watch
-// whose caller gave up.
-func (g *gate) undecided() {
+// inconclusive ends a probe that shows neither success nor failure, such as a watch
+// cancelled by its caller.
+func (g *gate) inconclusive() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.failing {
-		g.endTry()
+		g.endProbe()
 	}
 }
 
-func (g *gate) endTry() {
-	g.trying = false
+func (g *gate) endProbe() {
+	g.probing = false
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
--- a/store/budget/options.go
+++ b/store/budget/options.go
@@ -8,20 +8,21 @@
 	"hawthornrill.example/hawthornrill/defaults"
 )
 
-// Options bound a node's calls. Zero values mean the defaults.
+// Options limit a node's calls. Zero values mean the defaults.
 type Options struct {
-	// BackgroundPerSecond and BackgroundBurst bound the calls that nobody waits
-	// for (20, 40).
+	// BackgroundPerSecond and BackgroundBurst limit the calls that nobody waits for
+	// (20, 40).
 	BackgroundPerSecond float64
 	BackgroundBurst     int
-	// UrgentPerSecond and UrgentBurst bound edits and leases (100, 100).
+	// UrgentPerSecond and UrgentBurst limit the calls for edits and leases (100, 100).
 	UrgentPerSecond float64
 	UrgentBurst     int
-	// BackoffMin and BackoffMax bound the time between attempts in an outage
-	// (250 ms, 10 s). The time is random between zero and a bound that doubles.
+	// BackoffMin and BackoffMax limit the time between attempts in an outage
+	// (250 ms, 10 s). The time is chosen at random between zero and a bound that
+	// starts at BackoffMin and doubles up to BackoffMax.
 	BackoffMin time.Duration
 	BackoffMax time.Duration
-	// Metrics gets the package's metrics; nil for none.
+	// Metrics receives the package's metrics; nil for none.
 	Metrics *metrics.Set
 }
 
--- a/store/budget/purpose.go
+++ b/store/budget/purpose.go
@@ -2,31 +2,31 @@
 
 import "context"
 
-// Purpose tells what a call is for; it labels metrics and counts.
+// Purpose is what a call is made for; it labels metrics and counts.
 type Purpose string
 
 const (
-	// PurposeOther is the purpose of calls without one.
+	// PurposeOther is the purpose of calls that have none set.
 	PurposeOther Purpose = "other"
-	// PurposeWatch is following a document.
+	// PurposeWatch is watching a key, such as a document's.
 	PurposeWatch Purpose = "watch"
-	// PurposeEdit is an operator's or a node's edit of a document. Edits are rare
-	// and somebody waits for them: they are tried at once even in an outage.
+	// PurposeEdit is an operator's or a node's edit of a document. Edits are rare and
+	// have somebody waiting for them, so they are sent at once even in an outage.
 	PurposeEdit Purpose = "edit"
-	// PurposeRepair is writing back what the store has lost.
+	// PurposeRepair is restoring data that the store has lost.
 	PurposeRepair Purpose = "repair"
-	// PurposeGarbageCollection is removing what nothing refers to.
+	// PurposeGarbageCollection is removing data that nothing refers to.
 	PurposeGarbageCollection Purpose = "collect"
-	// PurposeLease is holding a lease.
+	// PurposeLease is acquiring, renewing and releasing leases.
 	PurposeLease Purpose = "lease"
 )
 
-// urgent calls are not held back by the backoff after an error.
+// urgent reports whether calls for this purpose skip the backoff after an error.
 func (p Purpose) urgent() bool { return p == PurposeEdit || p == PurposeLease }
 
 type purposeKey struct{}
 
-// WithPurpose marks the calls made under the context.
+// WithPurpose sets the purpose of the calls made under the context.
 func WithPurpose(ctx context.Context, p Purpose) context.Context {
 	return context.WithValue(ctx, purposeKey{}, p)
 }
--- a/store/budget/store.go
+++ b/store/budget/store.go
@@ -11,9 +11,9 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// Store is a store.Store within a node's budget. It adds one guarantee to those
-// of the store it wraps: a call that it holds back until its context ends fails
-// with store.ErrUnavailable and certainly had no effect.
+// Store wraps a store.Store and keeps its calls within a node's budget. It adds one
+// guarantee to those of the wrapped store: a call that is still delayed when its
+// context ends fails with store.ErrUnavailable and has had no effect.
 type Store struct {
 	inner      store.Store
 	background *rate.Limiter
@@ -24,7 +24,7 @@
 
 var _ store.Store = (*Store)(nil)
 
-// New wraps a store.
+// New returns a Store that wraps inner.
 func New(inner store.Store, options Options) *Store {
 	o := options.withDefaults()
 	return &Store{
@@ -36,53 +36,54 @@
 	}
 }
 
-// Counts returns the calls made so far by purpose.
+// Counts returns the number of calls made so far, by purpose.
 func (s *Store) Counts() map[Purpose]uint64 { return s.meters.counts() }
 
-// do makes one call within the budget.
+// do makes one call once the budget admits it.
 func (s *Store) do(ctx context.Context, operation string, call func() error) error {
 	purpose := purposeOf(ctx)
 	if err := s.admit(ctx, purpose); err != nil {
 		return err
 	}
-	s.meters.call(purpose, operation)
+	s.meters.recordCall(purpose, operation)
 	err := call()
-	s.learn(ctx, purpose, operation, err)
+	s.recordOutcome(ctx, purpose, operation, err)
 	return err
 }
 
-// admit waits for the gate and the rate.
+// admit waits for the gate and the rate limiter.
 func (s *Store) admit(ctx context.Context, purpose Purpose) error {
 	start := time.Now()
-	defer func() { s.meters.waited(purpose, time.Since(start)) }()
+	defer func() { s.meters.recordWait(purpose, time.Since(start)) }()
 	limiter := s.urgent
 	if !purpose.urgent() {
 		limiter = s.background
-		if err := s.gate.enter(ctx); err != nil {
-			return fmt.Errorf("%w: held back after an error: %w", store.ErrUnavailable, err)
+		if err := s.gate.wait(ctx); err != nil {
+			return fmt.Errorf("%w: in backoff after an error: %w", store.ErrUnavailable, err)
 		}
 	}
 	if err := limiter.Wait(ctx); err != nil {
-		s.gate.undecided()
-		return fmt.Errorf("%w: over the node's rate: %w", store.ErrUnavailable, err)
+		s.gate.inconclusive()
+		return fmt.Errorf("%w: over the node's rate limit: %w", store.ErrUnavailable, err)
 	}
 	return nil
 }
 
-// learn tells the gate how a call ended.
-func (s *Store) learn(ctx context.Context, purpose Purpose, operation string, err error) {
+// recordOutcome passes the outcome of a call to the gate and the meters.
+func (s *Store) recordOutcome(ctx context.Context, purpose Purpose, operation string, err error) {
 	switch {
-	case err == nil, isAnswer(err):
+	case err == nil, isStoreResponse(err):
 		s.gate.succeeded()
 	case errors.Is(ctx.Err(), context.Canceled), operation == operationWatch && ctx.Err() != nil:
-		s.gate.undecided()
+		s.gate.inconclusive()
 	default:
-		s.meters.failed(purpose, operation)
+		s.meters.recordError(purpose, operation)
 		s.gate.failed()
 	}
 }
 
-// isAnswer reports whether the store itself has answered.
-func isAnswer(err error) bool {
+// isStoreResponse reports whether the error is a response of the store, which shows
+// that the store is available.
+func isStoreResponse(err error) bool {
 	return errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrLeaseNotFound)
 }
--- a/store/budget/store_test.go
+++ b/store/budget/store_test.go
@@ -13,7 +13,7 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-func TestCallsASecondAreBounded(t *testing.T) {
+func TestCallRateIsLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(memstore.New(memstore.Options{}).NewClient(), Options{BackgroundPerSecond: 10, BackgroundBurst: 5})
 		start := time.Now()
@@ -27,16 +27,17 @@
 		_, err := s.CompareAndSwap(ctx, "k", 0, nil, 0)
 		assert.ErrorIs(t, err, store.ErrUnavailable)
 		assert.Equal(t, s.Counts()[PurposeOther], uint64(25))
-		// Somebody waits for an edit: it has a rate of its own.
+		// Edits have a rate limit of their own, as somebody waits for them.
 		_, err = s.CompareAndSwap(WithPurpose(t.Context(), PurposeEdit), "k", 0, nil, 0)
 		assert.NilError(t, err)
 		assert.Equal(t, time.Since(start), 2*time.Second)
 	})
 }
 
-// TestNoStampedeAfterAnOutage has 1,000 nodes each of which wants to read once a
-// second, over ten minutes of outage and a minute after it.
-func TestNoStampedeAfterAnOutage(t *testing.T) {
+// TestNoThunderingHerdAfterOutage guards against nodes that all retry at once when
+// the store is back. Each of 1,000 nodes tries to read once a second during ten
+// minutes of outage and until its first success after it.
+func TestNoThunderingHerdAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 1000
 		ctx, cancel := context.WithCancel(t.Context())
@@ -56,7 +57,7 @@
 			}()
 		}
 		time.Sleep(10 * time.Minute)
-		outage := m.Counts().Reads
+		outageCalls := m.Counts().Reads
 		m.SetDown(false)
 		end := time.Now()
 		var worst time.Duration
@@ -66,16 +67,17 @@
 			<-done
 		}
 		cancel()
-		t.Logf("calls a second in the outage %.0f, peak in any second after it %d, last node back after %s", float64(outage)/600, peak, worst)
-		assert.Assert(t, float64(outage)/600 < 400)
+		t.Logf("calls/s during the outage %.0f, peak in any second after it %d, last node recovered after %s", float64(outageCalls)/600, peak, worst)
+		assert.Assert(t, float64(outageCalls)/600 < 400)
 		assert.Assert(t, peak < 500)
 		assert.Assert(t, worst < 15*time.Second)
 	})
 }
 
-// TestOneCallAtATimeTries has 50 callers in one node, in ten minutes in which each
-// call fails after a second.
-func TestOneCallAtATimeTries(t *testing.T) {
+// TestOneProbeAtATimeDuringOutage guards against callers in one node that probe a
+// failing store independently of each other: for ten minutes, 50 callers make calls
+// that each fail after a second.
+func TestOneProbeAtATimeDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memstore.New(memstore.Options{})
 		m.SetFunc(func(memstore.Call) memstore.Fault { return memstore.Fault{Delay: time.Second, DropResponse: true} })
@@ -91,12 +93,13 @@
 			})
 		}
 		callers.Wait()
-		// 40 may have begun before the first one failed; then one each 6 s on average.
+		// Up to 40 calls may begin before the first one fails; after that, one every 6 s on
+		// average.
 		assert.Assert(t, m.Counts().Reads < 250, "%d calls", m.Counts().Reads)
 	})
 }
 
-// peakOf returns the most calls in a second.
+// peakOf returns the largest number of reads in any second of the given period.
 func peakOf(m *memstore.Store, over time.Duration) (peak uint64) {
 	for range int(over / time.Second) {
 		before := m.Counts().Reads
@@ -106,7 +109,7 @@
 	return peak
 }
 
-func TestGateTellsErrorsFromAnswers(t *testing.T) {
+func TestGateDistinguishesErrorsFromResponses(t *testing.T) {
 	cases := []struct {
 		name    string
 		call    func(s *Store, m *memstore.Store) error
@@ -118,7 +121,7 @@
 			return err
 		}, false},
 		{"lease gone", func(s *Store, _ *memstore.Store) error { return s.KeepAlive(context.Background(), 9) }, false},
-		{"watch without news", func(s *Store, _ *memstore.Store) error {
+		{"watch without a change", func(s *Store, _ *memstore.Store) error {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			_, err := s.Watch(ctx, "k", 0)
@@ -131,7 +134,7 @@
 			_, err := s.Get(ctx, "k")
 			return err
 		}, true},
-		{"answer lost", func(s *Store, m *memstore.Store) error {
+		{"response lost", func(s *Store, m *memstore.Store) error {
 			m.DropNextResponses(1)
 			_, err := s.CompareAndSwap(context.Background(), "k", 0, nil, 0)
 			return err
