--- a/store/httpstore/call.go
+++ b/store/httpstore/call.go
@@ -15,43 +15,44 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// maxAnswerBytes bounds an answer; a list may hold many values.
-const maxAnswerBytes = 256 << 20
+// maxResponseBytes limits the size of a response body. It is large because a list
+// may hold many values.
+const maxResponseBytes = 256 << 20
 
-// call is one call of the service.
+// call is one request to the service.
 type call struct {
 	method string
 	path   string
 	query  url.Values
 	body   []byte
-	// result receives the JSON answer, if not nil.
+	// result receives the decoded JSON response, if not nil.
 	result any
 }
 
 func (c call) isRead() bool { return c.method == http.MethodGet }
 
-// failed is the error of a call that may have had an effect: a write's outcome is
-// unknown, and a read has none.
-func (c call) failed(err error) error {
+// wrapError wraps the error of a call that may have reached the service: the outcome
+// of a write is unknown, while a read has no effect in any case.
+func (c call) wrapError(err error) error {
 	if c.isRead() {
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, err)
 	}
 	return fmt.Errorf("%w: %w", store.ErrUnknownOutcome, err)
 }
 
-func (c call) notFound() error {
+func (c call) notFoundError() error {
 	if c.path == PathKey || c.path == PathWatch {
 		return store.ErrNotFound
 	}
-	return c.failed(errors.New("no such path"))
+	return c.wrapError(errors.New("path not found"))
 }
 
-// do sends the call and returns the status of success.
+// do sends the call and returns the response's status code.
 func (c *Client) do(ctx context.Context, timeout time.Duration, call call) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	address := c.base + call.path + "?" + call.query.Encode()
-	request, err := http.NewRequestWithContext(ctx, call.method, address, bytes.NewReader(call.body))
+	target := c.base + call.path + "?" + call.query.Encode()
+	request, err := http.NewRequestWithContext(ctx, call.method, target, bytes.NewReader(call.body))
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", store.ErrUnavailable, err)
 	}
@@ -60,45 +61,45 @@
 	case errors.Is(err, endpoint.ErrNotDispatched):
 		return 0, fmt.Errorf("%w: %w", store.ErrUnavailable, err)
 	case err != nil:
-		return 0, call.failed(err)
+		return 0, call.wrapError(err)
 	}
 	defer response.Body.Close()
-	return response.StatusCode, call.read(response)
+	return response.StatusCode, call.readResponse(response)
 }
 
-func (c call) read(response *http.Response) error {
+func (c call) readResponse(response *http.Response) error {
 	if response.StatusCode/100 != 2 {
 		return c.statusError(response)
 	}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return c.failed(err)
+		return c.wrapError(err)
 	}
 	if c.result == nil || response.StatusCode == http.StatusNoContent {
 		return nil
 	}
 	if err := json.Unmarshal(data, c.result); err != nil {
-		return c.failed(err)
+		return c.wrapError(err)
 	}
 	return nil
 }
 
-const maxMessageBytes = 512
+const maxErrorBytes = 512
 
 func (c call) statusError(response *http.Response) error {
 	switch response.StatusCode {
 	case http.StatusNotFound:
-		return c.notFound()
+		return c.notFoundError()
 	case http.StatusConflict:
 		return store.ErrConflict
 	case http.StatusGone:
 		return store.ErrLeaseNotFound
 	}
-	message, _ := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
+	message, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	err := fmt.Errorf("status %d: %s", response.StatusCode, message)
 	if response.StatusCode == http.StatusTooManyRequests || response.StatusCode == http.StatusServiceUnavailable ||
 		response.StatusCode == http.StatusBadRequest || response.StatusCode == http.StatusRequestEntityTooLarge {
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, err)
 	}
-	return c.failed(err)
+	return c.wrapError(err)
 }
--- a/store/httpstore/client.go
+++ b/store/httpstore/client.go
@@ -13,17 +13,17 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// Options are a Client's settings. New fills in the defaults.
+// Options configure a Client. New fills in the defaults.
 type Options struct {
-	// BaseURL is the service's address, "http://IP:port".
+	// BaseURL is the service's URL, "http://IP:port".
 	BaseURL string
-	// Transport is the connection pool; nil for one of its own.
+	// Transport is the connection pool to use; nil for a new one.
 	Transport *onesend.Transport
-	// Timeout bounds a call whose context has a later deadline, or none.
-	// Default 5 s.
+	// Timeout limits a call whose context has a later deadline, or none. The default
+	// is 5 s.
 	Timeout time.Duration
-	// WatchTimeout bounds one waiting call of a watch; it must be longer than the
-	// service lets a watch wait. Default 90 s.
+	// WatchTimeout limits one long-poll request of a watch; it must be longer than the
+	// service holds such a request. The default is 90 s.
 	WatchTimeout time.Duration
 }
 
@@ -32,12 +32,12 @@
 	defaultWatchTimeout = 90 * time.Second
 )
 
-// Client is a store.Store over HTTP.
+// Client implements store.Store over HTTP.
 type Client struct {
-	base      string
-	transport *onesend.Transport
-	timeout   time.Duration
-	watch     time.Duration
+	base         string
+	transport    *onesend.Transport
+	timeout      time.Duration
+	watchTimeout time.Duration
 }
 
 var _ store.Store = (*Client)(nil)
@@ -45,10 +45,10 @@
 // New returns a client.
 func New(options Options) *Client {
 	c := &Client{
-		base:      strings.TrimSuffix(options.BaseURL, "/"),
-		transport: options.Transport,
-		timeout:   options.Timeout,
-		watch:     options.WatchTimeout,
+		base:         strings.TrimSuffix(options.BaseURL, "/"),
+		transport:    options.Transport,
+		timeout:      options.Timeout,
+		watchTimeout: options.WatchTimeout,
 	}
 	if c.transport == nil {
 		c.transport = onesend.New(onesend.Options{})
@@ -56,8 +56,8 @@
 	if c.timeout == 0 {
 		c.timeout = defaultTimeout
 	}
-	if c.watch == 0 {
-		c.watch = defaultWatchTimeout
+	if c.watchTimeout == 0 {
+		c.watchTimeout = defaultWatchTimeout
 	}
 	return c
 }
@@ -94,8 +94,8 @@
 		path:   PathKey,
 		query: url.Values{
 			ParameterKey:      {key},
-			ParameterExpected: {number(expected)},
-			ParameterLease:    {number(lease)},
+			ParameterExpected: {formatUint(expected)},
+			ParameterLease:    {formatUint(lease)},
 		},
 		body:   value,
 		result: &written,
@@ -108,7 +108,7 @@
 	_, err := c.do(ctx, c.timeout, call{
 		method: http.MethodDelete,
 		path:   PathKey,
-		query:  url.Values{ParameterKey: {key}, ParameterExpected: {number(expected)}},
+		query:  url.Values{ParameterKey: {key}, ParameterExpected: {formatUint(expected)}},
 	})
 	return err
 }
@@ -117,10 +117,10 @@
 func (c *Client) Watch(ctx context.Context, key string, after store.Revision) (store.Entry, error) {
 	for {
 		var entry store.Entry
-		status, err := c.do(ctx, c.watch, call{
+		status, err := c.do(ctx, c.watchTimeout, call{
 			method: http.MethodGet,
 			path:   PathWatch,
-			query:  url.Values{ParameterKey: {key}, ParameterAfter: {number(after)}},
+			query:  url.Values{ParameterKey: {key}, ParameterAfter: {formatUint(after)}},
 			result: &entry,
 		})
 		if err != nil || status != http.StatusNoContent {
@@ -152,6 +152,6 @@
 	return err
 }
 
-func leasePath(lease store.LeaseID) string { return PathLeases + "/" + number(lease) }
+func leasePath(lease store.LeaseID) string { return PathLeases + "/" + formatUint(lease) }
 
-func number[T ~uint64](n T) string { return strconv.FormatUint(uint64(n), 10) }
+func formatUint[T ~uint64](n T) string { return strconv.FormatUint(uint64(n), 10) }
--- a/store/httpstore/client_test.go
+++ b/store/httpstore/client_test.go
@@ -48,7 +48,10 @@
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 }
 
-func TestWatchOutlastsTheServersPatience(t *testing.T) {
+// Guards against a watch that returns when the server ends a long poll without a
+// change: the server holds each request for 1 ms, and the write comes once the
+// third request has started.
+func TestWatchContinuesAfterLongPollTimeout(t *testing.T) {
 	c, memory := newClient(t)
 	thirdCall := make(chan struct{})
 	memory.SetFunc(func(call memstore.Call) memstore.Fault {
@@ -90,13 +93,14 @@
 	assert.ErrorIs(t, c.RevokeLease(ctx, lease), store.ErrLeaseNotFound)
 }
 
-// TestErrorsSayWhetherThereWasAnEffect holds ErrUnavailable to certainty.
-func TestErrorsSayWhetherThereWasAnEffect(t *testing.T) {
+// TestErrorsDistinguishNoEffectFromUnknownOutcome checks that a write returns
+// ErrUnavailable only if it is guaranteed to have had no effect.
+func TestErrorsDistinguishNoEffectFromUnknownOutcome(t *testing.T) {
 	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
 	}
-	rubbish := func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) }
+	invalidJSON := func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) }
 	hang := func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -105,16 +109,16 @@
 		handler     http.HandlerFunc
 		write, read error
 	}{
-		"refused":     {nil, store.ErrUnavailable, store.ErrUnavailable},
-		"down":        {status(http.StatusServiceUnavailable), store.ErrUnavailable, store.ErrUnavailable},
-		"rate limit":  {status(http.StatusTooManyRequests), store.ErrUnavailable, store.ErrUnavailable},
-		"broken off":  {abort, store.ErrUnknownOutcome, store.ErrUnavailable},
-		"failed":      {status(http.StatusInternalServerError), store.ErrUnknownOutcome, store.ErrUnavailable},
-		"gateway":     {status(http.StatusBadGateway), store.ErrUnknownOutcome, store.ErrUnavailable},
-		"redirected":  {status(http.StatusTemporaryRedirect), store.ErrUnknownOutcome, store.ErrUnavailable},
-		"rubbish":     {rubbish, store.ErrUnknownOutcome, store.ErrUnavailable},
-		"no answer":   {hang, store.ErrUnknownOutcome, store.ErrUnavailable},
-		"wrong paths": {status(http.StatusNotFound), store.ErrUnknownOutcome, store.ErrUnavailable},
+		"connection refused":  {nil, store.ErrUnavailable, store.ErrUnavailable},
+		"service unavailable": {status(http.StatusServiceUnavailable), store.ErrUnavailable, store.ErrUnavailable},
+		"rate limit":          {status(http.StatusTooManyRequests), store.ErrUnavailable, store.ErrUnavailable},
+		"connection aborted":  {abort, store.ErrUnknownOutcome, store.ErrUnavailable},
+		"internal error":      {status(http.StatusInternalServerError), store.ErrUnknownOutcome, store.ErrUnavailable},
+		"bad gateway":         {status(http.StatusBadGateway), store.ErrUnknownOutcome, store.ErrUnavailable},
+		"redirected":          {status(http.StatusTemporaryRedirect), store.ErrUnknownOutcome, store.ErrUnavailable},
+		"invalid JSON":        {invalidJSON, store.ErrUnknownOutcome, store.ErrUnavailable},
+		"no response":         {hang, store.ErrUnknownOutcome, store.ErrUnavailable},
+		"path not found":      {status(http.StatusNotFound), store.ErrUnknownOutcome, store.ErrUnavailable},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -124,7 +128,7 @@
 				server.Close()
 			}
 			options := httpstore.Options{BaseURL: server.URL}
-			if name == "no answer" {
+			if name == "no response" {
 				options.Timeout = 20 * time.Millisecond
 			}
 			c := httpstore.New(options)
@@ -136,7 +140,7 @@
 	}
 }
 
-func TestLostAnswer(t *testing.T) {
+func TestLostResponse(t *testing.T) {
 	c, memory := newClient(t)
 	memory.DropNextResponses(1)
 	_, err := c.CompareAndSwap(t.Context(), "k", 0, []byte("v"), 0)
--- a/store/httpstore/wire.go
+++ b/store/httpstore/wire.go
@@ -21,17 +21,17 @@
 	ParameterAfter    = "after"
 )
 
-// SwapResponse answers a compare-and-swap.
+// SwapResponse is the response to a compare-and-swap.
 type SwapResponse struct {
 	Revision store.Revision `json:"revision"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest is the request for a new lease.
 type LeaseRequest struct {
 	TTLMillis int64 `json:"ttl_ms"`
 }
 
-// LeaseResponse is the answer to a LeaseRequest.
+// LeaseResponse is the response to a LeaseRequest.
 type LeaseResponse struct {
 	Lease store.LeaseID `json:"lease"`
 }
