--- a/store/memstore/call.go
+++ b/store/memstore/call.go
@@ -9,36 +9,38 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// runningCall is a call that was let in, with what will go wrong with it.
-type runningCall struct {
-	fault                  Fault
-	ownBroken, storeBroken <-chan struct{}
+// admittedCall is a call that passed admission, with the fault injected into it. The
+// channels are closed when the client or the store goes down.
+type admittedCall struct {
+	fault                 Fault
+	clientDown, storeDown <-chan struct{}
 }
 
-// begin counts the call and refuses it if the store is down for this client, or
-// if it is over the rate limit.
-func (c *Client) begin(ctx context.Context, operation Operation, key string) (runningCall, error) {
+// admit counts the call and refuses it if the store is down for this client, or if
+// the rate limit is exceeded.
+func (c *Client) admit(ctx context.Context, operation Operation, key string) (admittedCall, error) {
 	if ctx.Err() != nil {
-		return runningCall{}, unavailable(ctx)
+		return admittedCall{}, unavailable(ctx)
 	}
 	c.counters.add(operation)
 	c.store.counters.add(operation)
-	own, ownBroken := c.Faults.next(operation, key)
-	shared, storeBroken := c.store.Faults.next(operation, key)
-	call := runningCall{fault: own.merge(shared), ownBroken: ownBroken, storeBroken: storeBroken}
+	own, clientDown := c.Faults.nextFault(operation, key)
+	shared, storeDown := c.store.Faults.nextFault(operation, key)
+	call := admittedCall{fault: own.merge(shared), clientDown: clientDown, storeDown: storeDown}
 	if call.fault.Down {
-		return runningCall{}, store.ErrUnavailable
+		return admittedCall{}, store.ErrUnavailable
 	}
 	if !c.store.allow(operation) {
 		c.counters.refused.Add(1)
 		c.store.counters.refused.Add(1)
-		return runningCall{}, fmt.Errorf("%w: rate limit", store.ErrUnavailable)
+		return admittedCall{}, fmt.Errorf("%w: rate limit exceeded", store.ErrUnavailable)
 	}
 	return call, nil
 }
 
-// delayRead waits out the delay of a read; a lost answer is no answer.
-func (r runningCall) delayRead(ctx context.Context) error {
+// delayRead waits for the delay of a read. A dropped response makes the read
+// unavailable.
+func (r admittedCall) delayRead(ctx context.Context) error {
 	if !pacing.Sleep(ctx, r.fault.Delay) {
 		return unavailable(ctx)
 	}
@@ -48,27 +50,27 @@
 	return nil
 }
 
-// write runs a write under its fault. Once begun it takes effect even if its
-// caller gives up.
+// write applies a write with its injected fault. Once admitted, the write takes
+// effect even if the caller's context ends first.
 func (c *Client) write(ctx context.Context, operation Operation, key string, effect func() error) error {
-	call, err := c.begin(ctx, operation, key)
+	call, err := c.admit(ctx, operation, key)
 	if err != nil {
 		return err
 	}
 	if call.fault.Delay <= 0 {
-		return call.answer(effect())
+		return call.result(effect())
 	}
 	done := make(chan error, 1)
 	time.AfterFunc(call.fault.Delay, func() { done <- effect() })
 	select {
 	case err := <-done:
-		return call.answer(err)
+		return call.result(err)
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %w", store.ErrUnknownOutcome, context.Cause(ctx))
 	}
 }
 
-func (r runningCall) answer(err error) error {
+func (r admittedCall) result(err error) error {
 	if r.fault.DropResponse {
 		return store.ErrUnknownOutcome
 	}
--- a/store/memstore/client.go
+++ b/store/memstore/client.go
@@ -8,8 +8,8 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// Client is one client's way to the Store, with faults of its own, such as a
-// partition between one data centre and the platform.
+// Client is a client of a Store, with faults of its own, such as a network partition
+// between one data centre and the platform.
 type Client struct {
 	*Faults
 	store    *Store
@@ -23,7 +23,7 @@
 
 // Get implements store.Store.
 func (c *Client) Get(ctx context.Context, key string) (store.Entry, error) {
-	call, err := c.begin(ctx, OperationGet, key)
+	call, err := c.admit(ctx, OperationGet, key)
 	if err != nil {
 		return store.Entry{}, err
 	}
@@ -37,7 +37,7 @@
 
 // List implements store.Store.
 func (c *Client) List(ctx context.Context, prefix string) ([]store.Entry, error) {
-	call, err := c.begin(ctx, OperationList, prefix)
+	call, err := c.admit(ctx, OperationList, prefix)
 	if err != nil {
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 
 // Watch implements store.Store.
 func (c *Client) Watch(ctx context.Context, key string, after store.Revision) (store.Entry, error) {
-	call, err := c.begin(ctx, OperationWatch, key)
+	call, err := c.admit(ctx, OperationWatch, key)
 	if err != nil {
 		return store.Entry{}, err
 	}
@@ -116,13 +116,13 @@
 		v, changed := c.store.state.poll(key, after)
 		if changed == nil {
 			c.countRead(len(v.entry.Value))
-			return watched(v)
+			return watchResult(v)
 		}
 		select {
 		case <-changed:
-		case <-call.ownBroken:
+		case <-call.clientDown:
 			return store.Entry{}, store.ErrUnavailable
-		case <-call.storeBroken:
+		case <-call.storeDown:
 			return store.Entry{}, store.ErrUnavailable
 		case <-ctx.Done():
 			return store.Entry{}, unavailable(ctx)
@@ -130,7 +130,7 @@
 	}
 }
 
-func watched(v version) (store.Entry, error) {
+func watchResult(v version) (store.Entry, error) {
 	if v.deleted {
 		return store.Entry{}, store.ErrNotFound
 	}
--- a/store/memstore/counts.go
+++ b/store/memstore/counts.go
@@ -2,14 +2,14 @@
 
 import "sync/atomic"
 
-// Counts are calls since the start, refused ones included.
+// Counts holds the numbers of calls since the start, including refused ones.
 type Counts struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
 	// Refused counts calls over the rate limit.
 	Refused uint64 `json:"refused"`
-	// Bytes counts the values written and read.
+	// BytesWritten and BytesRead sum the sizes of the values written and read.
 	BytesWritten uint64 `json:"bytes_written"`
 	BytesRead    uint64 `json:"bytes_read"`
 }
--- a/store/memstore/fault.go
+++ b/store/memstore/fault.go
@@ -2,25 +2,24 @@
 
 import "time"
 
-// Fault is what goes wrong with one call. The zero value is no fault.
+// Fault is the failure injected into one call. The zero value injects none.
 type Fault struct {
 	// Down refuses the call without effect, with store.ErrUnavailable.
 	Down bool
-	// Delay passes before the call takes effect. A write whose caller gives up
-	// meanwhile takes effect all the same, and its caller is told
-	// store.ErrUnknownOutcome.
+	// Delay is the time before the call takes effect. A write still takes effect if
+	// its context ends meanwhile; it then returns store.ErrUnknownOutcome.
 	Delay time.Duration
-	// DropResponse lets a write take effect and then answers
-	// store.ErrUnknownOutcome. Reads answer store.ErrUnavailable.
+	// DropResponse lets a write take effect and then returns
+	// store.ErrUnknownOutcome. Reads return store.ErrUnavailable.
 	DropResponse bool
-	// Staleness makes a read answer as the store was so long ago.
+	// Staleness makes a read return the store's content of that long ago.
 	Staleness time.Duration
 }
 
-// FaultFunc decides the fault of each call. It must not call the store.
+// FaultFunc returns the fault to inject into a call. It must not call the store.
 type FaultFunc func(call Call) Fault
 
-// merge adds o to f; the worse of both counts.
+// merge combines two faults: delays add up, and otherwise the worse one applies.
 func (f Fault) merge(o Fault) Fault {
 	return Fault{
 		Down:         f.Down || o.Down,
--- a/store/memstore/faults.go
+++ b/store/memstore/faults.go
@@ -5,74 +5,75 @@
 	"time"
 )
 
-// Faults holds the faults in force for a Store or a Client. All methods may be
-// called at any time; they hold for calls that begin afterwards, and SetDown
-// breaks off waiting watches as well.
+// Faults holds the faults that apply to a Store or a Client. All methods may be
+// called at any time. They apply to calls that start afterwards; SetDown also ends
+// pending watches.
 type Faults struct {
-	mu       sync.Mutex
-	standing Fault
-	loseNext int
-	decide   FaultFunc
-	calls    uint64
-	broken   chan struct{}
+	mu         sync.Mutex
+	persistent Fault
+	dropNext   int
+	decide     FaultFunc
+	calls      uint64
+	wentDown   chan struct{}
 }
 
-func newFaults() *Faults { return &Faults{broken: make(chan struct{})} }
+func newFaults() *Faults { return &Faults{wentDown: make(chan struct{})} }
 
-// SetDown refuses all calls while it is true.
+// SetDown makes all calls fail while down is true.
 func (f *Faults) SetDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.standing.Down = down
+	f.persistent.Down = down
 	if !down {
 		return
 	}
-	close(f.broken)
-	f.broken = make(chan struct{})
+	close(f.wentDown)
+	f.wentDown = make(chan struct{})
 }
 
 // SetDelay delays the effect of all calls.
 func (f *Faults) SetDelay(delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.standing.Delay = delay
+	f.persistent.Delay = delay
 }
 
-// SetStaleness makes all reads but watches answer as the store was so long ago.
+// SetStaleness makes all reads except watches return the store's content of that
+// long ago.
 func (f *Faults) SetStaleness(age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.standing.Staleness = age
+	f.persistent.Staleness = age
 }
 
-// DropNextResponses loses the answers of the next n writes, after their effect.
+// DropNextResponses drops the responses to the next n writes, after they took effect.
 func (f *Faults) DropNextResponses(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loseNext = n
+	f.dropNext = n
 }
 
-// SetFunc sets a function that decides a fault for each call, besides the
-// standing ones; nil removes it.
+// SetFunc sets a function that returns a fault for each call, in addition to the
+// other faults; nil removes it.
 func (f *Faults) SetFunc(decide FaultFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.decide = decide
 }
 
-// next returns the fault of a call that begins, and a channel that is closed
-// when the store goes down during it.
-func (f *Faults) next(operation Operation, key string) (Fault, <-chan struct{}) {
+// nextFault returns the fault of a call that starts, and a channel that is closed
+// when SetDown is called during the call.
+func (f *Faults) nextFault(operation Operation, key string) (Fault, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls++
-	fault := f.standing
-	if f.loseNext > 0 && operation.IsWrite() && !fault.Down {
-		f.loseNext--
+	fault := f.persistent
+	if f.dropNext > 0 && operation.IsWrite() && !fault.Down {
+		f.dropNext--
 		fault.DropResponse = true
 	}
 	if f.decide != nil {
 		fault = fault.merge(f.decide(Call{Operation: operation, Key: key, Number: f.calls}))
 	}
-	return fault, f.broken
+	return fault, f.wentDown
 }
--- a/store/memstore/lease.go
+++ b/store/memstore/lease.go
@@ -9,8 +9,8 @@
 func (s *state) grantLease(ttl time.Duration) store.LeaseID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastID++
-	id := s.lastID
+	s.lastLeaseID++
+	id := s.lastLeaseID
 	s.leases[id] = &lease{
 		ttl:   ttl,
 		timer: time.AfterFunc(ttl, func() { _ = s.endLease(id) }),
@@ -27,14 +27,14 @@
 		return store.ErrLeaseNotFound
 	}
 	if !l.timer.Stop() {
-		// It has lapsed; its end only waits for the mutex.
+		// The lease has expired; endLease is waiting for the mutex.
 		return store.ErrLeaseNotFound
 	}
 	l.timer.Reset(l.ttl)
 	return nil
 }
 
-// endLease removes the lease and its entries, in one step for all observers.
+// endLease removes the lease and its entries atomically.
 func (s *state) endLease(id store.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/store/memstore/operation.go
+++ b/store/memstore/operation.go
@@ -1,6 +1,6 @@
 package memstore
 
-// Operation names a call of store.Store.
+// Operation identifies a method of store.Store.
 type Operation uint8
 
 // The operations of store.Store.
@@ -13,11 +13,11 @@
 	OperationGrantLease
 	OperationKeepAlive
 	OperationRevokeLease
-	operations
+	operationCount
 )
 
-// IsWrite reports whether the operation changes the store and counts against
-// the bound on writes.
+// IsWrite reports whether the operation changes the store and counts towards the
+// write rate limit.
 func (o Operation) IsWrite() bool {
 	switch o {
 	case OperationGet, OperationList, OperationWatch:
@@ -30,8 +30,9 @@
 // Call describes one call to a FaultFunc.
 type Call struct {
 	Operation Operation
-	// Key is the key or the prefix; empty for leases.
+	// Key is the key or, for a list, the prefix; empty for lease operations.
 	Key string
-	// Number counts the calls through this client from 1.
+	// Number is the call's number, from 1, within the Client or Store whose Faults
+	// hold the function.
 	Number uint64
 }
--- a/store/memstore/options.go
+++ b/store/memstore/options.go
@@ -6,29 +6,30 @@
 	"golang.org/x/time/rate"
 )
 
-// Options are the limits of a Store. The zero value has none.
+// Options configure a Store. The zero value sets no rate limits.
 type Options struct {
-	// WritesPerSecond and ReadsPerSecond bound the calls of all clients together;
-	// zero for no bound. A call over the bound is refused without effect. Leases
+	// WritesPerSecond and ReadsPerSecond limit the calls of all clients together;
+	// zero for no limit. A call over the limit is refused without effect. Lease calls
 	// count as writes, watches as one read each.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	// History is for how long overwritten values can still be read by the fault
-	// "old value read". The default is one minute.
+	// HistoryRetention is how long overwritten values remain available for stale
+	// reads (Fault.Staleness). The default is one minute.
 	HistoryRetention time.Duration
 }
 
-const defaultHistory = time.Minute
+const defaultHistoryRetention = time.Minute
 
 func (o Options) withDefaults() Options {
 	if o.HistoryRetention == 0 {
-		o.HistoryRetention = defaultHistory
+		o.HistoryRetention = defaultHistoryRetention
 	}
 	return o
 }
 
-// limiter returns nil for no bound. A second's worth of calls may come at once.
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter returns nil for no limit. Its burst is the number of calls allowed in one
+// second.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
 	}
--- a/store/memstore/record.go
+++ b/store/memstore/record.go
@@ -6,14 +6,14 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// version is one value that a key had, or its deletion.
+// version is one past or present value of a key, or its deletion.
 type version struct {
 	entry   store.Entry
 	deleted bool
 	at      time.Time
 }
 
-// record is a key with its past, the newest version last.
+// record holds the versions of a key, the newest last.
 type record struct {
 	versions []version
 	// changed is closed and replaced at each write.
@@ -22,7 +22,7 @@
 
 func newRecord() *record { return &record{changed: make(chan struct{})} }
 
-// last returns the newest version; ok is false if there has never been one.
+// last returns the newest version; ok is false if there is none.
 func (r *record) last() (v version, ok bool) {
 	if len(r.versions) == 0 {
 		return version{}, false
@@ -30,7 +30,7 @@
 	return r.versions[len(r.versions)-1], true
 }
 
-// at returns the version in force at the given time.
+// at returns the version that was current at the given time.
 func (r *record) at(t time.Time) (v version, ok bool) {
 	for i := len(r.versions) - 1; i >= 0; i-- {
 		if !r.versions[i].at.After(t) {
@@ -40,7 +40,7 @@
 	return version{}, false
 }
 
-// revision is that of the live value, zero if there is none.
+// revision returns the revision of the current value, or zero if there is none.
 func (r *record) revision() store.Revision {
 	v, ok := r.last()
 	if !ok || v.deleted {
@@ -49,15 +49,15 @@
 	return v.entry.Revision
 }
 
-// push adds a version, forgets those that ended before the horizon and wakes
-// the watchers.
+// push adds a version, discards those replaced before the horizon and notifies the
+// watchers.
 func (r *record) push(v version, horizon time.Time) {
 	r.versions = append(r.versions, v)
-	old := 0
-	for old+1 < len(r.versions) && r.versions[old+1].at.Before(horizon) {
-		old++
+	expired := 0
+	for expired+1 < len(r.versions) && r.versions[expired+1].at.Before(horizon) {
+		expired++
 	}
-	r.versions = r.versions[old:]
+	r.versions = r.versions[expired:]
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
--- a/store/memstore/state.go
+++ b/store/memstore/state.go
@@ -10,15 +10,15 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// state is the store's content. Its methods take effect at once and know no
+// state is the store's content. Its methods take effect immediately and inject no
 // faults.
 type state struct {
-	mu       sync.Mutex
-	history  time.Duration
-	revision store.Revision
-	records  map[string]*record
-	leases   map[store.LeaseID]*lease
-	lastID   store.LeaseID
+	mu          sync.Mutex
+	retention   time.Duration
+	revision    store.Revision
+	records     map[string]*record
+	leases      map[store.LeaseID]*lease
+	lastLeaseID store.LeaseID
 }
 
 type lease struct {
@@ -29,13 +29,13 @@
 
 func newState(history time.Duration) *state {
 	return &state{
-		history: history,
-		records: make(map[string]*record),
-		leases:  make(map[store.LeaseID]*lease),
+		retention: history,
+		records:   make(map[string]*record),
+		leases:    make(map[store.LeaseID]*lease),
 	}
 }
 
-// record returns the key's record, making an empty one if need be.
+// record returns the key's record, creating an empty one if there is none.
 func (s *state) record(key string) *record {
 	r, ok := s.records[key]
 	if !ok {
@@ -45,24 +45,24 @@
 	return r
 }
 
-func (s *state) get(key string, oldBy time.Duration) (store.Entry, error) {
+func (s *state) get(key string, staleness time.Duration) (store.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.records[key]
 	if !ok {
 		return store.Entry{}, store.ErrNotFound
 	}
-	v, ok := r.at(time.Now().Add(-oldBy))
+	v, ok := r.at(time.Now().Add(-staleness))
 	if !ok || v.deleted {
 		return store.Entry{}, store.ErrNotFound
 	}
 	return copyEntry(v.entry), nil
 }
 
-func (s *state) list(prefix string, oldBy time.Duration) []store.Entry {
+func (s *state) list(prefix string, staleness time.Duration) []store.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.listLocked(prefix, time.Now().Add(-oldBy))
+	return s.listLocked(prefix, time.Now().Add(-staleness))
 }
 
 func (s *state) listLocked(prefix string, at time.Time) []store.Entry {
@@ -93,13 +93,14 @@
 		}
 		l.keys[key] = struct{}{}
 	}
-	s.detach(r, key)
+	s.detachFromLease(r, key)
 	entry := store.Entry{Key: key, Value: bytes.Clone(value), Lease: id}
 	return s.write(r, entry, false), nil
 }
 
-// detach takes the key from the lease of its old value.
-func (s *state) detach(r *record, key string) {
+// detachFromLease removes the key from the lease of the value that is being
+// replaced or deleted.
+func (s *state) detachFromLease(r *record, key string) {
 	v, ok := r.last()
 	if !ok || v.deleted {
 		return
@@ -113,7 +114,7 @@
 	s.revision++
 	entry.Revision = s.revision
 	now := time.Now()
-	r.push(version{entry: entry, deleted: deleted, at: now}, now.Add(-s.history))
+	r.push(version{entry: entry, deleted: deleted, at: now}, now.Add(-s.retention))
 	return s.revision
 }
 
@@ -127,13 +128,13 @@
 	if r.revision() != expected {
 		return store.ErrConflict
 	}
-	s.detach(r, key)
+	s.detachFromLease(r, key)
 	s.write(r, store.Entry{Key: key}, true)
 	return nil
 }
 
-// poll returns the newest version if its revision is greater than after, else
-// a channel that is closed at the key's next write.
+// poll returns the newest version if its revision is greater than after, or else a
+// channel that is closed at the key's next write.
 func (s *state) poll(key string, after store.Revision) (v version, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/store/memstore/store.go
+++ b/store/memstore/store.go
@@ -8,8 +8,8 @@
 	"hawthornrill.example/hawthornrill/store"
 )
 
-// Store is the service itself, used through clients. Its embedded Faults hold
-// for all of them.
+// Store is the service, used through clients. Its embedded Faults apply to all of
+// them.
 type Store struct {
 	*Faults
 	state    *state
@@ -24,37 +24,37 @@
 	return &Store{
 		Faults: newFaults(),
 		state:  newState(options.HistoryRetention),
-		writes: limiter(options.WritesPerSecond),
-		reads:  limiter(options.ReadsPerSecond),
+		writes: newLimiter(options.WritesPerSecond),
+		reads:  newLimiter(options.ReadsPerSecond),
 	}
 }
 
-// NewClient returns a further way to the store, with faults of its own.
+// NewClient returns a new client of the store, with faults of its own.
 func (s *Store) NewClient() *Client {
 	return &Client{Faults: newFaults(), store: s}
 }
 
-// Counts returns the calls made through all clients.
+// Counts returns the numbers of calls made through all clients.
 func (s *Store) Counts() Counts { return s.counters.snapshot() }
 
-// allow takes a call from the rate limit.
+// allow reports whether the rate limit admits a call now.
 func (s *Store) allow(operation Operation) bool {
-	limit := s.reads
+	limiter := s.reads
 	if operation.IsWrite() {
-		limit = s.writes
+		limiter = s.writes
 	}
-	return limit == nil || limit.AllowN(time.Now(), 1)
+	return limiter == nil || limiter.AllowN(time.Now(), 1)
 }
 
-// Snapshot is the store's content at some time.
+// Snapshot is a copy of the store's content at one time.
 type Snapshot struct {
 	revision store.Revision
 	entries  []store.Entry
 }
 
-// Save returns a copy of the entries and the revision. Leases are left out.
+// Save returns a snapshot of the entries and the revision. Leases are not included.
 func (s *Store) Save() Snapshot { return s.state.save() }
 
-// Restore brings back an old copy, as an operator would from a backup: newer
-// entries, leases and the revision counter are lost. Watches stay open.
+// Restore replaces the content by that of a snapshot, as when an operator restores a
+// backup: newer entries, leases and the revision counter are lost. Watches stay open.
 func (s *Store) Restore(c Snapshot) { s.state.restore(c) }
--- a/store/memstore/store_test.go
+++ b/store/memstore/store_test.go
@@ -33,7 +33,7 @@
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 }
 
-func TestLeaseLapsesAndTakesItsEntriesAlong(t *testing.T) {
+func TestLeaseExpiryRemovesItsEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := memstore.New(memstore.Options{}).NewClient()
 		ctx := t.Context()
@@ -63,11 +63,11 @@
 		want   error
 		effect bool
 	}{
-		"none":        {func(*memstore.Faults) {}, nil, true},
-		"down":        {func(f *memstore.Faults) { f.SetDown(true) }, store.ErrUnavailable, false},
-		"lost answer": {func(f *memstore.Faults) { f.DropNextResponses(1) }, store.ErrUnknownOutcome, true},
-		"slow":        {func(f *memstore.Faults) { f.SetDelay(time.Second) }, nil, true},
-		"slower than the caller waits": {
+		"none":          {func(*memstore.Faults) {}, nil, true},
+		"down":          {func(f *memstore.Faults) { f.SetDown(true) }, store.ErrUnavailable, false},
+		"lost response": {func(f *memstore.Faults) { f.DropNextResponses(1) }, store.ErrUnknownOutcome, true},
+		"slow":          {func(f *memstore.Faults) { f.SetDelay(time.Second) }, nil, true},
+		"slower than the caller's deadline": {
 			func(f *memstore.Faults) { f.SetDelay(time.Minute) }, store.ErrUnknownOutcome, true,
 		},
 		"by function": {func(f *memstore.Faults) {
@@ -80,32 +80,32 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := memstore.New(memstore.Options{})
-				faulty, whole := s.NewClient(), s.NewClient()
+				faulty, healthy := s.NewClient(), s.NewClient()
 				test.set(faulty.Faults)
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
 				_, err := faulty.CompareAndSwap(ctx, "k", 0, []byte("v"), 0)
 				assert.ErrorIs(t, err, test.want)
 				time.Sleep(2 * time.Minute)
-				_, err = whole.Get(t.Context(), "k")
+				_, err = healthy.Get(t.Context(), "k")
 				assert.Equal(t, err == nil, test.effect)
 			})
 		})
 	}
 }
 
-func TestOldValueRead(t *testing.T) {
+func TestStaleRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
-		c, late := s.NewClient(), s.NewClient()
-		late.SetStaleness(30 * time.Second)
+		c, stale := s.NewClient(), s.NewClient()
+		stale.SetStaleness(30 * time.Second)
 		revision, err := c.CompareAndSwap(t.Context(), "k", 0, []byte("old"), 0)
 		assert.NilError(t, err)
 		time.Sleep(time.Minute)
 		_, err = c.CompareAndSwap(t.Context(), "k", revision, []byte("new"), 0)
 		assert.NilError(t, err)
 		for _, want := range []string{"old", "new"} {
-			entry, err := late.Get(t.Context(), "k")
+			entry, err := stale.Get(t.Context(), "k")
 			assert.NilError(t, err)
 			assert.Equal(t, string(entry.Value), want)
 			time.Sleep(31 * time.Second)
@@ -113,7 +113,7 @@
 	})
 }
 
-func TestDownBreaksWatches(t *testing.T) {
+func TestDownEndsWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := memstore.New(memstore.Options{})
 		time.AfterFunc(time.Minute, func() { s.SetDown(true) })
@@ -141,7 +141,7 @@
 	})
 }
 
-func TestRestoreOldCopy(t *testing.T) {
+func TestRestoreSnapshot(t *testing.T) {
 	s := memstore.New(memstore.Options{})
 	c := s.NewClient()
 	first, err := c.CompareAndSwap(t.Context(), "k", 0, []byte("old"), 0)
