--- a/hostlist/httphostlist/client.go
+++ b/hostlist/httphostlist/client.go
@@ -1,6 +1,7 @@
-// Package httphostlist reads the host list over HTTP: GET BASE/hosts returns a
-// JSON array of objects with the members node, address, data_centre and state.
-// The ETag, if there is one, is used to fetch the list only when it has changed.
+// Package httphostlist fetches the host list over HTTP: GET BASE/hosts returns a JSON
+// array of objects with the members node or endpoint, address, data_centre and state.
+// If the response has an ETag, the list is transferred again only when it has
+// changed.
 package httphostlist
 
 import (
@@ -18,17 +19,17 @@
 )
 
 const (
-	// Path is added to the base URL.
+	// Path is appended to the base URL.
 	Path = "/hosts"
-	// DefaultTimeout bounds a request.
+	// DefaultTimeout limits a request.
 	DefaultTimeout = 5 * time.Second
-	// MaxBytes bounds the list.
+	// MaxBytes limits the size of the list.
 	MaxBytes = 4 << 20
 )
 
 // Options configure a Client.
 type Options struct {
-	// BaseURL is the platform's address, "http://IP:port".
+	// BaseURL is the platform's URL, "http://IP:port".
 	BaseURL string
 	// HTTP is the client to use; nil for one with DefaultTimeout.
 	HTTP *http.Client
@@ -54,10 +55,10 @@
 	return &Client{url: options.BaseURL + Path, http: options.HTTP}
 }
 
-// List implements hostlist.List. The slice must not be changed.
+// List implements hostlist.List. The returned slice must not be modified.
 func (c *Client) List(ctx context.Context) ([]hostlist.Host, error) {
 	c.mu.Lock()
-	etag, known := c.etag, c.hosts
+	etag, cached := c.etag, c.hosts
 	c.mu.Unlock()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
@@ -73,16 +74,16 @@
 	defer response.Body.Close()
 	switch response.StatusCode {
 	case http.StatusNotModified:
-		return known, nil
+		return cached, nil
 	case http.StatusOK:
-		return c.read(response)
+		return c.readList(response)
 	default:
 		return nil, fmt.Errorf("%w: status %d", hostlist.ErrUnavailable, response.StatusCode)
 	}
 }
 
-// read decodes and remembers a list.
-func (c *Client) read(response *http.Response) ([]hostlist.Host, error) {
+// readList decodes the list and caches it with its ETag.
+func (c *Client) readList(response *http.Response) ([]hostlist.Host, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, MaxBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", hostlist.ErrUnavailable, err)
@@ -97,22 +98,22 @@
 	return hosts, nil
 }
 
-// parse decodes and checks a list: one bad entry makes the whole list bad, since
-// a host that is missing from it has a meaning.
+// parse decodes and validates a list. One invalid entry makes the whole list invalid:
+// it can't be skipped, because a host's absence from the list is significant.
 func parse(body []byte) ([]hostlist.Host, error) {
 	if len(body) > MaxBytes {
-		return nil, fmt.Errorf("more than %d bytes", MaxBytes)
+		return nil, fmt.Errorf("list exceeds %d bytes", MaxBytes)
 	}
 	var hosts []hostlist.Host
 	if err := json.Unmarshal(body, &hosts); err != nil {
 		return nil, err
 	}
 	if hosts == nil {
-		return nil, errors.New("not an array")
+		return nil, errors.New("list is not a JSON array")
 	}
 	seen := make(map[string]bool, len(hosts))
 	for i, host := range hosts {
-		if err := check(host); err != nil {
+		if err := validate(host); err != nil {
 			return nil, fmt.Errorf("host %d: %w", i, err)
 		}
 		name := "node " + string(host.Node) + ", endpoint " + string(host.Endpoint)
@@ -124,15 +125,15 @@
 	return hosts, nil
 }
 
-func check(host hostlist.Host) error {
+func validate(host hostlist.Host) error {
 	if (host.Node == "") == (host.Endpoint == "") || host.DataCentre == "" {
-		return errors.New("data_centre and either node or endpoint are needed")
+		return errors.New("data_centre and exactly one of node and endpoint are required")
 	}
 	if _, err := netip.ParseAddrPort(host.Address); err != nil {
 		return fmt.Errorf("address: %w", err)
 	}
 	if host.State != hostlist.StateLive && host.State != hostlist.StateLeaving {
-		return fmt.Errorf("state %q", host.State)
+		return fmt.Errorf("unknown state %q", host.State)
 	}
 	return nil
 }
--- a/hostlist/httphostlist/client_test.go
+++ b/hostlist/httphostlist/client_test.go
@@ -31,13 +31,13 @@
 		{"down", 503, "", 0, hostlist.ErrUnavailable},
 		{"null", 200, "null", 0, hostlist.ErrMalformed},
 		{"not JSON", 200, "<html>", 0, hostlist.ErrMalformed},
-		{"cut off", 200, twoHosts[:60], 0, hostlist.ErrMalformed},
+		{"truncated", 200, twoHosts[:60], 0, hostlist.ErrMalformed},
 		{"too large", 200, strings.Repeat(" ", MaxBytes+1), 0, hostlist.ErrMalformed},
 		{"no node", 200, host("", "127.0.0.1:1", "taf", "live"), 0, hostlist.ErrMalformed},
 		{"no data centre", 200, host("a", "127.0.0.1:1", "", "live"), 0, hostlist.ErrMalformed},
-		{"name for address", 200, host("a", "localhost:1", "taf", "live"), 0, hostlist.ErrMalformed},
+		{"host name as address", 200, host("a", "localhost:1", "taf", "live"), 0, hostlist.ErrMalformed},
 		{"unknown state", 200, host("a", "127.0.0.1:1", "taf", "gone"), 0, hostlist.ErrMalformed},
-		{"twice", 200, "[" + strings.Repeat(strings.Trim(host("a", "127.0.0.1:1", "taf", "live"), "[]")+",", 2) + "]", 0, hostlist.ErrMalformed},
+		{"duplicate", 200, "[" + strings.Repeat(strings.Trim(host("a", "127.0.0.1:1", "taf", "live"), "[]")+",", 2) + "]", 0, hostlist.ErrMalformed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -54,15 +54,15 @@
 	}
 }
 
-func TestListIsFetchedWhenItChanges(t *testing.T) {
-	full := 0
+func TestListIsFetchedOnlyWhenChanged(t *testing.T) {
+	fullResponses := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("ETag", `"7"`)
 		if r.Header.Get("If-None-Match") == `"7"` {
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
-		full++
+		fullResponses++
 		_, _ = w.Write([]byte(twoHosts))
 	}))
 	client := New(Options{BaseURL: server.URL})
@@ -71,7 +71,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(hosts), 2)
 	}
-	assert.Equal(t, full, 1)
+	assert.Equal(t, fullResponses, 1)
 	server.Close()
 	_, err := client.List(context.Background())
 	assert.ErrorIs(t, err, hostlist.ErrUnavailable)
