--- a/netdial/conn.go
+++ b/netdial/conn.go
@@ -9,76 +9,77 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is a TCP connection whose Close discards what the other side has not acknowledged. After an ordinary close the
-// kernel would go on retransmitting it, and the other side would get it once a cut link is back. It is safe for concurrent
-// use.
+// Conn is a TCP connection whose Close discards the data that the peer has not acknowledged. After an ordinary close the
+// kernel would keep retransmitting that data, and the peer would receive it once an interrupted link recovers. It is safe
+// for concurrent use.
 type Conn struct {
 	net.Conn
 
-	mu      sync.Mutex
-	writing int
-	closed  bool
-	// pending is set by Close if bytes were left unacknowledged.
-	pending bool
+	mu           sync.Mutex
+	activeWrites int
+	closed       bool
+	// unackedAtClose is set by Close if some of the written data was unacknowledged.
+	unackedAtClose bool
 }
 
 func wrap(raw net.Conn) *Conn { return &Conn{Conn: raw} }
 
-// Write writes p. It returns net.ErrClosed, and takes nothing, once Close has been called.
+// Write implements net.Conn. Once Close has been called, it writes nothing and returns net.ErrClosed.
 func (c *Conn) Write(p []byte) (int, error) {
-	if !c.begin() {
+	if !c.beginWrite() {
 		return 0, net.ErrClosed
 	}
-	defer c.end()
+	defer c.endWrite()
 	return c.Conn.Write(p)
 }
 
-func (c *Conn) begin() bool {
+func (c *Conn) beginWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return false
 	}
-	c.writing++
+	c.activeWrites++
 	return true
 }
 
-func (c *Conn) end() {
+func (c *Conn) endWrite() {
 	c.mu.Lock()
-	c.writing--
+	c.activeWrites--
 	c.mu.Unlock()
 }
 
-// Close closes the connection. It resets it if the other side has not acknowledged all that was written, so that none of
-// the rest is delivered, and closes it in order otherwise.
+// Close closes the connection. If the peer has not acknowledged all written data, the connection is reset, so that the
+// rest is never delivered; otherwise it is closed normally.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	if !c.closed {
 		c.closed = true
-		c.pending = c.writing > 0 || c.unacknowledged()
-		c.discard()
+		c.unackedAtClose = c.activeWrites > 0 || c.hasUnacknowledged()
+		c.resetIfUnacked()
 	}
 	c.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// discard makes the close a reset if bytes are pending. A connection that can't be reset is closed in order.
-func (c *Conn) discard() {
+// resetIfUnacked makes the close a reset if some data is unacknowledged. A connection that can't be reset is closed
+// normally.
+func (c *Conn) resetIfUnacked() {
 	tcp, ok := c.Conn.(interface{ SetLinger(seconds int) error })
-	if !c.pending || !ok {
+	if !c.unackedAtClose || !ok {
 		return
 	}
-	_ = tcp.SetLinger(0) // fails only for a socket that is closed already
+	_ = tcp.SetLinger(0) // Fails only if the socket is already closed.
 }
 
-// Pending reports whether the connection was closed before the other side had acknowledged all that was written.
+// ClosedUnacknowledged reports whether the connection was closed before the peer had acknowledged all written data.
 func (c *Conn) ClosedUnacknowledged() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pending
+	return c.unackedAtClose
 }
 
-// SyscallConn implements syscall.Conn. It fails for a connection that is not of the kernel.
+// SyscallConn implements syscall.Conn. It fails if the underlying connection is not a kernel socket.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
 	conn, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -87,15 +88,15 @@
 	return conn.SyscallConn()
 }
 
-// unacknowledged reports whether the kernel holds bytes for the other side. A connection that can't tell counts as one
-// that does.
-func (c *Conn) unacknowledged() bool {
+// hasUnacknowledged reports whether the kernel's send queue holds data that the peer has not acknowledged. It returns true
+// if the queue can't be queried.
+func (c *Conn) hasUnacknowledged() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
 	}
-	held := 0
-	var asked error
-	err = raw.Control(func(fd uintptr) { held, asked = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
-	return errors.Join(err, asked) != nil || held > 0
+	queued := 0
+	var ioctlErr error
+	err = raw.Control(func(fd uintptr) { queued, ioctlErr = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
+	return errors.Join(err, ioctlErr) != nil || queued > 0
 }
--- a/netdial/conn_test.go
+++ b/netdial/conn_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestNothingIsWrittenAfterClose(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
-	c := wrap(near)
+func TestWriteAfterCloseFails(t *testing.T) {
+	local, remote := net.Pipe()
+	defer remote.Close()
+	c := wrap(local)
 	assert.NilError(t, c.Close())
 	n, err := c.Write([]byte("late"))
 	assert.ErrorIs(t, err, net.ErrClosed)
--- a/netdial/dialer.go
+++ b/netdial/dialer.go
@@ -1,6 +1,6 @@
-// Package netdial makes dialers whose connections do not stay silent for good: a peer that has lost its power or is cut
-// off resets nothing, and without a bound of its own the kernel waits for minutes. A Conn discards, when it is closed,
-// what the other side has not acknowledged.
+// Package netdial provides dialers whose connections detect an unresponsive peer: a peer that has lost power or is
+// partitioned sends no reset, and with its default settings the kernel waits for minutes. When a Conn is closed, it
+// discards the data that the peer has not acknowledged.
 package netdial
 
 import (
@@ -13,10 +13,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dialer is a net.Dialer whose connections are Conns.
+// Dialer is a net.Dialer that returns Conns.
 type Dialer struct{ net.Dialer }
 
-// DialContext connects to the address.
+// DialContext connects to the address and wraps the connection in a Conn.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (*Conn, error) {
 	raw, err := d.Dialer.DialContext(ctx, network, address)
 	if err != nil {
@@ -25,23 +25,23 @@
 	return wrap(raw), nil
 }
 
-// probes is the number of keep-alive probes without an answer after which a connection is dead.
-const probes = 2
+// keepAliveProbes is the number of unanswered keep-alive probes after which the connection fails.
+const keepAliveProbes = 2
 
-// New returns a dialer. Timeout bounds the making of a connection. A connection is closed once sent bytes have not been
-// acknowledged for silent, or the other side has answered no probe for about twice that.
-func New(timeout, silent time.Duration) *Dialer {
+// New returns a dialer. The timeout limits connection establishment. A connection fails once sent data has been
+// unacknowledged for ackTimeout, or the peer has answered no keep-alive probe for about twice that.
+func New(timeout, ackTimeout time.Duration) *Dialer {
 	return &Dialer{net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: silent, Interval: silent, Count: probes},
-		Control:         func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, silent) },
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: ackTimeout, Interval: ackTimeout, Count: keepAliveProbes},
+		Control:         func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, ackTimeout) },
 	}}
 }
 
-func setUserTimeout(raw syscall.RawConn, silent time.Duration) error {
-	var set error
+func setUserTimeout(raw syscall.RawConn, ackTimeout time.Duration) error {
+	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silent.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
-	return errors.Join(err, set)
+	return errors.Join(err, setErr)
 }
--- a/netdial/listener.go
+++ b/netdial/listener.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// Listener is a listener whose connections are Conns.
+// Listener is a net.Listener that wraps accepted connections in Conns.
 type Listener struct{ net.Listener }
 
 // Accept implements net.Listener.
--- a/netdial/netdialtest/listener.go
+++ b/netdial/netdialtest/listener.go
@@ -1,4 +1,5 @@
-// Package netdialtest has listeners for tests of what happens to bytes that lie in a sender's kernel.
+// Package netdialtest provides listeners for tests of data that is queued in the sender's kernel when a connection is
+// closed.
 package netdialtest
 
 import (
@@ -13,56 +14,58 @@
 	"gotest.tools/v3/assert"
 )
 
-// receiveBuffer is less than the least that the kernel grants.
-const receiveBuffer = 1 << 10
+// receiveBufferBytes is below the kernel's minimum, so that the kernel sets the smallest buffer it allows.
+const receiveBufferBytes = 1 << 10
 
-// PayloadBytes is more than a connection of ListenSmallBuffer takes unread, and less than a sender's kernel holds with a write buffer of
-// twice that size.
+// PayloadBytes exceeds what a connection of ListenSmallBuffer buffers unread, and fits into the sender's kernel with a
+// write buffer of twice that size.
 const PayloadBytes = 32 << 10
 
-// ListenSmallBuffer returns a listener whose connections take few bytes before they are read, so that the sender's kernel holds the
-// rest, as it does on a link that is cut. It is closed with the test.
+// ListenSmallBuffer returns a listener whose connections have the smallest receive buffer, so that unread data stays
+// queued in the sender's kernel, as it does on an interrupted link. It is closed when the test ends.
 func ListenSmallBuffer(t testing.TB) net.Listener {
 	t.Helper()
-	config := net.ListenConfig{Control: takeLittle}
+	config := net.ListenConfig{Control: setSmallReceiveBuffer}
 	l, err := config.Listen(context.Background(), "tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
 	return l
 }
 
-// DialSmallBuffer dials a connection that takes as few bytes before they are read; nil if the test has failed.
+// DialSmallBuffer dials a connection with the smallest receive buffer. It returns nil, and marks the test as failed, if
+// the address can't be reached.
 func DialSmallBuffer(t testing.TB, address string) net.Conn {
-	dialer := net.Dialer{Control: takeLittle}
+	dialer := net.Dialer{Control: setSmallReceiveBuffer}
 	c, err := dialer.DialContext(context.Background(), "tcp4", address)
 	assert.Check(t, err)
 	return c
 }
 
-// takeLittle bounds what a socket takes before it is read.
-func takeLittle(_, _ string, raw syscall.RawConn) error {
-	var set error
+// setSmallReceiveBuffer sets the receive buffer of a socket to its minimum size.
+func setSmallReceiveBuffer(_, _ string, raw syscall.RawConn) error {
+	var setErr error
 	err := raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBuffer)
+		setErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBufferBytes)
 	})
-	return errors.Join(err, set)
+	return errors.Join(err, setErr)
 }
 
-// AssertCloseDiscards fails the test if far, which has read nothing yet, gets all that is written to near before near is closed,
-// or sees an ordinary end. It closes both.
-func AssertCloseDiscards(t testing.TB, near, far net.Conn) {
+// AssertCloseDiscards writes PayloadBytes to sender and closes it. It fails the test if receiver, which has read nothing
+// so far, then receives all of the data or an ordinary end of the stream instead of a reset. It closes both.
+func AssertCloseDiscards(t testing.TB, sender, receiver net.Conn) {
 	t.Helper()
-	_, err := near.Write(make([]byte, PayloadBytes))
+	_, err := sender.Write(make([]byte, PayloadBytes))
 	assert.NilError(t, err)
-	assert.NilError(t, near.Close())
-	AssertDiscarded(t, far)
+	assert.NilError(t, sender.Close())
+	AssertDiscarded(t, receiver)
 }
 
-// AssertDiscarded fails the test if far gets PayloadBytes or sees an ordinary end of what was sent to it. It closes far.
-func AssertDiscarded(t testing.TB, far net.Conn) {
+// AssertDiscarded fails the test if receiver receives PayloadBytes or an ordinary end of the stream instead of a reset. It
+// closes receiver.
+func AssertDiscarded(t testing.TB, receiver net.Conn) {
 	t.Helper()
-	defer far.Close()
-	delivered, err := io.ReadAll(far)
-	assert.ErrorIs(t, err, unix.ECONNRESET, "%d bytes and an ordinary end were delivered", len(delivered))
-	assert.Assert(t, len(delivered) < PayloadBytes, "all was delivered")
+	defer receiver.Close()
+	delivered, err := io.ReadAll(receiver)
+	assert.ErrorIs(t, err, unix.ECONNRESET, "no reset; %d bytes were delivered", len(delivered))
+	assert.Assert(t, len(delivered) < PayloadBytes, "all data was delivered")
 }
