--- a/store/lease/acquire.go
+++ b/store/lease/acquire.go
@@ -22,7 +22,7 @@
 	AcquisitionID uuid.UUID `cbor:"2,keyasint"`
 }
 
-// Acquire takes the lease, or returns ErrHeld with its owner, or ErrNotAcquired.
+// Acquire acquires the lease, or returns ErrHeld with its owner, or ErrNotAcquired.
 // The context bounds the acquisition only; the lease is renewed until Release, or
 // until it is lost.
 //
--- a/store/memstore/faults.go
+++ b/store/memstore/faults.go
@@ -12,7 +12,7 @@
 	mu         sync.Mutex
 	persistent Fault
 	dropNext   int
-	decide     FaultFunc
+	faultFunc  FaultFunc
 	calls      uint64
 	wentDown   chan struct{}
 }
@@ -55,10 +55,10 @@
 
 // SetFunc sets a function that returns a fault for each call, in addition to the
 // other faults; nil removes it.
-func (f *Faults) SetFunc(decide FaultFunc) {
+func (f *Faults) SetFunc(faultFunc FaultFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.decide = decide
+	f.faultFunc = faultFunc
 }
 
 // nextFault returns the fault of a call that starts, and a channel that is closed
@@ -72,8 +72,8 @@
 		f.dropNext--
 		fault.DropResponse = true
 	}
-	if f.decide != nil {
-		fault = fault.merge(f.decide(Call{Operation: operation, Key: key, Number: f.calls}))
+	if f.faultFunc != nil {
+		fault = fault.merge(f.faultFunc(Call{Operation: operation, Key: key, Number: f.calls}))
 	}
 	return fault, f.wentDown
 }
--- a/store/memstore/state.go
+++ b/store/memstore/state.go
@@ -27,9 +27,9 @@
 	keys  map[string]struct{}
 }
 
-func newState(history time.Duration) *state {
+func newState(retention time.Duration) *state {
 	return &state{
-		retention: history,
+		retention: retention,
 		records:   make(map[string]*record),
 		leases:    make(map[store.LeaseID]*lease),
 	}
@@ -158,7 +158,7 @@
 	return Snapshot{revision: s.revision, entries: s.listLocked("", time.Now())}
 }
 
-func (s *state) restore(c Snapshot) {
+func (s *state) restore(snapshot Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.leases {
@@ -170,8 +170,8 @@
 		close(r.changed)
 		r.changed = make(chan struct{})
 	}
-	s.revision = c.revision
-	for _, e := range c.entries {
+	s.revision = snapshot.revision
+	for _, e := range snapshot.entries {
 		e = copyEntry(e)
 		e.Lease = 0
 		s.record(e.Key).push(version{entry: e, at: time.Now()}, time.Now())
--- a/store/memstore/store.go
+++ b/store/memstore/store.go
@@ -57,4 +57,4 @@
 
 // Restore replaces the content by that of a snapshot, as when an operator restores a
 // backup: newer entries, leases and the revision counter are lost. Watches stay open.
-func (s *Store) Restore(c Snapshot) { s.state.restore(c) }
+func (s *Store) Restore(snapshot Snapshot) { s.state.restore(snapshot) }
