--- a/cmd/hawthornrill-entry/main.go
+++ b/cmd/hawthornrill-entry/main.go
@@ -60,10 +60,10 @@
 }
 
 func serve(settings entrynode.Settings, path string) int {
-	out := logging.NewAsync(os.Stdout)
+	out := logging.NewAsyncWriter(os.Stdout)
 	defer out.Close()
 	level := logging.NewLevel(settings.Log.Level)
-	log := zerolog.New(logging.Levelled{Writer: out, Level: level}).With().Timestamp().Logger()
+	log := zerolog.New(logging.LevelFilter{Writer: out, Level: level}).With().Timestamp().Logger()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	go reload(ctx, path, level, log)
--- a/ctl/apply.go
+++ b/ctl/apply.go
@@ -104,7 +104,7 @@
 	for err != nil && !operatorapi.IsNotAccepted(err) && ctx.Err() == nil {
 		_, _ = fmt.Fprintf(s.Err, "edit %s: %s; finding out\n", id, err)
 		pacing.Sleep(ctx, settlePause)
-		version, err = c.Settle(ctx, id, base)
+		version, err = c.EditOutcome(ctx, id, base)
 	}
 	switch {
 	case err == nil:
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -139,7 +139,7 @@
 		t.Setenv(environmentNodes, "http://127.0.0.1:9001")
 		t.Setenv(environmentKeyFile, x.path("key"))
 		assert.NilError(t, os.WriteFile(x.path("first.toml"), []byte(firstTable), 0o600))
-		x.expect(ExitNotEverywhere, "", "status", "no table has been accepted yet")
+		x.expect(ExitPartialRollout, "", "status", "no table has been accepted yet")
 		x.expect(ExitOK, "", "table diff @first.toml", "75.00% of gold", "new row", "tier=gold weight=3")
 		x.expect(ExitFailed, "n\n", "table apply @first.toml", "[y/N]", "not confirmed")
 		x.expect(ExitOK, "y\n", "table apply -note first @first.toml", "accepted: generation 1")
--- a/ctl/exit.go
+++ b/ctl/exit.go
@@ -10,7 +10,7 @@
 	ExitUsage = 2
 	// ExitUnknown: it is not known whether an edit was accepted.
 	ExitUnknown = 3
-	// ExitNotEverywhere: status found nodes without the latest table, or nodes that
+	// ExitPartialRollout: status found nodes without the latest table, or nodes that
 	// can't be reached.
-	ExitNotEverywhere = 4
+	ExitPartialRollout = 4
 )
--- a/ctl/status.go
+++ b/ctl/status.go
@@ -26,7 +26,7 @@
 		}
 		printStatus(s.Out, status, *all)
 		if status.InForce < len(status.Nodes) {
-			return ExitNotEverywhere, nil
+			return ExitPartialRollout, nil
 		}
 		return ExitOK, nil
 	}
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -39,7 +39,7 @@
 			Handler:           e,
 			ReadHeaderTimeout: readHeaderTimeout,
 			IdleTimeout:       idleTimeout,
-			ErrorLog:          log.New(logging.Writer{Logger: logger, Level: zerolog.DebugLevel}, "", 0),
+			ErrorLog:          log.New(logging.LineWriter{Logger: logger, Level: zerolog.DebugLevel}, "", 0),
 		},
 	}
 }
--- a/demo/sample.go
+++ b/demo/sample.go
@@ -79,8 +79,8 @@
 // same key to another node.
 func (d *Demo) call(ctx context.Context, w io.Writer, org domain.OrganisationID, first, again string) error {
 	deployment := d.options.Deployment
-	path := "/services/" + deployment.Service + deployment.OncePath
-	call := plainCall{key: deployment.Keys[org], path: path, body: deployment.OnceBody, requestKey: string(org) + "-once"}
+	path := "/services/" + deployment.Service + deployment.NonIdempotentPath
+	call := plainCall{key: deployment.Keys[org], path: path, body: deployment.NonIdempotentBody, requestKey: string(org) + "-once"}
 	answer, err := call.send(ctx, first)
 	if err != nil {
 		return fmt.Errorf("%w: POST %s of %s: %w", ErrSample, path, org, err)
--- a/deployment/deployment.go
+++ b/deployment/deployment.go
@@ -31,16 +31,16 @@
 	Table config.Table
 	// Keys holds a demonstration API key for each organisation.
 	Keys map[domain.OrganisationID]string
-	// OneWay is the delay between data centres, ClientOneWay that to callers.
-	OneWay       time.Duration
-	ClientOneWay time.Duration
+	// OneWayDelay is the delay between data centres, ClientOneWayDelay that to callers.
+	OneWayDelay       time.Duration
+	ClientOneWayDelay time.Duration
 	// Model is the name of the model that the engines serve.
 	Model string
-	// Service is the name of the plain service. OncePath and OnceBody are a POST to it
+	// Service is the name of the plain service. NonIdempotentPath and NonIdempotentBody are a POST to it
 	// that may not be repeated.
-	Service  string
-	OncePath string
-	OnceBody string
+	Service           string
+	NonIdempotentPath string
+	NonIdempotentBody string
 }
 
 // Names lists the deployments.
--- a/entrynode/operators.go
+++ b/entrynode/operators.go
@@ -74,5 +74,5 @@
 
 // quiet logs what the library says of single connections at the lowest level.
 func quiet(log zerolog.Logger) *stdlog.Logger {
-	return stdlog.New(logging.Writer{Logger: log, Level: zerolog.DebugLevel}, "", 0)
+	return stdlog.New(logging.LineWriter{Logger: log, Level: zerolog.DebugLevel}, "", 0)
 }
--- a/load/virtual/experiment.go
+++ b/load/virtual/experiment.go
@@ -21,6 +21,6 @@
 	}
 	defer fleet.Stop()
 	table := policy.table(d.Table)
-	record := load.Run(context.Background(), workload, fleet, load.RunOptions{OneWay: d.ClientOneWay})
+	record := load.Run(context.Background(), workload, fleet, load.RunOptions{OneWay: d.ClientOneWayDelay})
 	return load.Measure(workload, policy.Name, record, fleet.Witness(), load.Bound(workload, &table)), nil
 }
--- a/load/virtual/fleet.go
+++ b/load/virtual/fleet.go
@@ -71,7 +71,7 @@
 		if from.DataCentre == to.DataCentre {
 			return within
 		}
-		return d.OneWay
+		return d.OneWayDelay
 	})
 	table := policy.table(d.Table)
 	f.startEndpoints(&table)
--- a/logging/async.go
+++ b/logging/async.go
@@ -18,24 +18,24 @@
 	asyncFlush = 100 * time.Millisecond
 )
 
-// Async writes lines in the background. It never blocks: when the writer is slow, lines are dropped and their number is
+// AsyncWriter writes lines in the background. It never blocks: when the writer is slow, lines are dropped and their number is
 // written instead.
-type Async struct {
+type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	done    chan struct{}
 	once    sync.Once
 }
 
-// NewAsync returns an Async that writes to w. It must be closed.
-func NewAsync(w io.Writer) *Async {
-	a := &Async{lines: make(chan []byte, asyncLines), done: make(chan struct{})}
+// NewAsyncWriter returns an Async that writes to w. It must be closed.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
+	a := &AsyncWriter{lines: make(chan []byte, asyncLines), done: make(chan struct{})}
 	go a.run(w)
 	return a
 }
 
 // Write takes a line.
-func (a *Async) Write(line []byte) (int, error) {
+func (a *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), line...):
 	default:
@@ -45,12 +45,12 @@
 }
 
 // Close writes what waits. Write must not be called afterwards.
-func (a *Async) Close() {
+func (a *AsyncWriter) Close() {
 	a.once.Do(func() { close(a.lines) })
 	<-a.done
 }
 
-func (a *Async) run(w io.Writer) {
+func (a *AsyncWriter) run(w io.Writer) {
 	defer close(a.done)
 	buffer := bufio.NewWriterSize(w, asyncBuffer)
 	ticker := time.NewTicker(asyncFlush)
@@ -72,7 +72,7 @@
 }
 
 // report writes how many lines were dropped.
-func (a *Async) report(w io.Writer) {
+func (a *AsyncWriter) report(w io.Writer) {
 	if n := a.dropped.Swap(0); n > 0 {
 		fmt.Fprintf(w, `{"level":"warn","dropped":%d,"message":"log lines dropped"}`+"\n", n)
 	}
--- a/logging/level.go
+++ b/logging/level.go
@@ -26,14 +26,14 @@
 	l.value.Store(int32(level))
 }
 
-// Levelled writes the lines of a level or above.
-type Levelled struct {
+// LevelFilter writes the lines of a level or above.
+type LevelFilter struct {
 	io.Writer
 	Level *Level
 }
 
 // WriteLevel implements zerolog.LevelWriter.
-func (w Levelled) WriteLevel(level zerolog.Level, line []byte) (int, error) {
+func (w LevelFilter) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	if level < zerolog.Level(w.Level.value.Load()) {
 		return len(line), nil
 	}
--- a/operatorapi/api.go
+++ b/operatorapi/api.go
@@ -47,7 +47,7 @@
 // Mount adds the routes and the page.
 func (a *API) Mount(e *echo.Echo) {
 	a.mountPage(e)
-	g := e.Group(Prefix, middleware.BodyLimit(maxBody), a.authenticate)
+	g := e.Group(PathPrefix, middleware.BodyLimit(maxBody), a.authenticate)
 	g.GET("/table", a.getTable)
 	g.POST("/table/check", a.checkTable)
 	g.POST("/table/preview", a.preview)
--- a/operatorapi/client.go
+++ b/operatorapi/client.go
@@ -18,12 +18,12 @@
 )
 
 var (
-	// ErrNoNode means that no node could be reached; the request was certainly not
+	// ErrUnreachable means that no node could be reached; the request was certainly not
 	// carried out.
-	ErrNoNode = errors.New("operatorapi: no node can be reached")
-	// ErrNoAnswer means that a node was asked and did not answer; an edit may or
+	ErrUnreachable = errors.New("operatorapi: no node can be reached")
+	// ErrNoResponse means that a node was asked and did not answer; an edit may or
 	// may not have been accepted.
-	ErrNoAnswer = errors.New("operatorapi: no answer")
+	ErrNoResponse = errors.New("operatorapi: no answer")
 )
 
 const (
@@ -67,7 +67,7 @@
 	return call[PreviewReply](ctx, c, http.MethodPost, "/table/preview", PreviewRequest{Changes: changes})
 }
 
-// Edit asks for changes. The error is a *Failure, ErrNoNode or ErrNoAnswer.
+// Edit asks for changes. The error is a *Failure, ErrUnreachable or ErrNoResponse.
 func (c *Client) Edit(ctx context.Context, request EditRequest) (document.Version, error) {
 	reply, err := call[EditReply](ctx, c, http.MethodPost, "/edits", request)
 	return reply.Version, err
@@ -81,8 +81,8 @@
 
 // Settle tells what became of an edit: it asks one node after the other until one
 // knows. The error is a *Failure that says the edit was not accepted, or
-// ErrNoAnswer.
-func (c *Client) Settle(ctx context.Context, id document.EditID, base uint64) (version document.Version, err error) {
+// ErrNoResponse.
+func (c *Client) EditOutcome(ctx context.Context, id document.EditID, base uint64) (version document.Version, err error) {
 	path := fmt.Sprintf("/edits/%s?base=%d", id, base)
 	for _, node := range c.nodes {
 		var reply EditReply
@@ -92,7 +92,7 @@
 			return reply.Version, err
 		}
 	}
-	return document.Version{}, fmt.Errorf("%w: %w", ErrNoAnswer, err)
+	return document.Version{}, fmt.Errorf("%w: %w", ErrNoResponse, err)
 }
 
 // IsNotAccepted reports whether an error says that an edit certainly had no
@@ -100,12 +100,12 @@
 func IsNotAccepted(err error) bool {
 	var failure *Failure
 	switch {
-	case errors.Is(err, ErrNoAnswer):
+	case errors.Is(err, ErrNoResponse):
 		return false
 	case errors.As(err, &failure):
 		return failure.Outcome == OutcomeNotAccepted || failure.Status < http.StatusInternalServerError
 	}
-	return errors.Is(err, ErrNoNode)
+	return errors.Is(err, ErrUnreachable)
 }
 
 // History returns the versions that can still be read, the current one first.
@@ -139,7 +139,7 @@
 	if errors.As(err, &failure) {
 		return reply, failure
 	}
-	return reply, fmt.Errorf("%w: %w", ErrNoNode, err)
+	return reply, fmt.Errorf("%w: %w", ErrUnreachable, err)
 }
 
 // worthAnother reports whether the request certainly had no effect, and another
@@ -149,11 +149,11 @@
 	if errors.As(err, &failure) {
 		return failure.Status == http.StatusServiceUnavailable && failure.Outcome != OutcomeUnknown
 	}
-	return errors.Is(err, ErrNoNode)
+	return errors.Is(err, ErrUnreachable)
 }
 
 func (c *Client) callNode(ctx context.Context, node, method, path string, body []byte, reply any) error {
-	request, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(node, "/")+Prefix+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(node, "/")+PathPrefix+path, bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("operatorapi: %w", err)
 	}
@@ -166,13 +166,13 @@
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrNoAnswer, err)
+		return fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return readFailure(response, data)
 	}
 	if err := json.Unmarshal(data, reply); err != nil {
-		return fmt.Errorf("%w: %w", ErrNoAnswer, err)
+		return fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	return nil
 }
@@ -191,7 +191,7 @@
 func reached(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return ErrNoNode
+		return ErrUnreachable
 	}
-	return ErrNoAnswer
+	return ErrNoResponse
 }
--- a/operatorapi/client_test.go
+++ b/operatorapi/client_test.go
@@ -48,7 +48,7 @@
 		client := NewClient(c.nodes, "key")
 		_, err := client.Edit(t.Context(), EditRequest{})
 		assert.Equal(t, IsNotAccepted(err), c.edited, "%s: %v", c.name, err)
-		_, err = client.Settle(t.Context(), EditRequest{}.ID, 0)
+		_, err = client.EditOutcome(t.Context(), EditRequest{}.ID, 0)
 		assert.Equal(t, IsNotAccepted(err), c.settled, "%s: %v", c.name, err)
 	}
 }
--- a/operatorapi/message.go
+++ b/operatorapi/message.go
@@ -5,8 +5,8 @@
 	"hawthornrill.example/hawthornrill/document"
 )
 
-// Prefix is where the routes begin.
-const Prefix = "/operator/v1"
+// PathPrefix is where the routes begin.
+const PathPrefix = "/operator/v1"
 
 // TableReply is a table with the version it has.
 type TableReply struct {
@@ -84,13 +84,13 @@
 	Unreachable   string  `json:"unreachable,omitempty"`
 	UptimeSeconds float64 `json:"uptime_seconds"`
 	// Table is the condition of the operators' table.
-	Table *Condition `json:"table,omitempty"`
+	Table *DocumentStatus `json:"table,omitempty"`
 	// Documents are the conditions of the node's other documents.
-	Documents []Condition `json:"documents,omitempty"`
+	Documents []DocumentStatus `json:"documents,omitempty"`
 }
 
-// Condition is how a document stands on a node.
-type Condition struct {
+// DocumentStatus is how a document stands on a node.
+type DocumentStatus struct {
 	Name         string  `json:"name"`
 	Held         uint64  `json:"held"`
 	InForce      uint64  `json:"in_force"`
--- a/operatorapi/status.go
+++ b/operatorapi/status.go
@@ -52,8 +52,8 @@
 	return report
 }
 
-func conditionOf(c document.Condition) Condition {
-	return Condition{
+func conditionOf(c document.Condition) DocumentStatus {
+	return DocumentStatus{
 		Name:         c.Name,
 		Held:         c.Held.Generation,
 		InForce:      c.InForce.Generation,
--- a/peer/wslink/listen.go
+++ b/peer/wslink/listen.go
@@ -32,7 +32,7 @@
 		Handler:           mux,
 		ReadHeaderTimeout: t.options.DialTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          log.New(logging.Writer{Logger: t.options.Logger, Level: zerolog.DebugLevel}, "", 0),
+		ErrorLog:          log.New(logging.LineWriter{Logger: t.options.Logger, Level: zerolog.DebugLevel}, "", 0),
 	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
