--- a/operatorapi/api.go
+++ b/operatorapi/api.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// maxBody bounds a request's body; a whole table fits.
-	maxBody = "16M"
-	// editTime bounds an edit even if the operator's connection breaks meanwhile.
-	editTime = 30 * time.Second
-	// operatorKey is where the operator's name is kept in a request's context.
-	operatorKey = "operator"
+	// maxRequestBody limits the size of a request body; a whole table fits.
+	maxRequestBody = "16M"
+	// editTimeout limits an edit, which goes on after its operator's connection broke.
+	editTimeout = 30 * time.Second
+	// operatorContextKey is the key of the operator's name in the request context.
+	operatorContextKey = "operator"
 )
 
-// Table is what the interface needs of the operators' table; *agreed.Service
-// has it.
+// Table is the access to the configuration table that the API needs; it is
+// implemented by *agreed.Service.
 type Table interface {
 	Edit(ctx context.Context, edit document.Edit, changes []config.Change) (document.Version, error)
 	Rollback(ctx context.Context, edit document.Edit, generation, expected uint64) (document.Version, error)
@@ -35,24 +35,25 @@
 	Status(ctx context.Context) []document.NodeStatus
 }
 
-// API serves the operators.
+// API serves the operator interface of a node.
 type API struct {
 	table Table
 	keys  []Key
 }
 
-// New returns the interface of a node. Without keys every request is refused.
+// New returns the operator interface of a node. Without keys every request is
+// refused.
 func New(table Table, keys []Key) *API { return &API{table: table, keys: keys} }
 
-// Mount adds the routes and the page.
+// Mount registers the API routes and the page.
 func (a *API) Mount(e *echo.Echo) {
 	a.mountPage(e)
-	g := e.Group(PathPrefix, middleware.BodyLimit(maxBody), a.authenticate)
+	g := e.Group(PathPrefix, middleware.BodyLimit(maxRequestBody), a.authenticate)
 	g.GET("/table", a.getTable)
 	g.POST("/table/check", a.checkTable)
 	g.POST("/table/preview", a.preview)
 	g.POST("/edits", a.edit)
-	g.GET("/edits/:id", a.settle)
+	g.GET("/edits/:id", a.editOutcome)
 	g.POST("/rollback", a.rollback)
 	g.GET("/history", a.history)
 	g.GET("/status", a.status)
@@ -60,11 +61,11 @@
 
 func (a *API) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		name, ok := operatorOf(a.keys, c.Request().Header.Get(echo.HeaderAuthorization))
+		name, ok := operatorName(a.keys, c.Request().Header.Get(echo.HeaderAuthorization))
 		if !ok {
-			return respond(c, &Failure{Title: "Not authorised", Status: http.StatusUnauthorized, Detail: "the operator's key is missing or not known to this node"})
+			return respondProblem(c, &Failure{Title: "Not authorised", Status: http.StatusUnauthorized, Detail: "the operator's key is missing or not known to this node"})
 		}
-		c.Set(operatorKey, name)
+		c.Set(operatorContextKey, name)
 		return next(c)
 	}
 }
@@ -72,11 +73,11 @@
 func (a *API) getTable(c echo.Context) error {
 	generation, err := numberParam(c, "generation")
 	if err != nil {
-		return respond(c, err)
+		return respondProblem(c, err)
 	}
 	table, version, err := a.table.Table(c.Request().Context(), generation)
 	if err != nil {
-		return respond(c, err)
+		return respondProblem(c, err)
 	}
 	return c.JSON(http.StatusOK, TableReply{Version: version, Table: table})
 }
@@ -84,7 +85,7 @@
 func (a *API) checkTable(c echo.Context) error {
 	var table config.Table
 	if err := c.Bind(&table); err != nil {
-		return respond(c, badRequest(err))
+		return respondProblem(c, badRequest(err))
 	}
 	return c.JSON(http.StatusOK, PreviewReply{Problems: config.Validate(&table)})
 }
@@ -92,22 +93,22 @@
 func (a *API) preview(c echo.Context) error {
 	var request PreviewRequest
 	if err := c.Bind(&request); err != nil {
-		return respond(c, badRequest(err))
+		return respondProblem(c, badRequest(err))
 	}
 	current, version, err := a.table.Table(c.Request().Context(), 0)
 	if err != nil {
-		return respond(c, err)
+		return respondProblem(c, err)
 	}
-	reply, err := previewOf(current, request.Changes)
+	reply, err := previewChanges(current, request.Changes)
 	if err != nil {
-		return respond(c, badRequest(err))
+		return respondProblem(c, badRequest(err))
 	}
 	reply.Version = version
 	return c.JSON(http.StatusOK, reply)
 }
 
-// previewOf tells what the changes would do to the table.
-func previewOf(current config.Table, changes []config.Change) (PreviewReply, error) {
+// previewChanges returns the effect that the changes would have on the table.
+func previewChanges(current config.Table, changes []config.Change) (PreviewReply, error) {
 	var reply PreviewReply
 	next, err := config.Next(current, changes)
 	if errors.As(err, &reply.Conflicts) || errors.As(err, &reply.Problems) {
@@ -128,13 +129,13 @@
 func (a *API) edit(c echo.Context) error {
 	var request EditRequest
 	if err := c.Bind(&request); err != nil {
-		return respond(c, badRequest(err))
+		return respondProblem(c, badRequest(err))
 	}
-	ctx, cancel := detached(c)
+	ctx, cancel := detachedContext(c)
 	defer cancel()
-	version, err := a.table.Edit(ctx, editOf(c, request.ID, request.Note), request.Changes)
+	version, err := a.table.Edit(ctx, newEdit(c, request.ID, request.Note), request.Changes)
 	if err != nil {
-		return respond(c, err)
+		return respondProblem(c, err)
 	}
 	return c.JSON(http.StatusOK, EditReply{Version: version})
 }
@@ -142,31 +143,31 @@
 func (a *API) rollback(c echo.Context) error {
 	var request RollbackRequest
 	if err := c.Bind(&request); err != nil {
-		return respond(c, badRequest(err))
+		return respondProblem(c, badRequest(err))
 	}
-	ctx, cancel := detached(c)
+	ctx, cancel := detachedContext(c)
 	defer cancel()
-	version, err := a.table.Rollback(ctx, editOf(c, request.ID, request.Note), request.Generation, request.Expected)
+	version, err := a.table.Rollback(ctx, newEdit(c, request.ID, request.Note), request.Generation, request.Expected)
 	if err != nil {
-		return respond(c, err)
+		return respondProblem(c, err)
 	}
 	return c.JSON(http.StatusOK, EditReply{Version: version})
 }
 
-func (a *API) settle(c echo.Context) error {
+func (a *API) editOutcome(c echo.Context) error {
 	id, err := uuid.Parse(c.Param("id"))
 	if err != nil {
-		return respond(c, badRequest(err))
+		return respondProblem(c, badRequest(err))
 	}
 	base, err := numberParam(c, "base")
 	if err != nil {
-		return respond(c, err)
+		return respondProblem(c, err)
 	}
-	ctx, cancel := detached(c)
+	ctx, cancel := detachedContext(c)
 	defer cancel()
 	version, err := a.table.Settle(ctx, id, base)
 	if err != nil {
-		return respond(c, err)
+		return respondProblem(c, err)
 	}
 	return c.JSON(http.StatusOK, EditReply{Version: version})
 }
@@ -174,7 +175,7 @@
 func (a *API) history(c echo.Context) error {
 	versions, err := a.table.History(c.Request().Context())
 	if err != nil {
-		return respond(c, err)
+		return respondProblem(c, err)
 	}
 	return c.JSON(http.StatusOK, HistoryReply{Versions: versions})
 }
@@ -183,18 +184,18 @@
 	return c.JSON(http.StatusOK, statusReply(a.table.Status(c.Request().Context())))
 }
 
-// detached returns a context that outlives the operator's connection, so that
-// an edit ends with a known outcome.
-func detached(c echo.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.WithoutCancel(c.Request().Context()), editTime)
+// detachedContext returns a context that outlives the operator's connection, so
+// that an edit ends with a known outcome.
+func detachedContext(c echo.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.WithoutCancel(c.Request().Context()), editTimeout)
 }
 
-func editOf(c echo.Context, id document.EditID, note string) document.Edit {
-	name, _ := c.Get(operatorKey).(string)
+func newEdit(c echo.Context, id document.EditID, note string) document.Edit {
+	name, _ := c.Get(operatorContextKey).(string)
 	return document.Edit{ID: id, Author: name, Note: note}
 }
 
-// numberParam reads an optional number of the query; zero if it is not there.
+// numberParam reads an optional number from the query; the default is zero.
 func numberParam(c echo.Context, name string) (uint64, error) {
 	text := c.QueryParam(name)
 	if text == "" {
--- a/operatorapi/client.go
+++ b/operatorapi/client.go
@@ -18,29 +18,31 @@
 )
 
 var (
-	// ErrUnreachable means that no node could be reached; the request was certainly not
-	// carried out.
+	// ErrUnreachable means that no node could be reached; the request was certainly
+	// not executed.
 	ErrUnreachable = errors.New("operatorapi: no node can be reached")
-	// ErrNoResponse means that a node was asked and did not answer; an edit may or
-	// may not have been accepted.
+	// ErrNoResponse means that the request was sent to a node and no valid response
+	// arrived; an edit may or may not have been accepted.
 	ErrNoResponse = errors.New("operatorapi: no answer")
 )
 
 const (
-	// dialTimeout bounds the connection to a node before the next one is tried.
+	// dialTimeout limits connecting to a node before the next one is tried.
 	dialTimeout = 3 * time.Second
-	// requestTimeout bounds a request; a node ends an edit before.
-	requestTimeout = editTime + 10*time.Second
+	// requestTimeout limits a request. It exceeds editTimeout, so that the node
+	// reports the outcome of an edit before the client gives up.
+	requestTimeout = editTimeout + 10*time.Second
 )
 
-// Client speaks to the first of several nodes that can be reached.
+// Client sends requests to the first reachable node of a list.
 type Client struct {
 	nodes []string
 	key   string
 	http  *http.Client
 }
 
-// NewClient returns a client of nodes "http://IP:port" with an operator's key.
+// NewClient returns a client for the nodes, given as "http://IP:port", that
+// authenticates with an operator's key.
 func NewClient(nodes []string, key string) *Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
@@ -48,39 +50,40 @@
 	return &Client{nodes: nodes, key: key, http: &http.Client{Transport: transport, Timeout: requestTimeout}}
 }
 
-// SetTransport replaces the way to the nodes, before the first request.
+// SetTransport replaces the HTTP transport. It must be called before the first
+// request.
 func (c *Client) SetTransport(transport http.RoundTripper) { c.http.Transport = transport }
 
-// Table returns the table of a generation, zero for the one in force.
+// Table returns the table of a generation; zero selects the one in force.
 func (c *Client) Table(ctx context.Context, generation uint64) (TableReply, error) {
 	return call[TableReply](ctx, c, http.MethodGet, "/table?generation="+strconv.FormatUint(generation, 10), nil)
 }
 
-// Check returns the problems of a table.
+// Check validates a table and returns its problems.
 func (c *Client) Check(ctx context.Context, table config.Table) (config.Problems, error) {
 	reply, err := call[PreviewReply](ctx, c, http.MethodPost, "/table/check", table)
 	return reply.Problems, err
 }
 
-// Preview tells what changes would do.
+// Preview returns the effect of changes without making them.
 func (c *Client) Preview(ctx context.Context, changes []config.Change) (PreviewReply, error) {
 	return call[PreviewReply](ctx, c, http.MethodPost, "/table/preview", PreviewRequest{Changes: changes})
 }
 
-// Edit asks for changes. The error is a *Failure, ErrUnreachable or ErrNoResponse.
+// Edit changes the table. The error is a *Failure, ErrUnreachable or ErrNoResponse.
 func (c *Client) Edit(ctx context.Context, request EditRequest) (document.Version, error) {
 	reply, err := call[EditReply](ctx, c, http.MethodPost, "/edits", request)
 	return reply.Version, err
 }
 
-// Rollback asks for an earlier table. The errors are those of Edit.
+// Rollback restores an earlier table. It returns the same errors as Edit.
 func (c *Client) Rollback(ctx context.Context, request RollbackRequest) (document.Version, error) {
 	reply, err := call[EditReply](ctx, c, http.MethodPost, "/rollback", request)
 	return reply.Version, err
 }
 
-// Settle tells what became of an edit: it asks one node after the other until one
-// knows. The error is a *Failure that says the edit was not accepted, or
+// EditOutcome returns the outcome of an edit, querying the nodes in order until one
+// of them knows it. The error is a *Failure with OutcomeNotAccepted, or
 // ErrNoResponse.
 func (c *Client) EditOutcome(ctx context.Context, id document.EditID, base uint64) (version document.Version, err error) {
 	path := fmt.Sprintf("/edits/%s?base=%d", id, base)
@@ -95,7 +98,7 @@
 	return document.Version{}, fmt.Errorf("%w: %w", ErrNoResponse, err)
 }
 
-// IsNotAccepted reports whether an error says that an edit certainly had no
+// IsNotAccepted reports whether an error means that an edit certainly had no
 // effect.
 func IsNotAccepted(err error) bool {
 	var failure *Failure
@@ -108,7 +111,7 @@
 	return errors.Is(err, ErrUnreachable)
 }
 
-// History returns the versions that can still be read, the current one first.
+// History returns the versions that are still readable, the current one first.
 func (c *Client) History(ctx context.Context) ([]document.Version, error) {
 	reply, err := call[HistoryReply](ctx, c, http.MethodGet, "/history", nil)
 	return reply.Versions, err
@@ -119,22 +122,22 @@
 	return call[StatusReply](ctx, c, http.MethodGet, "/status", nil)
 }
 
-// call sends a request to one node after the other until one carries it out.
+// call sends a request to the nodes in order until one executes it.
 func call[Reply any](ctx context.Context, c *Client, method, path string, body any) (Reply, error) {
 	var reply Reply
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return reply, fmt.Errorf("operatorapi: encode: %w", err)
 	}
-	var unreached []error
+	var failures []error
 	for _, node := range c.nodes {
 		err := c.callNode(ctx, node, method, path, encoded, &reply)
-		if !worthAnother(err) {
+		if !canRetryOnNextNode(err) {
 			return reply, err
 		}
-		unreached = append(unreached, err)
+		failures = append(failures, err)
 	}
-	err = errors.Join(unreached...)
+	err = errors.Join(failures...)
 	var failure *Failure
 	if errors.As(err, &failure) {
 		return reply, failure
@@ -142,9 +145,9 @@
 	return reply, fmt.Errorf("%w: %w", ErrUnreachable, err)
 }
 
-// worthAnother reports whether the request certainly had no effect, and another
-// node may do better: this one can't be reached, or can't reach the store.
-func worthAnother(err error) bool {
+// canRetryOnNextNode reports whether the request certainly had no effect and
+// another node may succeed: this one is unreachable, or can't reach the store.
+func canRetryOnNextNode(err error) bool {
 	var failure *Failure
 	if errors.As(err, &failure) {
 		return failure.Status == http.StatusServiceUnavailable && failure.Outcome != OutcomeUnknown
@@ -157,11 +160,11 @@
 	if err != nil {
 		return fmt.Errorf("operatorapi: %w", err)
 	}
-	request.Header.Set("Authorization", bearer+c.key)
+	request.Header.Set("Authorization", bearerPrefix+c.key)
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
-		return fmt.Errorf("%w: %w", reached(err), err)
+		return fmt.Errorf("%w: %w", classifyTransportError(err), err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
@@ -177,18 +180,19 @@
 	return nil
 }
 
-// readFailure returns the problem document, or one that stands for an answer
-// that isn't one.
+// readFailure decodes the problem document of a response. For a response without
+// one it returns a Failure of unknown outcome.
 func readFailure(response *http.Response, data []byte) error {
 	failure := &Failure{}
-	if strings.HasPrefix(response.Header.Get("Content-Type"), problemType) && json.Unmarshal(data, failure) == nil {
+	if strings.HasPrefix(response.Header.Get("Content-Type"), problemMediaType) && json.Unmarshal(data, failure) == nil {
 		return failure
 	}
 	return &Failure{Title: "Unexpected answer", Status: response.StatusCode, Detail: response.Status, Outcome: OutcomeUnknown}
 }
 
-// reached tells by a transport's error whether the node may have got the request.
-func reached(err error) error {
+// classifyTransportError returns ErrUnreachable if connecting failed, and
+// ErrNoResponse if the node may have received the request.
+func classifyTransportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return ErrUnreachable
--- a/operatorapi/doc.go
+++ b/operatorapi/doc.go
@@ -1,9 +1,10 @@
-// Package operatorapi is the operators' interface of a node: HTTP with JSON under
-// /operator/v1, and a page in the browser under /operator/. Every node serves all
-// of it; there is no special one.
+// Package operatorapi is the operator interface of a node: HTTP with JSON under
+// /operator/v1, and a browser page under /operator/. Every node serves the whole
+// interface; none has a special role.
 //
 // Requests carry "Authorization: Bearer KEY" with an operator's key. Errors are
-// problem documents (RFC 9457) with a member "outcome": "not_accepted" is certain,
-// "unknown" means that an edit may or may not have been accepted, and that
-// GET /operator/v1/edits/{id} finds out.
+// problem documents (RFC 9457) with an extension member "outcome":
+// "not_accepted" means that the edit certainly had no effect, "unknown" that it may
+// or may not have been accepted; GET /operator/v1/edits/{id} then returns the
+// outcome.
 package operatorapi
--- a/operatorapi/failure.go
+++ b/operatorapi/failure.go
@@ -12,25 +12,26 @@
 	"hawthornrill.example/hawthornrill/document"
 )
 
-// problemType is the media type of problem documents.
-const problemType = "application/problem+json"
+// problemMediaType is the media type of problem documents.
+const problemMediaType = "application/problem+json"
 
-// respond answers with the problem document of an error.
-func respond(c echo.Context, err error) error {
-	failure := failureOf(err)
+// respondProblem writes the problem document of an error as the response.
+func respondProblem(c echo.Context, err error) error {
+	failure := toFailure(err)
 	body, err := json.Marshal(failure)
 	if err != nil {
 		return err
 	}
-	return c.Blob(failure.Status, problemType, body)
+	return c.Blob(failure.Status, problemMediaType, body)
 }
 
 func badRequest(err error) *Failure {
 	return &Failure{Title: "Bad request", Status: http.StatusBadRequest, Detail: err.Error(), Outcome: OutcomeNotAccepted}
 }
 
-// failureOf turns the errors of the layers below into what the operator is told.
-func failureOf(err error) *Failure {
+// toFailure maps an error of the lower layers to the problem document that the
+// operator receives.
+func toFailure(err error) *Failure {
 	var failure *Failure
 	if errors.As(err, &failure) {
 		return failure
--- a/operatorapi/message.go
+++ b/operatorapi/message.go
@@ -5,17 +5,17 @@
 	"hawthornrill.example/hawthornrill/document"
 )
 
-// PathPrefix is where the routes begin.
+// PathPrefix is the common path prefix of the API routes.
 const PathPrefix = "/operator/v1"
 
-// TableReply is a table with the version it has.
+// TableReply is a table with its version.
 type TableReply struct {
 	Version document.Version `json:"version"`
 	Table   config.Table     `json:"table"`
 }
 
-// EditRequest asks for changes of rows. Base is the generation that the operator
-// looked at when making them.
+// EditRequest asks for changes of rows. Base is the generation that the changes
+// were made from.
 type EditRequest struct {
 	ID      document.EditID `json:"id"`
 	Note    string          `json:"note"`
@@ -23,8 +23,8 @@
 	Changes []config.Change `json:"changes"`
 }
 
-// RollbackRequest asks for the table of an earlier generation, as long as the
-// current one is the expected one.
+// RollbackRequest asks to restore the table of an earlier generation. It fails
+// unless Expected is the current generation.
 type RollbackRequest struct {
 	ID         document.EditID `json:"id"`
 	Note       string          `json:"note"`
@@ -32,18 +32,18 @@
 	Expected   uint64          `json:"expected"`
 }
 
-// EditReply is the accepted version.
+// EditReply holds the accepted version.
 type EditReply struct {
 	Version document.Version `json:"version"`
 }
 
-// PreviewRequest asks what changes would do, without making them.
+// PreviewRequest asks for the effect of changes without making them.
 type PreviewRequest struct {
 	Changes []config.Change `json:"changes"`
 }
 
-// PreviewReply tells what changes would do. With problems or conflicts they would
-// not be accepted.
+// PreviewReply describes the effect of changes. Changes with problems or conflicts
+// would not be accepted.
 type PreviewReply struct {
 	Version   document.Version     `json:"version"`
 	Cells     []CellEffect         `json:"cells"`
@@ -59,18 +59,18 @@
 	config.CellChange
 }
 
-// HistoryReply lists the versions that can still be read, the current one first.
+// HistoryReply lists the versions that are still readable, the current one first.
 type HistoryReply struct {
 	Versions []document.Version `json:"versions"`
 }
 
-// StatusReply tells what is in force where.
+// StatusReply is the roll-out state of the table and the state of all nodes.
 type StatusReply struct {
-	// Nodes are all of the membership, by data centre and name.
+	// Nodes are all members, sorted by data centre and name.
 	Nodes []NodeReport `json:"nodes"`
 	// Latest is the highest generation of the table that any reachable node holds.
 	Latest uint64 `json:"latest"`
-	// InForce is on how many nodes Latest is in force, of Reachable.
+	// InForce is the number of nodes on which Latest is in force, out of Reachable.
 	InForce   int `json:"in_force"`
 	Reachable int `json:"reachable"`
 }
@@ -80,22 +80,22 @@
 	Node       string `json:"node"`
 	DataCentre string `json:"data_centre"`
 	Address    string `json:"address"`
-	// Unreachable says why the node did not answer; empty if it did.
+	// Unreachable is the reason why the node did not respond; empty if it did.
 	Unreachable   string  `json:"unreachable,omitempty"`
 	UptimeSeconds float64 `json:"uptime_seconds"`
-	// Table is the condition of the operators' table.
+	// Table is the status of the configuration table.
 	Table *DocumentStatus `json:"table,omitempty"`
-	// Documents are the conditions of the node's other documents.
+	// Documents is the status of the node's other documents.
 	Documents []DocumentStatus `json:"documents,omitempty"`
 }
 
-// DocumentStatus is how a document stands on a node.
+// DocumentStatus is the state of a document on a node.
 type DocumentStatus struct {
 	Name         string  `json:"name"`
 	Held         uint64  `json:"held"`
 	InForce      uint64  `json:"in_force"`
 	SinceSeconds float64 `json:"since_seconds"`
-	// Error says why Held could not be applied.
+	// Error is the reason why Held could not be applied.
 	Error       string `json:"error,omitempty"`
 	Watching    bool   `json:"watching,omitempty"`
 	StoreBehind bool   `json:"store_behind,omitempty"`
@@ -103,26 +103,27 @@
 	Displaced   uint64 `json:"displaced,omitempty"`
 }
 
-// Outcome is what became of an edit that failed.
+// Outcome tells whether an edit that returned an error may have been accepted.
 type Outcome string
 
 const (
-	// OutcomeNotAccepted is certain: the edit has had no effect and will have none.
+	// OutcomeNotAccepted means that the edit certainly had no effect and will have
+	// none.
 	OutcomeNotAccepted Outcome = "not_accepted"
 	// OutcomeUnknown means that the edit may have been accepted.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Failure is a problem document.
+// Failure is a problem document (RFC 9457).
 type Failure struct {
 	Title   string  `json:"title"`
 	Status  int     `json:"status"`
 	Detail  string  `json:"detail"`
 	Outcome Outcome `json:"outcome,omitempty"`
-	// Problems and Conflicts say why an edit was not accepted.
+	// Problems and Conflicts are the reasons why an edit was not accepted.
 	Problems  config.Problems  `json:"problems,omitempty"`
 	Conflicts config.Conflicts `json:"conflicts,omitempty"`
 }
 
-// Error returns the title and the detail.
+// Error implements error.
 func (f *Failure) Error() string { return f.Title + ": " + f.Detail }
--- a/operatorapi/page/page.js
+++ b/operatorapi/page/page.js
@@ -1,6 +1,6 @@
 'use strict';
 
-// The columns of each kind of row; the first one is its key.
+// Columns of each kind of row; the first column is the key.
 const columns = {
   tiers: ['name', 'rank', 'first_token_ms', 'deadline_ms'],
   organisations: ['id', 'tier', 'weight', 'in_flight', 'tokens_per_minute', 'key_hashes', 'home_data_centre'],
@@ -11,11 +11,11 @@
 const numbers = new Set(['rank', 'first_token_ms', 'deadline_ms', 'weight', 'in_flight', 'tokens_per_minute',
   'max_prompt_tokens', 'max_answer_tokens', 'limit', 'token_limit']);
 const flags = new Set(['drain', 'checks_fencing']);
-const field = { tiers: 'tier', organisations: 'organisation', models: 'model', services: 'service', endpoints: 'endpoint' };
-// Asking for the state of all nodes costs a call to each: the more there are, the
-// more seldom.
-const statusEvery = 3000;
-const statusEachNode = 50;
+const rowField = { tiers: 'tier', organisations: 'organisation', models: 'model', services: 'service', endpoints: 'endpoint' };
+// A status request makes the serving node call every other node, so the polling
+// interval grows with the number of nodes.
+const statusIntervalMs = 3000;
+const statusIntervalPerNodeMs = 50;
 
 const state = { key: '', generation: 0, kind: 'organisations', rows: {}, changes: null, edit: null };
 
@@ -27,13 +27,13 @@
   return Object.assign(e, properties);
 }
 
-function say(text, isError) {
+function showMessage(text, isError) {
   byId('message').textContent = text;
   byId('message').className = isError ? 'error' : '';
 }
 
-// Failed requests throw an object like a problem document.
-async function ask(method, path, body) {
+// Throws a problem document, or an object of the same form, if the request fails.
+async function sendRequest(method, path, body) {
   let response;
   try {
     response = await fetch('/operator/v1' + path, {
@@ -49,8 +49,8 @@
   return answer;
 }
 
-// A row on the page: the cells as accepted (null for a new row), the cells as
-// edited, and whether it is to be removed.
+// Each row keeps its accepted cells (null for a new row), its edited cells and
+// whether it is marked for removal.
 function loadTable(reply) {
   state.generation = reply.version.generation;
   state.rows = {};
@@ -61,13 +61,13 @@
     });
   }
   byId('generation').textContent = 'generation ' + state.generation;
-  forget();
-  draw();
+  clearPreview();
+  drawTable();
 }
 
-function draw() {
+function drawTable() {
   byId('kinds').replaceChildren(...Object.keys(columns).map((kind) => {
-    const button = element('button', kind + ' (' + state.rows[kind].length + ')', { type: 'button', onclick: () => { state.kind = kind; draw(); } });
+    const button = element('button', kind + ' (' + state.rows[kind].length + ')', { type: 'button', onclick: () => { state.kind = kind; drawTable(); } });
     if (kind === state.kind) button.setAttribute('aria-current', 'true');
     return button;
   }));
@@ -81,22 +81,22 @@
   if (row.removed) tr.className = 'removed';
   row.after.forEach((value, i) => {
     const td = element('td', value);
-    editable(td);
+    makeEditable(td);
     td.dataset.row = index;
     td.dataset.column = i;
-    mark(td, row, i);
-    td.addEventListener('input', () => { row.after[i] = td.textContent.trim(); mark(td, row, i); forget(); });
+    markChanged(td, row, i);
+    td.addEventListener('input', () => { row.after[i] = td.textContent.trim(); markChanged(td, row, i); clearPreview(); });
     td.addEventListener('paste', (event) => paste(event, index, i));
     tr.append(td);
   });
   const cell = element('td');
-  cell.append(element('button', row.removed ? 'keep' : 'remove', { type: 'button', onclick: () => remove(row, index) }));
+  cell.append(element('button', row.removed ? 'keep' : 'remove', { type: 'button', onclick: () => toggleRemoved(row, index) }));
   tr.append(cell);
   return tr;
 }
 
-// Older browsers know no cells of plain text.
-function editable(td) {
+// Older browsers reject the value 'plaintext-only'.
+function makeEditable(td) {
   try {
     td.contentEditable = 'plaintext-only';
   } catch {
@@ -104,38 +104,38 @@
   }
 }
 
-function mark(td, row, i) {
+function markChanged(td, row, i) {
   td.classList.toggle('changed', !row.before || row.before[i] !== row.after[i]);
 }
 
-function remove(row, index) {
+function toggleRemoved(row, index) {
   if (row.before) row.removed = !row.removed;
   else state.rows[state.kind].splice(index, 1);
-  forget();
-  draw();
+  clearPreview();
+  drawTable();
 }
 
 function emptyRow() {
   return { before: null, after: columns[state.kind].map((c) => (numbers.has(c) ? '0' : flags.has(c) ? 'false' : '')), removed: false };
 }
 
-// Cells from a spreadsheet come as lines with tabs.
+// Spreadsheet programs paste cells as lines of tab-separated values.
 function paste(event, index, column) {
   const text = event.clipboardData.getData('text/plain').replace(/\r/g, '').replace(/\n$/, '');
   event.preventDefault();
   const rows = state.rows[state.kind];
-  text.split('\n').forEach((line, down) => {
-    while (rows.length <= index + down) rows.push(emptyRow());
-    line.split('\t').forEach((cell, right) => {
-      if (column + right < columns[state.kind].length) rows[index + down].after[column + right] = cell.trim();
+  text.split('\n').forEach((line, rowOffset) => {
+    while (rows.length <= index + rowOffset) rows.push(emptyRow());
+    line.split('\t').forEach((cell, columnOffset) => {
+      if (column + columnOffset < columns[state.kind].length) rows[index + rowOffset].after[column + columnOffset] = cell.trim();
     });
   });
-  forget();
-  draw();
+  clearPreview();
+  drawTable();
 }
 
-// A change of the table's text in the server's form; a cell that is not of its
-// column's type is refused here.
+// Converts the text of a row's cells to the row's JSON form. Throws if a cell does
+// not have the type of its column.
 function toRow(kind, cells) {
   const row = {};
   columns[kind].forEach((c, i) => {
@@ -144,10 +144,10 @@
     if (flags.has(c) && !/^(true|false)$/i.test(text)) throw { title: 'Not true or false', detail: `${kind} ${cells[0]}, ${c}: "${text}"` };
     row[c] = numbers.has(c) ? Number(text) : flags.has(c) ? text.toLowerCase() === 'true' : text;
   });
-  return { [field[kind]]: row };
+  return { [rowField[kind]]: row };
 }
 
-function collect() {
+function collectChanges() {
   const changes = [];
   for (const kind of Object.keys(columns)) {
     for (const row of state.rows[kind]) {
@@ -162,14 +162,14 @@
   return changes;
 }
 
-// What was shown no longer holds after any further change.
-function forget() {
+// Discards the preview, which is out of date after any further edit.
+function clearPreview() {
   state.changes = null;
   byId('accept').disabled = true;
   byId('preview').replaceChildren();
 }
 
-function grid(head, rows) {
+function createGrid(head, rows) {
   const table = element('table');
   const tr = element('tr');
   tr.append(...head.map((h) => element('th', h)));
@@ -181,25 +181,25 @@
   return table;
 }
 
-const percent = (s) => (s.tier ? (100 * s.share).toFixed(2) + ' % of ' + s.tier : '');
+const formatShare = (s) => (s.tier ? (100 * s.share).toFixed(2) + ' % of ' + s.tier : '');
 
-async function show() {
-  forget();
-  say('');
-  const changes = collect();
-  if (!changes.length) return say('Nothing is changed.');
-  const reply = await ask('POST', '/table/preview', { changes });
-  if (reply.conflicts || reply.problems) return refuse(reply);
+async function showPreview() {
+  clearPreview();
+  showMessage('');
+  const changes = collectChanges();
+  if (!changes.length) return showMessage('Nothing is changed.');
+  const reply = await sendRequest('POST', '/table/preview', { changes });
+  if (reply.conflicts || reply.problems) return showFailure(reply);
   byId('preview').append(
-    grid(['kind', 'row', 'column', 'now', 'then'], (reply.cells || []).filter((c) => c.before !== c.after).map((c) => [c.kind, c.key, c.column, c.before, c.after])),
+    createGrid(['kind', 'row', 'column', 'now', 'then'], (reply.cells || []).filter((c) => c.before !== c.after).map((c) => [c.kind, c.key, c.column, c.before, c.after])),
     element('h2', 'Effect on shares'),
-    grid(['organisation', 'now', 'then'], (reply.effects || []).map((e) => [e.organisation, percent(e.before), percent(e.after)])));
+    createGrid(['organisation', 'now', 'then'], (reply.effects || []).map((e) => [e.organisation, formatShare(e.before), formatShare(e.after)])));
   state.changes = changes;
   state.edit = crypto.randomUUID ? crypto.randomUUID() : randomID();
   byId('accept').disabled = !(reply.cells || []).length;
 }
 
-// crypto.randomUUID exists only on https and localhost.
+// Generates a version 4 UUID; crypto.randomUUID exists only on https and localhost.
 function randomID() {
   const b = crypto.getRandomValues(new Uint8Array(16));
   b[6] = (b[6] & 15) | 64;
@@ -208,64 +208,64 @@
   return hex.replace(/^(.{8})(.{4})(.{4})(.{4})(.{12})$/, '$1-$2-$3-$4-$5');
 }
 
-function refuse(failure) {
+function showFailure(failure) {
   byId('accept').disabled = true;
   if (failure.conflicts) {
-    say('Somebody else has changed these cells. Nothing was accepted. Note what you still want, discard, and change it again.', true);
-    byId('preview').replaceChildren(grid(['kind', 'row', 'column', 'when you began', 'theirs', 'yours'],
+    showMessage('Somebody else has changed these cells. Nothing was accepted. Note what you still want, discard, and change it again.', true);
+    byId('preview').replaceChildren(createGrid(['kind', 'row', 'column', 'when you began', 'theirs', 'yours'],
       failure.conflicts.map((c) => [c.kind, c.key, c.column, c.base, c.theirs, c.yours])));
     return;
   }
   if (failure.problems) {
-    say('The table would not be valid. Nothing was accepted.', true);
-    byId('preview').replaceChildren(grid(['kind', 'row', 'column', 'value', 'problem'],
+    showMessage('The table would not be valid. Nothing was accepted.', true);
+    byId('preview').replaceChildren(createGrid(['kind', 'row', 'column', 'value', 'problem'],
       failure.problems.map((p) => [p.kind, p.key || p.row || '', p.column || '', p.value || '', p.reason])));
     return;
   }
-  const ending = failure.outcome === 'not_accepted' ? ' Nothing was accepted.' : '';
-  say(failure.title + ': ' + failure.detail + ending, true);
+  const suffix = failure.outcome === 'not_accepted' ? ' Nothing was accepted.' : '';
+  showMessage(failure.title + ': ' + failure.detail + suffix, true);
 }
 
-const pause = (ms) => new Promise((done) => setTimeout(done, ms));
+const delay = (ms) => new Promise((done) => setTimeout(done, ms));
 
 async function accept() {
   byId('accept').disabled = true;
   const id = state.edit;
   const base = state.generation;
-  let request = () => ask('POST', '/edits', { id, base, note: byId('note').value, changes: state.changes });
+  let request = () => sendRequest('POST', '/edits', { id, base, note: byId('note').value, changes: state.changes });
   for (;;) {
     try {
       const reply = await request();
       await reload();
-      return say('Accepted: generation ' + reply.version.generation + '. See below when it is in force on all nodes.');
+      return showMessage('Accepted: generation ' + reply.version.generation + '. See below when it is in force on all nodes.');
     } catch (failure) {
-      if (failure.outcome !== 'unknown') return refuse(failure);
-      say('It is not known yet whether the edit ' + id + ' was accepted (' + failure.title + '). Finding out…', true);
-      await pause(2000);
-      request = () => ask('GET', '/edits/' + id + '?base=' + base);
+      if (failure.outcome !== 'unknown') return showFailure(failure);
+      showMessage('It is not known yet whether the edit ' + id + ' was accepted (' + failure.title + '). Finding out…', true);
+      await delay(2000);
+      request = () => sendRequest('GET', '/edits/' + id + '?base=' + base);
     }
   }
 }
 
 async function reload() {
-  loadTable(await ask('GET', '/table'));
+  loadTable(await sendRequest('GET', '/table'));
   await drawHistory();
   await drawStatus();
 }
 
 async function drawHistory() {
-  const reply = await ask('GET', '/history').catch(() => ({ versions: [] }));
+  const reply = await sendRequest('GET', '/history').catch(() => ({ versions: [] }));
   const rows = (reply.versions || []).map((v) => [v.generation, v.author || '', v.note || '', v.edit]);
-  byId('history').replaceChildren(...grid(['generation', 'author', 'why', 'edit'], rows).childNodes);
+  byId('history').replaceChildren(...createGrid(['generation', 'author', 'why', 'edit'], rows).childNodes);
 }
 
-function since(seconds) {
+function formatAge(seconds) {
   if (seconds < 90) return seconds.toFixed(0) + ' s';
   if (seconds < 5400) return (seconds / 60).toFixed(0) + ' min';
   return (seconds / 3600).toFixed(1) + ' h';
 }
 
-function stateOf(node, latest) {
+function nodeState(node, latest) {
   if (node.unreachable) return "can't be reached: " + node.unreachable;
   const t = node.table;
   if (!t) return 'keeps no table';
@@ -279,14 +279,14 @@
 }
 
 async function drawStatus() {
-  const status = await ask('GET', '/status');
-  const away = status.nodes.length - status.reachable;
+  const status = await sendRequest('GET', '/status');
+  const unreachable = status.nodes.length - status.reachable;
   byId('summary').textContent = status.latest
-    ? `Generation ${status.latest} is in force on ${status.in_force} of ${status.reachable} nodes that can be reached; ${away} can't be reached.`
+    ? `Generation ${status.latest} is in force on ${status.in_force} of ${status.reachable} nodes that can be reached; ${unreachable} can't be reached.`
     : 'No table has been accepted yet.';
-  const rows = status.nodes.map((n) => [n.data_centre, n.node, n.table ? n.table.in_force : '', n.table && n.table.in_force ? since(n.table.since_seconds) : '', stateOf(n, status.latest)]);
-  const table = grid(['data centre', 'node', 'in force', 'since', 'state'], rows);
-  rows.forEach((row, i) => { if (row[4] !== 'ok') table.rows[i + 1].className = 'bad'; });
+  const rows = status.nodes.map((n) => [n.data_centre, n.node, n.table ? n.table.in_force : '', n.table && n.table.in_force ? formatAge(n.table.since_seconds) : '', nodeState(n, status.latest)]);
+  const table = createGrid(['data centre', 'node', 'in force', 'since', 'state'], rows);
+  rows.forEach((row, i) => { if (row[4] !== 'ok') table.rows[i + 1].className = 'unhealthy'; });
   byId('nodes').replaceChildren(...table.childNodes);
   if (status.latest > state.generation) {
     byId('generation').textContent = `generation ${state.generation}; ${status.latest} is the latest: discard to see it`;
@@ -296,7 +296,7 @@
 
 async function watchStatus() {
   for (let nodes = 0; ; ) {
-    await pause(Math.max(statusEvery, statusEachNode * nodes));
+    await delay(Math.max(statusIntervalMs, statusIntervalPerNodeMs * nodes));
     nodes = await drawStatus().catch((f) => {
       byId('summary').textContent = (f.title || 'No answer') + ': ' + (f.detail || f);
       return nodes;
@@ -304,20 +304,20 @@
   }
 }
 
-const guarded = (work) => (event) => {
+const withErrorReport = (work) => (event) => {
   if (event) event.preventDefault();
-  return work().catch((failure) => refuse(failure.title ? failure : { title: 'The page failed', detail: String(failure) }));
+  return work().catch((failure) => showFailure(failure.title ? failure : { title: 'The page failed', detail: String(failure) }));
 };
 
-byId('login').addEventListener('submit', guarded(async () => {
+byId('login').addEventListener('submit', withErrorReport(async () => {
   state.key = byId('key').value.trim();
   await reload();
   byId('login').hidden = true;
   byId('main').hidden = false;
-  say('');
+  showMessage('');
   watchStatus();
 }));
-byId('show').addEventListener('click', guarded(show));
-byId('accept').addEventListener('click', guarded(accept));
-byId('discard').addEventListener('click', guarded(async () => { say(''); await reload(); }));
-byId('add').addEventListener('click', () => { state.rows[state.kind].push(emptyRow()); forget(); draw(); });
+byId('show').addEventListener('click', withErrorReport(showPreview));
+byId('accept').addEventListener('click', withErrorReport(accept));
+byId('discard').addEventListener('click', withErrorReport(async () => { showMessage(''); await reload(); }));
+byId('add').addEventListener('click', () => { state.rows[state.kind].push(emptyRow()); clearPreview(); drawTable(); });
--- a/operatorapi/page_test.go
+++ b/operatorapi/page_test.go
@@ -27,7 +27,9 @@
 	return recorder
 }
 
-func TestPageKnowsTheColumns(t *testing.T) {
+// TestPageColumnsMatchTable guards against a column that is added to the table, or
+// moved in it, without the same change in the page's script.
+func TestPageColumnsMatchTable(t *testing.T) {
 	script, err := pageFiles.ReadFile("page/page.js")
 	assert.NilError(t, err)
 	rows := config.Table{
@@ -48,7 +50,7 @@
 }
 
 func TestRoutes(t *testing.T) {
-	api := New(fixedTable{}, []Key{{Name: "anna", Hash: config.HashKey("k")}})
+	api := New(stubTable{}, []Key{{Name: "anna", Hash: config.HashKey("k")}})
 	tier := `{"name":"gold","rank":0,"deadline_ms":1000}`
 	change := `{"changes":[{"kind":"tiers","key":"gold","after":{"tier":` + tier + `}}]}`
 	cases := []struct {
@@ -77,15 +79,15 @@
 		assert.Assert(t, strings.Contains(got.Body.String(), c.part), "%s %s: %s", c.method, c.path, got.Body)
 	}
 	page := serve(t, api, "GET", PagePath, "", "")
-	assert.Equal(t, page.Header().Get(echo.HeaderContentSecurityPolicy), contentPolicy)
+	assert.Equal(t, page.Header().Get(echo.HeaderContentSecurityPolicy), contentSecurityPolicy)
 }
 
-// fixedTable is empty, in generation 3.
-type fixedTable struct{ operators }
+// stubTable is an empty table of generation 3.
+type stubTable struct{ unusedMethods }
 
 // operators stands for the methods that the tests do not call.
-type operators = Table
+type unusedMethods = Table
 
-func (fixedTable) Table(context.Context, uint64) (config.Table, document.Version, error) {
+func (stubTable) Table(context.Context, uint64) (config.Table, document.Version, error) {
 	return config.Table{}, document.Version{Stamp: document.Stamp{Generation: 3}}, nil
 }
--- a/operatorapi/status.go
+++ b/operatorapi/status.go
@@ -8,11 +8,11 @@
 	"hawthornrill.example/hawthornrill/document"
 )
 
-// statusReply sums up what the nodes say.
+// statusReply aggregates the status of the nodes.
 func statusReply(nodes []document.NodeStatus) StatusReply {
 	reply := StatusReply{Nodes: make([]NodeReport, 0, len(nodes))}
 	for _, node := range nodes {
-		report := reportOf(node)
+		report := nodeReport(node)
 		reply.Nodes = append(reply.Nodes, report)
 		if report.Unreachable != "" {
 			continue
@@ -33,7 +33,7 @@
 	return reply
 }
 
-func reportOf(node document.NodeStatus) NodeReport {
+func nodeReport(node document.NodeStatus) NodeReport {
 	report := NodeReport{
 		Node:          string(node.Member.Node),
 		DataCentre:    string(node.Member.DataCentre),
@@ -42,7 +42,7 @@
 		UptimeSeconds: node.Uptime.Seconds(),
 	}
 	for _, c := range node.Conditions {
-		condition := conditionOf(c)
+		condition := documentStatus(c)
 		if c.Name == agreed.DocumentName {
 			report.Table = &condition
 			continue
@@ -52,7 +52,7 @@
 	return report
 }
 
-func conditionOf(c document.Condition) DocumentStatus {
+func documentStatus(c document.Condition) DocumentStatus {
 	return DocumentStatus{
 		Name:         c.Name,
 		Held:         c.Held.Generation,
