--- a/ctl/apply.go
+++ b/ctl/apply.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// settlePause is the time between questions about an unknown outcome.
-	settlePause = 2 * time.Second
-	defaultWait = time.Minute
+	// outcomePollInterval is the time between queries for an unknown outcome.
+	outcomePollInterval = 2 * time.Second
+	defaultOutcomeWait  = time.Minute
 )
 
-// editFlags are those of the commands that change the table.
+// editFlags are the flags of the commands that change the table.
 type editFlags struct {
 	yes  bool
 	note string
@@ -32,38 +32,38 @@
 	e := &editFlags{}
 	flags.BoolVar(&e.yes, "yes", false, "do not ask")
 	flags.StringVar(&e.note, "note", "", "why, for the history")
-	flags.DurationVar(&e.wait, "wait", defaultWait, "how long to find out about an edit whose outcome is unknown")
+	flags.DurationVar(&e.wait, "wait", defaultOutcomeWait, "how long to find out about an edit whose outcome is unknown")
 	return e
 }
 
-func defineApply(flags *flag.FlagSet) body {
-	t := addTarget(flags)
-	base := addBase(flags)
+func defineApply(flags *flag.FlagSet) commandFunc {
+	t := addTargetFlags(flags)
+	base := addBaseFlag(flags)
 	e := addEditFlags(flags)
 	return func(ctx context.Context, s Streams, arguments []string) (int, error) {
-		p, err := planOf(ctx, s, t, *base, arguments)
+		p, err := newPlan(ctx, s, t, *base, arguments)
 		if err != nil {
-			return p.exit(), err
+			return p.exitCode(), err
 		}
-		if code := p.show(s.Out); code != ExitOK || len(p.preview.Cells) == 0 {
+		if code := p.print(s.Out); code != ExitOK || len(p.preview.Cells) == 0 {
 			return code, nil
 		}
-		if !e.confirmed(s) {
+		if !e.confirm(s) {
 			return ExitFailed, errors.New("not confirmed; nothing was changed")
 		}
 		request := operatorapi.EditRequest{ID: document.NewEditID(), Note: e.note, Base: p.base, Changes: p.changes}
 		version, err := p.client.Edit(ctx, request)
-		return e.finish(ctx, s, p.client, request.ID, p.preview.Version.Generation, version, err)
+		return e.reportOutcome(ctx, s, p.client, request.ID, p.preview.Version.Generation, version, err)
 	}
 }
 
-func defineRollback(flags *flag.FlagSet) body {
-	t := addTarget(flags)
+func defineRollback(flags *flag.FlagSet) commandFunc {
+	t := addTargetFlags(flags)
 	e := addEditFlags(flags)
 	return func(ctx context.Context, s Streams, arguments []string) (int, error) {
-		var problems fieldProblems
+		var problems usageProblems
 		client := t.client(s, &problems)
-		generation := parseFlag("GENERATION", oneArgument("GENERATION", arguments, &problems), &problems)
+		generation := parseNumber("GENERATION", requireOneArgument("GENERATION", arguments, &problems), &problems)
 		if err := problems.err(); err != nil {
 			return ExitUsage, err
 		}
@@ -71,20 +71,20 @@
 		if err != nil {
 			return ExitFailed, err
 		}
-		if code := p.show(s.Out); code != ExitOK || len(p.preview.Cells) == 0 {
+		if code := p.print(s.Out); code != ExitOK || len(p.preview.Cells) == 0 {
 			return code, nil
 		}
-		if !e.confirmed(s) {
+		if !e.confirm(s) {
 			return ExitFailed, errors.New("not confirmed; nothing was changed")
 		}
 		request := operatorapi.RollbackRequest{ID: document.NewEditID(), Note: e.note, Generation: generation, Expected: p.preview.Version.Generation}
 		version, err := client.Rollback(ctx, request)
-		return e.finish(ctx, s, client, request.ID, request.Expected, version, err)
+		return e.reportOutcome(ctx, s, client, request.ID, request.Expected, version, err)
 	}
 }
 
-// confirmed asks the operator, unless told not to.
-func (e *editFlags) confirmed(s Streams) bool {
+// confirm asks the operator for confirmation, unless -yes is set.
+func (e *editFlags) confirm(s Streams) bool {
 	if e.yes {
 		return true
 	}
@@ -97,13 +97,14 @@
 	return answer == "y" || answer == "yes"
 }
 
-// finish reports how an edit ended, after finding out if that is unknown.
-func (e *editFlags) finish(ctx context.Context, s Streams, c *operatorapi.Client, id document.EditID, base uint64, version document.Version, err error) (int, error) {
+// reportOutcome reports the outcome of an edit. While it is unknown, it queries the
+// nodes for up to -wait.
+func (e *editFlags) reportOutcome(ctx context.Context, s Streams, c *operatorapi.Client, id document.EditID, base uint64, version document.Version, err error) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.wait)
 	defer cancel()
 	for err != nil && !operatorapi.IsNotAccepted(err) && ctx.Err() == nil {
 		_, _ = fmt.Fprintf(s.Err, "edit %s: %s; finding out\n", id, err)
-		pacing.Sleep(ctx, settlePause)
+		pacing.Sleep(ctx, outcomePollInterval)
 		version, err = c.EditOutcome(ctx, id, base)
 	}
 	switch {
@@ -111,14 +112,14 @@
 		printAccepted(s, version)
 		return ExitOK, nil
 	case operatorapi.IsNotAccepted(err):
-		return ExitFailed, fmt.Errorf("not accepted: %w", describe(err))
+		return ExitFailed, fmt.Errorf("not accepted: %w", errorDetails(err))
 	default:
 		return ExitUnknown, fmt.Errorf("it is not known whether edit %s was accepted; look at table history: %w", id, err)
 	}
 }
 
-// describe shows the cells of a conflict and the problems of a table.
-func describe(err error) error {
+// errorDetails returns the conflicts or the problems of a Failure, if it has any.
+func errorDetails(err error) error {
 	var failure *operatorapi.Failure
 	switch {
 	case !errors.As(err, &failure):
--- a/ctl/command.go
+++ b/ctl/command.go
@@ -9,25 +9,25 @@
 	"strings"
 )
 
-// Streams are where a command reads and writes.
+// Streams are the input and the outputs of a command.
 type Streams struct {
 	In       io.Reader
 	Out, Err io.Writer
-	// transport replaces the way to the nodes in tests.
+	// transport replaces the HTTP transport in tests.
 	transport http.RoundTripper
 }
 
-// command is one of hawthornctl's commands.
+// command describes a command of hawthornctl.
 type command struct {
-	// name is one or two words, arguments what follows the flags.
+	// name has one or two words; arguments describes what follows the flags.
 	name, arguments, summary string
-	// define adds the command's flags and returns its body.
-	define func(flags *flag.FlagSet) body
+	// defineFlags adds the command's flags and returns the function that runs it.
+	defineFlags func(flags *flag.FlagSet) commandFunc
 }
 
-// body checks flags and arguments and does the work. It returns an exit code;
-// with an error that is fieldProblems nothing has been tried.
-type body func(ctx context.Context, s Streams, arguments []string) (int, error)
+// commandFunc checks flags and arguments and runs a command. It returns an exit
+// code; if the error is usageProblems, nothing has been attempted.
+type commandFunc func(ctx context.Context, s Streams, arguments []string) (int, error)
 
 func commands() []command {
 	return []command{
@@ -42,8 +42,8 @@
 	}
 }
 
-// find returns the command named by the first words, and the other words.
-func find(words []string) (command, []string, bool) {
+// findCommand returns the command named by the first words, and the remaining words.
+func findCommand(words []string) (command, []string, bool) {
 	for _, c := range commands() {
 		name := strings.Fields(c.name)
 		if len(words) >= len(name) && strings.Join(words[:len(name)], " ") == c.name {
@@ -53,8 +53,8 @@
 	return command{}, nil, false
 }
 
-// findGroup returns the commands whose names begin with the first word, if that is all that was asked for, or help with
-// them.
+// findGroup returns the commands whose names begin with the first word, if it is the
+// only word or is followed by a request for help only.
 func findGroup(words []string) ([]command, bool) {
 	if len(words) > 2 || len(words) == 2 && !isHelp(words[1]) {
 		return nil, false
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -29,33 +29,34 @@
 
 const testKey = "hr_of_anna"
 
-// site is three nodes whose operators' interfaces are reached without a network.
-type site struct {
+// testCluster is three nodes whose operator interfaces are called without a
+// network.
+type testCluster struct {
 	t         *testing.T
 	directory string
 	stores    []*memstore.Client
 	handlers  map[string]http.Handler
-	// breakNext breaks off the next edit's answer after it took effect.
-	breakNext bool
+	// dropNextReply drops the response to the next edit after the edit took effect.
+	dropNextReply bool
 }
 
-// RoundTrip hands a request to its node.
-func (x *site) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip passes a request to the handler of its node.
+func (x *testCluster) RoundTrip(r *http.Request) (*http.Response, error) {
 	recorder := httptest.NewRecorder()
 	x.handlers[r.URL.Host].ServeHTTP(recorder, r)
-	if x.breakNext && r.Method == http.MethodPost && strings.HasSuffix(r.URL.Path, "/edits") {
-		x.breakNext = false
+	if x.dropNextReply && r.Method == http.MethodPost && strings.HasSuffix(r.URL.Path, "/edits") {
+		x.dropNextReply = false
 		return nil, fmt.Errorf("connection reset")
 	}
 	return recorder.Result(), nil
 }
 
-func onSite(t *testing.T, test func(x *site)) {
+func withCluster(t *testing.T, test func(x *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := peertest.NewNetwork()
 		defer network.Close()
 		platform := memstore.New(memstore.Options{})
-		x := &site{t: t, directory: t.TempDir(), handlers: make(map[string]http.Handler)}
+		x := &testCluster{t: t, directory: t.TempDir(), handlers: make(map[string]http.Handler)}
 		assert.NilError(t, os.WriteFile(x.path("key"), []byte(testKey+"\n"), 0o600))
 		view := &membership.Snapshot{}
 		for i := range 3 {
@@ -84,11 +85,11 @@
 	})
 }
 
-func (x *site) path(name string) string { return filepath.Join(x.directory, name) }
+func (x *testCluster) path(name string) string { return filepath.Join(x.directory, name) }
 
-// run executes a command line; @NAME stands for a file of the site's directory.
-// By the next command all nodes have been told of an edit.
-func (x *site) run(input, line string) (code int, output string) {
+// run executes a command line; @NAME stands for a file in the cluster's directory.
+// It first waits until all nodes have received the preceding edit.
+func (x *testCluster) run(input, line string) (code int, output string) {
 	var out bytes.Buffer
 	arguments := strings.Fields(line)
 	for i, word := range arguments {
@@ -101,7 +102,7 @@
 	return code, out.String()
 }
 
-func (x *site) expect(code int, input, line string, parts ...string) {
+func (x *testCluster) expect(code int, input, line string, parts ...string) {
 	x.t.Helper()
 	got, output := x.run(input, line)
 	assert.Equal(x.t, got, code, "%s\n%s", line, output)
@@ -111,7 +112,7 @@
 }
 
 // edit replaces text in a file.
-func (x *site) edit(name, old, with string) {
+func (x *testCluster) edit(name, old, with string) {
 	x.t.Helper()
 	data, err := os.ReadFile(x.path(name))
 	assert.NilError(x.t, err)
@@ -134,10 +135,10 @@
 weight = 1
 `
 
-func TestOperatorsWay(t *testing.T) {
-	onSite(t, func(x *site) {
-		t.Setenv(environmentNodes, "http://127.0.0.1:9001")
-		t.Setenv(environmentKeyFile, x.path("key"))
+func TestTableEditWorkflow(t *testing.T) {
+	withCluster(t, func(x *testCluster) {
+		t.Setenv(nodesEnv, "http://127.0.0.1:9001")
+		t.Setenv(keyFileEnv, x.path("key"))
 		assert.NilError(t, os.WriteFile(x.path("first.toml"), []byte(firstTable), 0o600))
 		x.expect(ExitPartialRollout, "", "status", "no table has been accepted yet")
 		x.expect(ExitOK, "", "table diff @first.toml", "75.00% of gold", "new row", "tier=gold weight=3")
@@ -157,8 +158,8 @@
 		x.expect(ExitFailed, "", "table apply -yes @mine", "must be between 1")
 		x.edit("mine/organisations.csv", "cucine,gold,0", "cucine,gold,1")
 		x.expect(ExitOK, "", "table apply -yes -node http://127.0.0.1:9000 @mine", "cucine", "50.00% of gold", "generation 2")
-		// The others have exported before; their other rows are merged, the same row
-		// is a conflict.
+		// These files were exported before: changes of other rows are merged, a change
+		// of the same row is a conflict.
 		x.edit("other.toml", `id = "vans"`+"\ntier = \"gold\"\nweight = 1", `id = "vans"`+"\ntier = \"gold\"\nweight = 4")
 		x.expect(ExitOK, "", "table apply -yes @other.toml", "20.00% of gold", "generation 3")
 		x.edit("theirs/organisations.csv", "cucine,gold,3", "cucine,gold,9")
@@ -171,16 +172,16 @@
 	})
 }
 
-func TestEditsUnderFaults(t *testing.T) {
-	onSite(t, func(x *site) {
-		t.Setenv(environmentNodes, "http://127.0.0.1:9000, http://127.0.0.1:9001")
-		t.Setenv(environmentKeyFile, x.path("key"))
+func TestEditOutcomeUnderStoreFaults(t *testing.T) {
+	withCluster(t, func(x *testCluster) {
+		t.Setenv(nodesEnv, "http://127.0.0.1:9000, http://127.0.0.1:9001")
+		t.Setenv(keyFileEnv, x.path("key"))
 		assert.NilError(t, os.WriteFile(x.path("t.toml"), []byte(firstTable), 0o600))
-		x.breakNext = true
+		x.dropNextReply = true
 		x.expect(ExitOK, "", "table apply -yes @t.toml", "finding out", "accepted: generation 1")
 		x.expect(ExitOK, "", "table export @t.toml")
 		x.edit("t.toml", "weight = 3", "weight = 5")
-		// The first node has lost the store; the second one is asked.
+		// The first node can't reach the store; the client tries the second one.
 		x.stores[0].SetDown(true)
 		x.expect(ExitOK, "", "table apply -yes @t.toml", "generation 2")
 		x.stores[1].SetDown(true)
@@ -188,13 +189,13 @@
 		x.expect(ExitOK, "", "table export @t.toml", "generation 2")
 		x.edit("t.toml", "weight = 5", "weight = 6")
 		x.expect(ExitFailed, "", "table apply -yes @t.toml", "not accepted", "store")
-		// All its answers are lost; but the head can be read.
+		// All responses to writes of the head are lost, but the head is readable.
 		x.stores[1].SetDown(false)
 		x.stores[1].SetFunc(headWrites(func(int) memstore.Fault { return memstore.Fault{LoseAnswer: true} }))
 		x.expect(ExitOK, "", "table apply -yes @t.toml", "finding out", "generation 3")
 		x.expect(ExitOK, "", "table export @t.toml", "generation 3")
 		x.edit("t.toml", "weight = 6", "weight = 7")
-		// One answer is lost, and the store stays away from then on.
+		// One response is lost, and the store is unreachable from then on.
 		x.stores[1].SetFunc(headWrites(func(n int) memstore.Fault {
 			return memstore.Fault{LoseAnswer: n == 1, Down: n > 1}
 		}))
@@ -203,7 +204,7 @@
 	})
 }
 
-// headWrites applies faults to the writes of the head, numbered from 1.
+// headWrites applies faults to writes of the head, which are numbered from 1.
 func headWrites(fault func(number int) memstore.Fault) memstore.FaultFunc {
 	number := 0
 	return func(c memstore.Call) memstore.Fault {
@@ -215,10 +216,10 @@
 	}
 }
 
-func TestWrongUsageIsToldAllAtOnce(t *testing.T) {
-	onSite(t, func(x *site) {
-		t.Setenv(environmentNodes, "")
-		t.Setenv(environmentKeyFile, "")
+func TestUsageErrorsReportedTogether(t *testing.T) {
+	withCluster(t, func(x *testCluster) {
+		t.Setenv(nodesEnv, "")
+		t.Setenv(keyFileEnv, "")
 		assert.NilError(t, os.WriteFile(x.path("two"), []byte("one two"), 0o600))
 		x.expect(ExitUsage, "", "table rollback -node http://name:1,ftp://127.0.0.1:1 -key-file @two x",
 			`-node: "http://name:1"`, `-node: "ftp://127.0.0.1:1"`, "must hold one key", `GENERATION: "x"`)
--- a/ctl/doc.go
+++ b/ctl/doc.go
@@ -1,4 +1,4 @@
-// Package ctl is the operators' command line: hawthornctl. It speaks to any node
-// over package operatorapi and keeps nothing of its own but the files that the
+// Package ctl implements hawthornctl, the operators' command-line tool. It talks to
+// any node through package operatorapi and stores nothing but the files that the
 // operator names.
 package ctl
--- a/ctl/exit.go
+++ b/ctl/exit.go
@@ -1,16 +1,16 @@
 package ctl
 
-// The exit codes of hawthornctl.
+// Exit codes of hawthornctl.
 const (
-	// ExitOK: done, accepted, or nothing to do.
+	// ExitOK means success, an accepted edit, or nothing to do.
 	ExitOK = 0
-	// ExitFailed: not done; an edit was certainly not accepted.
+	// ExitFailed means failure; an edit was certainly not accepted.
 	ExitFailed = 1
-	// ExitUsage: wrong flags or arguments; nothing was tried.
+	// ExitUsage means invalid flags or arguments; nothing was attempted.
 	ExitUsage = 2
-	// ExitUnknown: it is not known whether an edit was accepted.
+	// ExitUnknown means that an edit may or may not have been accepted.
 	ExitUnknown = 3
-	// ExitPartialRollout: status found nodes without the latest table, or nodes that
-	// can't be reached.
+	// ExitPartialRollout means that status found nodes without the latest table, or
+	// unreachable nodes.
 	ExitPartialRollout = 4
 )
--- a/ctl/key.go
+++ b/ctl/key.go
@@ -9,13 +9,13 @@
 	"hawthornrill.example/hawthornrill/config"
 )
 
-// keyPrefix makes a key known for what it is where it is found lying about.
+// keyPrefix makes a leaked key recognisable as one.
 const keyPrefix = "hr_"
 
-func defineKey(*flag.FlagSet) body {
+func defineKey(*flag.FlagSet) commandFunc {
 	return func(_ context.Context, s Streams, arguments []string) (int, error) {
-		var problems fieldProblems
-		noArguments(arguments, &problems)
+		var problems usageProblems
+		rejectArguments(arguments, &problems)
 		if err := problems.err(); err != nil {
 			return ExitUsage, err
 		}
--- a/ctl/print.go
+++ b/ctl/print.go
@@ -13,15 +13,16 @@
 	"hawthornrill.example/hawthornrill/operatorapi"
 )
 
-// maxRows bounds the rows shown; the others are counted.
+// maxRows limits the rows shown; the remaining ones are only counted.
 const maxRows = 200
 
-// maxEffects bounds the organisations shown; the others are counted.
-const maxEffects = 20
+// maxShareEffects limits the organisations shown; the remaining ones are only
+// counted.
+const maxShareEffects = 20
 
-// show prints what a plan would do, and returns ExitFailed if it would not be
-// accepted.
-func (p plan) show(out io.Writer) int {
+// print prints the effect of a plan. It returns ExitFailed if the changes would not
+// be accepted.
+func (p plan) print(out io.Writer) int {
 	switch {
 	case len(p.preview.Conflicts) > 0:
 		_, _ = fmt.Fprintln(out, p.preview.Conflicts.Error())
@@ -38,14 +39,14 @@
 	return ExitOK
 }
 
-func newTable(out io.Writer) *tabwriter.Writer {
+func newTabWriter(out io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 }
 
-// printCells shows changed rows cell by cell, and new and removed rows on a line
-// each.
+// printCells prints a line for each cell of a changed row, and one line for each
+// new or removed row.
 func printCells(out io.Writer, cells []operatorapi.CellEffect) {
-	w := newTable(out)
+	w := newTabWriter(out)
 	_, _ = fmt.Fprintln(w, "KIND\tROW\tCOLUMN\tNOW\tTHEN")
 	rows := 0
 	for len(cells) > 0 {
@@ -71,8 +72,8 @@
 	return cells[:end]
 }
 
-// printRow shows a row. The first column is the key, which changes only with the
-// whole row.
+// printRow prints a row. The first column is the key: it changes only if the whole
+// row is new or removed.
 func printRow(w io.Writer, row []operatorapi.CellEffect) {
 	first := row[0]
 	switch {
@@ -88,7 +89,7 @@
 	}
 }
 
-// filledCells lists the cells of a new row that hold something.
+// filledCells lists the cells of a new row that don't have the zero value.
 func filledCells(cells []operatorapi.CellEffect) string {
 	var filled []string
 	for _, cell := range cells {
@@ -104,13 +105,13 @@
 		return
 	}
 	_, _ = fmt.Fprintln(out)
-	w := newTable(out)
+	w := newTabWriter(out)
 	_, _ = fmt.Fprintln(w, "ORGANISATION\tSHARE NOW\tSHARE THEN")
-	for _, effect := range effects[:min(len(effects), maxEffects)] {
+	for _, effect := range effects[:min(len(effects), maxShareEffects)] {
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\n", effect.Organisation, shareText(effect.Before), shareText(effect.After))
 	}
 	_ = w.Flush()
-	if more := len(effects) - maxEffects; more > 0 {
+	if more := len(effects) - maxShareEffects; more > 0 {
 		_, _ = fmt.Fprintf(out, "and %d organisations whose share changes less\n", more)
 	}
 }
@@ -130,7 +131,7 @@
 }
 
 func printHistory(out io.Writer, versions []document.Version) error {
-	w := newTable(out)
+	w := newTabWriter(out)
 	_, _ = fmt.Fprintln(w, "GENERATION\tAUTHOR\tBYTES\tNOTE\tEDIT")
 	for _, v := range versions {
 		_, _ = fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\n", v.Generation, orDash(v.Author), v.Size, orDash(v.Note), v.Edit)
@@ -138,8 +139,9 @@
 	return w.Flush()
 }
 
-// ago rounds a time to what a reader needs.
-func ago(seconds float64) string {
+// formatAge formats a duration, rounded to 100 ms below a minute and to seconds
+// from there.
+func formatAge(seconds float64) string {
 	d := time.Duration(seconds * float64(time.Second))
 	if d < time.Minute {
 		return d.Round(100 * time.Millisecond).String()
--- a/ctl/problem.go
+++ b/ctl/problem.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// fieldProblem is a wrong flag, argument or environment variable.
-type fieldProblem struct {
+// usageProblem is an invalid flag, argument or environment variable.
+type usageProblem struct {
 	Field, Value, Reason string
 }
 
-// fieldProblems is the error of a command line with all that is wrong in it.
-type fieldProblems []fieldProblem
+// usageProblems is the error that reports all problems of a command line at once.
+type usageProblems []usageProblem
 
-// Error lists every problem on a line of its own.
-func (p fieldProblems) Error() string {
+// Error lists the problems, one on each line.
+func (p usageProblems) Error() string {
 	var lines []string
 	for _, problem := range p {
 		lines = append(lines, fmt.Sprintf("%s: %q: %s", problem.Field, problem.Value, problem.Reason))
@@ -22,12 +22,12 @@
 	return strings.Join(lines, "\n")
 }
 
-func (p *fieldProblems) add(field, value, reason string) {
-	*p = append(*p, fieldProblem{Field: field, Value: value, Reason: reason})
+func (p *usageProblems) add(field, value, reason string) {
+	*p = append(*p, usageProblem{Field: field, Value: value, Reason: reason})
 }
 
 // err returns the problems as an error, or nil.
-func (p fieldProblems) err() error {
+func (p usageProblems) err() error {
 	if len(p) == 0 {
 		return nil
 	}
--- a/ctl/rollback.go
+++ b/ctl/rollback.go
@@ -7,7 +7,7 @@
 	"hawthornrill.example/hawthornrill/operatorapi"
 )
 
-// rollbackPlan shows what going back to a generation would change.
+// rollbackPlan returns the changes that a rollback to a generation would make.
 func rollbackPlan(ctx context.Context, client *operatorapi.Client, generation uint64) (plan, error) {
 	p := plan{client: client}
 	old, err := client.Table(ctx, generation)
--- a/ctl/run.go
+++ b/ctl/run.go
@@ -9,13 +9,13 @@
 	"runtime/debug"
 )
 
-const help = `hawthornctl drives hawthornrill from the table of weights and limits.
+const helpHeader = `hawthornctl drives hawthornrill from the table of weights and limits.
 
 usage: hawthornctl COMMAND [flags] [arguments]
 
 `
 
-const helpEnd = `
+const helpFooter = `
   -h        this help; after a command, its flags
   -version  print the version
 
@@ -32,7 +32,7 @@
   hawthornctl status                    # in force everywhere?
 `
 
-// Run executes a command line without the program's name and returns the exit
+// Run executes a command line, given without the program name, and returns the exit
 // code.
 func Run(ctx context.Context, arguments []string, s Streams) int {
 	if len(arguments) == 0 {
@@ -51,7 +51,7 @@
 		printGroup(s.Out, group)
 		return ExitOK
 	}
-	c, rest, ok := find(arguments)
+	c, rest, ok := findCommand(arguments)
 	if !ok {
 		_, _ = fmt.Fprintf(s.Err, "hawthornctl: there is no such command; hawthornctl -h lists them\n")
 		return ExitUsage
@@ -62,7 +62,7 @@
 func (c command) run(ctx context.Context, arguments []string, s Streams) int {
 	flags := flag.NewFlagSet(c.name, flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
-	do := c.define(flags)
+	execute := c.defineFlags(flags)
 	err := flags.Parse(arguments)
 	if errors.Is(err, flag.ErrHelp) {
 		c.usage(flags, s.Out)
@@ -70,12 +70,12 @@
 	}
 	code := ExitUsage
 	if err == nil {
-		code, err = do(ctx, s, flags.Args())
+		code, err = execute(ctx, s, flags.Args())
 	}
 	if err != nil {
 		_, _ = fmt.Fprintf(s.Err, "hawthornctl %s: %s\n", c.name, err)
 	}
-	var problems fieldProblems
+	var problems usageProblems
 	if errors.As(err, &problems) {
 		return ExitUsage
 	}
@@ -83,11 +83,11 @@
 }
 
 func printHelp(out io.Writer) {
-	_, _ = fmt.Fprint(out, help)
+	_, _ = fmt.Fprint(out, helpHeader)
 	for _, c := range commands() {
 		_, _ = fmt.Fprintf(out, "  %-15s %-11s %s\n", c.name, c.arguments, c.summary)
 	}
-	_, _ = fmt.Fprint(out, helpEnd)
+	_, _ = fmt.Fprint(out, helpFooter)
 }
 
 func version() string {
--- a/ctl/status.go
+++ b/ctl/status.go
@@ -10,13 +10,13 @@
 	"hawthornrill.example/hawthornrill/operatorapi"
 )
 
-func defineStatus(flags *flag.FlagSet) body {
-	t := addTarget(flags)
+func defineStatus(flags *flag.FlagSet) commandFunc {
+	t := addTargetFlags(flags)
 	all := flags.Bool("all", false, "list every node, also where all is well with many nodes")
 	return func(ctx context.Context, s Streams, arguments []string) (int, error) {
-		var problems fieldProblems
+		var problems usageProblems
 		client := t.client(s, &problems)
-		noArguments(arguments, &problems)
+		rejectArguments(arguments, &problems)
 		if err := problems.err(); err != nil {
 			return ExitUsage, err
 		}
@@ -32,8 +32,9 @@
 	}
 }
 
-// listAllUpTo is up to how many nodes are listed without being asked for.
-const listAllUpTo = 50
+// maxNodesListed is the largest number of nodes that are all listed without -all;
+// above it, only nodes that need attention are.
+const maxNodesListed = 50
 
 func printStatus(out io.Writer, status operatorapi.StatusReply, all bool) {
 	if status.Latest == 0 {
@@ -42,31 +43,31 @@
 		_, _ = fmt.Fprintf(out, "generation %d is in force on %d of %d nodes that can be reached", status.Latest, status.InForce, status.Reachable)
 		_, _ = fmt.Fprintf(out, "; %d can't be reached\n", len(status.Nodes)-status.Reachable)
 	}
-	all = all || len(status.Nodes) <= listAllUpTo
-	w := newTable(out)
+	all = all || len(status.Nodes) <= maxNodesListed
+	w := newTabWriter(out)
 	_, _ = fmt.Fprintln(w, "DATA CENTRE\tNODE\tIN FORCE\tSINCE\tSTATE")
 	for _, node := range status.Nodes {
-		state := stateOf(node, status.Latest)
-		if !all && state == stateWell {
+		state := nodeState(node, status.Latest)
+		if !all && state == stateOK {
 			continue
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", node.DataCentre, node.Node, inForceOf(node), state)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", node.DataCentre, node.Node, inForceColumns(node), state)
 	}
 	_ = w.Flush()
 }
 
-// stateWell is the state of a node that needs no attention.
-const stateWell = "ok"
+// stateOK is the state printed for a node that needs no attention.
+const stateOK = "ok"
 
-func inForceOf(node operatorapi.NodeReport) string {
+func inForceColumns(node operatorapi.NodeReport) string {
 	if node.Table == nil || node.Table.InForce == 0 {
 		return "-\t-"
 	}
-	return fmt.Sprintf("%d\t%s", node.Table.InForce, ago(node.Table.SinceSeconds))
+	return fmt.Sprintf("%d\t%s", node.Table.InForce, formatAge(node.Table.SinceSeconds))
 }
 
-// stateOf says in words what an operator should know of a node.
-func stateOf(node operatorapi.NodeReport, latest uint64) string {
+// nodeState describes the problems of a node; it is stateOK without any.
+func nodeState(node operatorapi.NodeReport, latest uint64) string {
 	if node.Unreachable != "" {
 		return "can't be reached: " + node.Unreachable
 	}
@@ -91,7 +92,7 @@
 		notes = append(notes, fmt.Sprintf("another version of generation %d was displaced", table.Displaced))
 	}
 	if len(notes) == 0 {
-		return stateWell
+		return stateOK
 	}
 	return strings.Join(notes, "; ")
 }
--- a/ctl/table.go
+++ b/ctl/table.go
@@ -12,14 +12,14 @@
 	"hawthornrill.example/hawthornrill/operatorapi"
 )
 
-func defineExport(flags *flag.FlagSet) body {
-	t := addTarget(flags)
+func defineExport(flags *flag.FlagSet) commandFunc {
+	t := addTargetFlags(flags)
 	generation := flags.String("generation", "0", "the `generation` to export; 0 for the one in force")
 	return func(ctx context.Context, s Streams, arguments []string) (int, error) {
-		var problems fieldProblems
+		var problems usageProblems
 		client := t.client(s, &problems)
-		path := oneArgument("PATH", arguments, &problems)
-		number := parseFlag("-generation", *generation, &problems)
+		path := requireOneArgument("PATH", arguments, &problems)
+		number := parseNumber("-generation", *generation, &problems)
 		if err := problems.err(); err != nil {
 			return ExitUsage, err
 		}
@@ -36,10 +36,10 @@
 	}
 }
 
-func defineCheck(*flag.FlagSet) body {
+func defineCheck(*flag.FlagSet) commandFunc {
 	return func(_ context.Context, s Streams, arguments []string) (int, error) {
-		var problems fieldProblems
-		path := oneArgument("PATH", arguments, &problems)
+		var problems usageProblems
+		path := requireOneArgument("PATH", arguments, &problems)
 		if err := problems.err(); err != nil {
 			return ExitUsage, err
 		}
@@ -51,28 +51,28 @@
 	}
 }
 
-func defineDiff(flags *flag.FlagSet) body {
-	t := addTarget(flags)
-	base := addBase(flags)
+func defineDiff(flags *flag.FlagSet) commandFunc {
+	t := addTargetFlags(flags)
+	base := addBaseFlag(flags)
 	return func(ctx context.Context, s Streams, arguments []string) (int, error) {
-		p, err := planOf(ctx, s, t, *base, arguments)
+		p, err := newPlan(ctx, s, t, *base, arguments)
 		if err != nil {
-			return p.exit(), err
+			return p.exitCode(), err
 		}
-		return p.show(s.Out), nil
+		return p.print(s.Out), nil
 	}
 }
 
-func addBase(flags *flag.FlagSet) *string {
+func addBaseFlag(flags *flag.FlagSet) *string {
 	return flags.String("base", "", "the `generation` that the file was made from, if the file doesn't say")
 }
 
-func defineHistory(flags *flag.FlagSet) body {
-	t := addTarget(flags)
+func defineHistory(flags *flag.FlagSet) commandFunc {
+	t := addTargetFlags(flags)
 	return func(ctx context.Context, s Streams, arguments []string) (int, error) {
-		var problems fieldProblems
+		var problems usageProblems
 		client := t.client(s, &problems)
-		noArguments(arguments, &problems)
+		rejectArguments(arguments, &problems)
 		if err := problems.err(); err != nil {
 			return ExitUsage, err
 		}
@@ -84,8 +84,8 @@
 	}
 }
 
-// parseFlag reads a number, and notes if it isn't one.
-func parseFlag(field, value string, problems *fieldProblems) uint64 {
+// parseNumber parses an unsigned integer and adds a problem if it is invalid.
+func parseNumber(field, value string, problems *usageProblems) uint64 {
 	number, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
 		problems.add(field, value, "must be a whole number")
@@ -93,28 +93,28 @@
 	return number
 }
 
-// plan is what applying a file would do.
+// plan is a set of changes to the table and a preview of their effect.
 type plan struct {
-	client  *operatorapi.Client
-	base    uint64
-	changes []config.Change
-	preview operatorapi.PreviewReply
-	usage   bool
+	client       *operatorapi.Client
+	base         uint64
+	changes      []config.Change
+	preview      operatorapi.PreviewReply
+	invalidUsage bool
 }
 
-// planOf reads the file and compares it with the generation it was made from,
-// so that what others have changed since is left alone.
-func planOf(ctx context.Context, s Streams, t *target, base string, arguments []string) (plan, error) {
-	var problems fieldProblems
-	p := plan{client: t.client(s, &problems), usage: true}
-	path := oneArgument("PATH", arguments, &problems)
+// newPlan reads a table file and compares it with the generation that it was
+// exported from, so that changes which others have made since are preserved.
+func newPlan(ctx context.Context, s Streams, t *target, base string, arguments []string) (plan, error) {
+	var problems usageProblems
+	p := plan{client: t.client(s, &problems), invalidUsage: true}
+	path := requireOneArgument("PATH", arguments, &problems)
 	if base != "" {
-		p.base = parseFlag("-base", base, &problems)
+		p.base = parseNumber("-base", base, &problems)
 	}
 	if err := problems.err(); err != nil {
 		return p, err
 	}
-	p.usage = false
+	p.invalidUsage = false
 	file, err := readTable(path)
 	if err != nil {
 		return p, err
@@ -133,7 +133,7 @@
 	return p, err
 }
 
-// baseTable returns the table that the file was made from.
+// baseTable returns the table that the file was exported from.
 func (p plan) baseTable(ctx context.Context) (config.Table, error) {
 	reply, err := p.client.Table(ctx, p.base)
 	var failure *operatorapi.Failure
@@ -148,14 +148,14 @@
 	return reply.Table, nil
 }
 
-func (p plan) exit() int {
-	if p.usage {
+func (p plan) exitCode() int {
+	if p.invalidUsage {
 		return ExitUsage
 	}
 	return ExitFailed
 }
 
-// printAccepted tells the operator of an accepted version.
+// printAccepted reports an accepted version.
 func printAccepted(s Streams, version document.Version) {
 	_, _ = fmt.Fprintf(s.Out, "accepted: generation %d\n", version.Generation)
 }
--- a/ctl/tablefile.go
+++ b/ctl/tablefile.go
@@ -14,26 +14,27 @@
 	"hawthornrill.example/hawthornrill/config"
 )
 
-// generationFile says in a directory of CSV files which generation it was
-// exported from.
-const generationFile = "generation.txt"
+// generationFileName is the file in a directory of CSV files that holds the
+// generation which the directory was exported from.
+const generationFileName = "generation.txt"
 
-// tomlMark begins the line that says the same in a TOML file.
-const tomlMark = "# generation "
+// tomlGenerationPrefix is the start of the line that holds the exported generation
+// in a TOML file.
+const tomlGenerationPrefix = "# generation "
 
-// tableFile is a table as the operator keeps it.
+// tableFile is a table read from, or to be written to, the operator's files.
 type tableFile struct {
 	table config.Table
-	// generation is the one exported; zero if the file doesn't say.
+	// generation is the exported generation; zero if the file doesn't state it.
 	generation uint64
 }
 
 // isTOML reports whether the path names a TOML file and not a directory.
 func isTOML(path string) bool { return filepath.Ext(path) == ".toml" }
 
-// readTable reads a directory of CSV files or a TOML file, and validates it.
+// readTable reads and validates a directory of CSV files or a TOML file.
 func readTable(path string) (tableFile, error) {
-	read := readDirectory
+	read := readCSV
 	if isTOML(path) {
 		read = readTOML
 	}
@@ -44,12 +45,12 @@
 	return file, config.Validate(&file.table).Err()
 }
 
-func readDirectory(path string) (tableFile, error) {
+func readCSV(path string) (tableFile, error) {
 	table, err := config.LoadCSV(os.DirFS(path))
 	if err != nil {
 		return tableFile{}, err
 	}
-	data, err := os.ReadFile(filepath.Join(path, generationFile))
+	data, err := os.ReadFile(filepath.Join(path, generationFileName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return tableFile{table: table}, nil
 	}
@@ -67,19 +68,19 @@
 	}
 	table, err := config.LoadTOML(strings.NewReader(string(data)))
 	if err != nil {
-		return tableFile{}, explainTOML(err)
+		return tableFile{}, describeTOMLError(err)
 	}
 	first, _, _ := strings.Cut(string(data), "\n")
-	text, marked := strings.CutPrefix(first, tomlMark)
-	if !marked {
+	text, found := strings.CutPrefix(first, tomlGenerationPrefix)
+	if !found {
 		return tableFile{table: table}, nil
 	}
 	generation, err := parseGeneration(text)
 	return tableFile{table: table, generation: generation}, err
 }
 
-// explainTOML shows the line of a TOML error.
-func explainTOML(err error) error {
+// describeTOMLError adds the position to a TOML parse error.
+func describeTOMLError(err error) error {
 	var parse toml.ParseError
 	if errors.As(err, &parse) {
 		return errors.New(parse.ErrorWithPosition())
@@ -95,7 +96,7 @@
 	return generation, nil
 }
 
-// writeTable writes a table with the generation that it has.
+// writeTable writes a table and its generation.
 func writeTable(path string, file tableFile) error {
 	if isTOML(path) {
 		return writeTOML(path, file)
@@ -104,12 +105,12 @@
 		return err
 	}
 	text := strconv.FormatUint(file.generation, 10) + "\n"
-	return os.WriteFile(filepath.Join(path, generationFile), []byte(text), 0o644)
+	return os.WriteFile(filepath.Join(path, generationFileName), []byte(text), 0o644)
 }
 
 func writeTOML(path string, file tableFile) error {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s%d\n", tomlMark, file.generation)
+	fmt.Fprintf(&text, "%s%d\n", tomlGenerationPrefix, file.generation)
 	if err := config.WriteTOML(&text, file.table); err != nil {
 		return err
 	}
--- a/ctl/target.go
+++ b/ctl/target.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	environmentNodes   = "HAWTHORNRILL_NODES"
-	environmentKeyFile = "HAWTHORNRILL_KEY_FILE"
+	nodesEnv   = "HAWTHORNRILL_NODES"
+	keyFileEnv = "HAWTHORNRILL_KEY_FILE"
 )
 
-// target is where a command's requests go.
+// target holds the flags that select the nodes and the operator's key.
 type target struct {
 	nodes, keyFile string
 }
 
-// addTarget adds the flags that all commands which ask a node have.
-func addTarget(flags *flag.FlagSet) *target {
+// addTargetFlags adds the flags of all commands that send requests to a node.
+func addTargetFlags(flags *flag.FlagSet) *target {
 	t := &target{}
-	flags.StringVar(&t.nodes, "node", os.Getenv(environmentNodes), "`addresses` of nodes, http://IP:port, separated by commas; the first that can be reached is asked")
-	flags.StringVar(&t.keyFile, "key-file", os.Getenv(environmentKeyFile), "`file` that holds the operator's key")
+	flags.StringVar(&t.nodes, "node", os.Getenv(nodesEnv), "`addresses` of nodes, http://IP:port, separated by commas; the first that can be reached is asked")
+	flags.StringVar(&t.keyFile, "key-file", os.Getenv(keyFileEnv), "`file` that holds the operator's key")
 	return t
 }
 
-// client returns a client, and notes what is wrong with the flags.
-func (t *target) client(s Streams, problems *fieldProblems) *operatorapi.Client {
+// client returns a client for the target and adds the problems of its flags.
+func (t *target) client(s Streams, problems *usageProblems) *operatorapi.Client {
 	var nodes []string
 	for _, node := range strings.Split(t.nodes, ",") {
 		node = strings.TrimSpace(node)
-		if reason := refuseNode(node); reason != "" {
+		if reason := checkNodeURL(node); reason != "" {
 			problems.add("-node", node, reason)
 		}
 		nodes = append(nodes, node)
@@ -45,9 +45,9 @@
 	return client
 }
 
-func refuseNode(node string) string {
+func checkNodeURL(node string) string {
 	if node == "" {
-		return "must be given, here or in " + environmentNodes
+		return "must be given, here or in " + nodesEnv
 	}
 	u, err := url.Parse(node)
 	if err != nil || u.Scheme != "http" || strings.Trim(u.Path, "/") != "" {
@@ -59,9 +59,9 @@
 	return ""
 }
 
-func (t *target) key(problems *fieldProblems) string {
+func (t *target) key(problems *usageProblems) string {
 	if t.keyFile == "" {
-		problems.add("-key-file", "", "must be given, here or in "+environmentKeyFile)
+		problems.add("-key-file", "", "must be given, here or in "+keyFileEnv)
 		return ""
 	}
 	data, err := os.ReadFile(t.keyFile)
@@ -76,8 +76,9 @@
 	return key
 }
 
-// oneArgument returns the only argument, and notes if there isn't just one.
-func oneArgument(name string, arguments []string, problems *fieldProblems) string {
+// requireOneArgument returns the only argument and adds a problem if there is not
+// exactly one.
+func requireOneArgument(name string, arguments []string, problems *usageProblems) string {
 	if len(arguments) != 1 {
 		problems.add(name, strings.Join(arguments, " "), "exactly one must be given, after the flags")
 		return ""
@@ -85,8 +86,8 @@
 	return arguments[0]
 }
 
-// noArguments notes arguments that a command doesn't take.
-func noArguments(arguments []string, problems *fieldProblems) {
+// rejectArguments adds a problem if there are any arguments.
+func rejectArguments(arguments []string, problems *usageProblems) {
 	if len(arguments) > 0 {
 		problems.add("arguments", strings.Join(arguments, " "), "the command takes none")
 	}
