--- a/daemon/adapters.go
+++ b/daemon/adapters.go
@@ -8,7 +8,7 @@
 	"hawthornrill.example/hawthornrill/endpoint/onesend"
 )
 
-// httpAdapters reaches endpoints over HTTP, through one pool of connections.
+// httpAdapters connects to endpoints over HTTP through a shared connection pool.
 type httpAdapters struct{ transport *onesend.Transport }
 
 // Engine implements node.Adapters.
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -23,7 +23,7 @@
 	"hawthornrill.example/hawthornrill/settings"
 )
 
-// Daemon is a node with its listeners.
+// Daemon is a node process: the node, its listeners and its peer transport.
 type Daemon struct {
 	options   Options
 	listeners *listeners
@@ -31,8 +31,7 @@
 	node      *node.Node
 }
 
-// Run runs a node with the checked settings until the context ends, and then
-// drains it.
+// Run runs a node with validated settings until the context ends, then drains it.
 func Run(ctx context.Context, s settings.Settings, log zerolog.Logger) error {
 	d, err := New(Options{Settings: s, Log: log})
 	if err != nil {
@@ -41,7 +40,8 @@
 	return d.Run(ctx)
 }
 
-// New opens the listeners and puts the node together. Run must be called.
+// New opens the listeners and builds the node. The caller must call Run, which
+// closes the listeners.
 func New(options Options) (*Daemon, error) {
 	s := options.Settings
 	options.Log = options.Log.With().Str("node", string(s.Node)).Logger()
@@ -72,7 +72,7 @@
 	d.node, err = node.New(node.Options{
 		Transport:      d.transport,
 		Store:          d.newStore(set),
-		Members:        d.newMembers(d.transport, list, set),
+		Members:        d.newMembership(d.transport, list, set),
 		EndpointList:   list,
 		Adapters:       httpAdapters{onesend.New(onesend.Options{})},
 		Log:            d.options.Log,
@@ -90,8 +90,9 @@
 	return err
 }
 
-// newTransport makes the peer links of a new life of the node. The wall clock
-// only numbers lives; peers settle a clash by a later number.
+// newTransport creates the peer transport with a new incarnation of the node. The
+// wall clock serves only to number incarnations; peers resolve a conflict in favour
+// of the higher number.
 func (d *Daemon) newTransport(set *metrics.Set) (*wslink.Transport, error) {
 	s := d.options.Settings
 	options := wslink.Options{
@@ -110,7 +111,7 @@
 			Authorities: s.Peers.TLS.CA,
 			Certificate: s.Peers.TLS.Certificate,
 			Key:         s.Peers.TLS.Key,
-		}, d.reloaded)
+		}, d.logCertificateReload)
 		if err != nil {
 			return nil, fmt.Errorf("daemon: peers.tls: %w", err)
 		}
@@ -119,18 +120,18 @@
 	return wslink.New(options)
 }
 
-func (d *Daemon) reloaded(err error) {
+func (d *Daemon) logCertificateReload(err error) {
 	if err != nil {
-		d.options.Log.Error().Err(err).Msg("peer certificates not reloaded, the earlier ones stay in use")
+		d.options.Log.Error().Err(err).Msg("reloading peer certificates failed; keeping the previous ones")
 		return
 	}
 	d.options.Log.Info().Msg("peer certificates reloaded")
 }
 
-// Node returns the node, for embedding.
+// Node returns the node, for programs that embed the daemon.
 func (d *Daemon) Node() *node.Node { return d.node }
 
-// Addresses returns what the process listens on.
+// Addresses returns the addresses that the process listens on.
 func (d *Daemon) Addresses() settings.Listen {
 	return settings.Listen{
 		Callers:   d.listeners.callers.Addr().String(),
@@ -139,8 +140,8 @@
 	}
 }
 
-// Run serves until the context ends, then drains: nothing in progress is cut,
-// unless the settings limit the wait.
+// Run serves until the context ends, then drains the node: requests in progress are
+// completed, unless the settings limit the duration of the drain.
 func (d *Daemon) Run(ctx context.Context) error {
 	var group run.Group
 	d.addDrain(ctx, &group)
@@ -159,10 +160,11 @@
 	return err
 }
 
-// errDrained ends the group after a drain.
+// errDrained stops the run group after the drain.
 var errDrained = errors.New("daemon: drained")
 
-// addDrain waits for the context's end and drains the node.
+// addDrain adds an actor to the run group that drains the node when the context
+// ends.
 func (d *Daemon) addDrain(ctx context.Context, group *run.Group) {
 	ctx, cancel := context.WithCancel(ctx)
 	group.Add(func() error {
@@ -179,9 +181,9 @@
 		ctx, cancel = context.WithTimeout(ctx, limit)
 		defer cancel()
 	}
-	d.options.Log.Info().Msg("draining")
+	d.options.Log.Info().Msg("draining node")
 	if err := d.node.Drain(ctx); err != nil {
-		d.options.Log.Error().Err(err).Msg("drain not complete")
+		d.options.Log.Error().Err(err).Msg("drain incomplete")
 	}
 }
 
@@ -202,7 +204,7 @@
 func (d *Daemon) addPeers(group *run.Group) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group.Add(func() error { return d.transport.Serve(ctx, d.listeners.peers) }, func(error) {
-		closing, stop := context.WithTimeout(context.Background(), closeTimeout)
+		closing, stop := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer stop()
 		_ = d.transport.Close(closing)
 		cancel()
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -1,3 +1,3 @@
-// Package daemon runs a node as a process: its listeners, the adapters to the
-// outside, and a graceful end.
+// Package daemon runs a node as a process: it opens the listeners, connects the
+// adapters to external systems, and drains the node on shutdown.
 package daemon
--- a/daemon/listeners.go
+++ b/daemon/listeners.go
@@ -8,12 +8,13 @@
 	"hawthornrill.example/hawthornrill/settings"
 )
 
-// listeners are the sockets of a process.
+// listeners holds the listening sockets of the process.
 type listeners struct {
 	callers, peers, operators net.Listener
 }
 
-// listen opens all sockets, or none. One for peers may be open already.
+// listen opens all sockets or, if one of them fails, none. If peers is not nil, it
+// is used in place of a new socket.
 func listen(s settings.Listen, peers net.Listener) (*listeners, error) {
 	var l listeners
 	var errs []error
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -7,7 +7,7 @@
 	"hawthornrill.example/hawthornrill/settings"
 )
 
-// operatorKeys converts the checked settings.
+// operatorKeys converts the keys of validated settings.
 func operatorKeys(s settings.Operators) []operatorapi.Key {
 	var keys []operatorapi.Key
 	for _, k := range s.Keys {
--- a/daemon/options.go
+++ b/daemon/options.go
@@ -8,11 +8,12 @@
 	"hawthornrill.example/hawthornrill/settings"
 )
 
-// Options configure a Daemon. Settings must have been checked.
+// Options configure a Daemon. Settings must have been validated.
 type Options struct {
 	Settings settings.Settings
 	Log      zerolog.Logger
-	// Peers is an open listener to use in place of listen.peers, for a process that
-	// must know all nodes' addresses before it starts them; nil for none.
+	// Peers is an open listener to use in place of the setting listen.peers, for
+	// programs that need the addresses of all nodes before they start them. It may be
+	// nil.
 	Peers net.Listener
 }
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -5,13 +5,13 @@
 	"hawthornrill.example/hawthornrill/settings"
 )
 
-// loadsAtOnce is how many loads may be ordered in one go.
-const loadsAtOnce = 4
+// loadBurst is the number of weight loads that may be ordered at once.
+const loadBurst = 4
 
-// coordinatorOptions returns nil if the node is to give no orders.
+// coordinatorOptions returns nil if the settings disable giving orders.
 func coordinatorOptions(s settings.Orders) *coordinator.Options {
 	if !s.Give {
 		return nil
 	}
-	return &coordinator.Options{Weights: coordinator.NewWeightRate(s.LoadsPerMinute, loadsAtOnce)}
+	return &coordinator.Options{Weights: coordinator.NewWeightRate(s.LoadsPerMinute, loadBurst)}
 }
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -13,7 +13,7 @@
 	"hawthornrill.example/hawthornrill/store/httpstore"
 )
 
-// newStore returns the platform's store within this node's budget of calls.
+// newStore returns the platform's store, limited to this node's call budget.
 func (d *Daemon) newStore(set *metrics.Set) store.Store {
 	s := d.options.Settings.Platform
 	return budget.New(httpstore.New(httpstore.Options{BaseURL: s.Store}), budget.Options{
@@ -22,15 +22,15 @@
 	})
 }
 
-// newHostList returns the platform's host list.
+// newHostList returns a client of the platform's host list.
 func (d *Daemon) newHostList() *node.EndpointList {
 	options := httphostlist.Options{BaseURL: d.options.Settings.Platform.HostList}
 	return node.NewEndpointList(httphostlist.New(options))
 }
 
-// newMembers returns the membership by the platform's host list, the seeds and
-// the peers' own word.
-func (d *Daemon) newMembers(transport peer.Transport, list hostlist.List, set *metrics.Set) *membership.Service {
+// newMembership returns the membership service, which learns of members from the
+// platform's host list, the seeds and the peers.
+func (d *Daemon) newMembership(transport peer.Transport, list hostlist.List, set *metrics.Set) *membership.Service {
 	return membership.New(membership.Options{
 		Transport: transport,
 		HostList:  list,
--- a/daemon/secrets.go
+++ b/daemon/secrets.go
@@ -12,10 +12,11 @@
 )
 
 // sessionSecrets reads the secrets that sign session tokens. Without files it
-// makes one, and sessions then hold at this node and until it restarts only.
+// generates one; session tokens are then valid only on this node and until it
+// restarts.
 func sessionSecrets(files []string, log zerolog.Logger) ([][]byte, error) {
 	if len(files) == 0 {
-		log.Warn().Msg("sessions.secret_files is empty: sessions hold at this node only, until it restarts")
+		log.Warn().Msg("sessions.secret_files is empty: session tokens are valid only on this node and until it restarts")
 		secret := make([]byte, session.MinSecretBytes)
 		_, err := rand.Read(secret)
 		return [][]byte{secret}, err
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// readHeaderTimeout bounds the header of a request.
+	// readHeaderTimeout limits reading the header of a request.
 	readHeaderTimeout = 10 * time.Second
-	// idleTimeout bounds an unused connection.
+	// idleTimeout is how long an idle connection is kept open.
 	idleTimeout = 2 * time.Minute
-	// closeTimeout bounds the end of a server after its requests were drained.
-	closeTimeout = 5 * time.Second
+	// shutdownTimeout limits the shutdown of a server after the node was drained.
+	shutdownTimeout = 5 * time.Second
 )
 
-// server is an HTTP server on an open listener.
+// server is an HTTP server with its listener.
 type server struct {
 	http     *http.Server
 	listener net.Listener
 }
 
-// newServer returns a server for the routes that register adds.
+// newServer returns a server of the routes that register adds.
 func newServer(listener net.Listener, logger zerolog.Logger, register func(*echo.Echo)) *server {
 	e := echo.New()
 	register(e)
@@ -44,7 +44,7 @@
 	}
 }
 
-// serve answers until close.
+// serve handles requests until close is called.
 func (s *server) serve() error {
 	err := s.http.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -53,7 +53,7 @@
 	return err
 }
 
-// serveTLS is serve with the certificate of the given files.
+// serveTLS is like serve, with the certificate and the key of the given files.
 func (s *server) serveTLS(certificate, key string) error {
 	err := s.http.ServeTLS(s.listener, certificate, key)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -62,9 +62,10 @@
 	return err
 }
 
-// close lets requests that are being answered finish, for a short time.
+// close shuts the server down. Active requests have shutdownTimeout to complete;
+// then their connections are closed.
 func (s *server) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := s.http.Shutdown(ctx); err != nil {
 		_ = s.http.Close()
