--- a/logging/async.go
+++ b/logging/async.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// asyncLines bounds the lines that wait to be written; at 400 bytes a line this is under half a megabyte.
-	asyncLines = 1024
-	// asyncBuffer is how much is written at a time.
-	asyncBuffer = 16 << 10
-	// asyncFlush is how long a line may wait for others to be written with.
-	asyncFlush = 100 * time.Millisecond
+	// asyncQueueLines is the capacity of the line queue; at 400 bytes a line it takes less than half a megabyte.
+	asyncQueueLines = 1024
+	// asyncBufferBytes is the size of the write buffer.
+	asyncBufferBytes = 16 << 10
+	// asyncFlushInterval is the longest time that a line is buffered for batching.
+	asyncFlushInterval = 100 * time.Millisecond
 )
 
-// AsyncWriter writes lines in the background. It never blocks: when the writer is slow, lines are dropped and their number is
-// written instead.
+// AsyncWriter writes lines in the background. Write never blocks: while the queue is full because the underlying writer
+// is slow, lines are dropped, and a line with their number is written instead.
 type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
@@ -27,14 +27,14 @@
 	once    sync.Once
 }
 
-// NewAsyncWriter returns an Async that writes to w. It must be closed.
+// NewAsyncWriter returns an AsyncWriter for w. The caller must close it.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
-	a := &AsyncWriter{lines: make(chan []byte, asyncLines), done: make(chan struct{})}
+	a := &AsyncWriter{lines: make(chan []byte, asyncQueueLines), done: make(chan struct{})}
 	go a.run(w)
 	return a
 }
 
-// Write takes a line.
+// Write queues a line, or drops it if the queue is full.
 func (a *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), line...):
@@ -44,7 +44,7 @@
 	return len(line), nil
 }
 
-// Close writes what waits. Write must not be called afterwards.
+// Close writes the queued lines and flushes the buffer. Write must not be called afterwards.
 func (a *AsyncWriter) Close() {
 	a.once.Do(func() { close(a.lines) })
 	<-a.done
@@ -52,27 +52,27 @@
 
 func (a *AsyncWriter) run(w io.Writer) {
 	defer close(a.done)
-	buffer := bufio.NewWriterSize(w, asyncBuffer)
-	ticker := time.NewTicker(asyncFlush)
+	buffer := bufio.NewWriterSize(w, asyncBufferBytes)
+	ticker := time.NewTicker(asyncFlushInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case line, ok := <-a.lines:
 			if !ok {
-				a.report(buffer)
-				_ = buffer.Flush() // nobody is left to be told
+				a.reportDropped(buffer)
+				_ = buffer.Flush() // the log is closed, so the error can't be reported
 				return
 			}
-			_, _ = buffer.Write(line) // the next write shows the same error
+			_, _ = buffer.Write(line) // bufio.Writer returns the error again on the next write
 		case <-ticker.C:
-			a.report(buffer)
+			a.reportDropped(buffer)
 			_ = buffer.Flush()
 		}
 	}
 }
 
-// report writes how many lines were dropped.
-func (a *AsyncWriter) report(w io.Writer) {
+// reportDropped writes the number of lines dropped since the last report.
+func (a *AsyncWriter) reportDropped(w io.Writer) {
 	if n := a.dropped.Swap(0); n > 0 {
 		fmt.Fprintf(w, `{"level":"warn","dropped":%d,"message":"log lines dropped"}`+"\n", n)
 	}
--- a/logging/level.go
+++ b/logging/level.go
@@ -7,17 +7,17 @@
 	"github.com/rs/zerolog"
 )
 
-// Level is a least level that can be changed while the process runs.
+// Level is a minimum log level that can be changed at run time.
 type Level struct{ value atomic.Int32 }
 
-// NewLevel returns the level of the name, info if there is none of the name.
+// NewLevel returns the level of the given name, or info if the name is invalid.
 func NewLevel(name string) *Level {
 	l := &Level{}
 	l.Set(name)
 	return l
 }
 
-// Set changes the level.
+// Set changes the level to that of the given name, or to info if the name is invalid.
 func (l *Level) Set(name string) {
 	level, err := zerolog.ParseLevel(name)
 	if err != nil || name == "" {
@@ -26,7 +26,7 @@
 	l.value.Store(int32(level))
 }
 
-// LevelFilter writes the lines of a level or above.
+// LevelFilter is a zerolog.LevelWriter that drops lines below a level.
 type LevelFilter struct {
 	io.Writer
 	Level *Level
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the structured logger of a process.
+// Package logging creates the structured logger of a process.
 package logging
 
 import (
@@ -9,7 +9,8 @@
 	"hawthornrill.example/hawthornrill/settings"
 )
 
-// New returns a logger that writes to w as the checked settings say.
+// New returns a logger that writes to w in the format and from the level of the
+// validated settings.
 func New(s settings.Log, w io.Writer) zerolog.Logger {
 	if s.Format == "console" {
 		w = zerolog.ConsoleWriter{Out: w, TimeFormat: "15:04:05.000"}
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -6,8 +6,8 @@
 	"github.com/rs/zerolog"
 )
 
-// LineWriter makes one log entry of a level from each Write, for libraries that log
-// plain lines.
+// LineWriter turns each Write into a log entry of a fixed level, for libraries that
+// log plain lines.
 type LineWriter struct {
 	Logger zerolog.Logger
 	Level  zerolog.Level
