--- a/buildinfo/version.go
+++ b/buildinfo/version.go
@@ -1,4 +1,4 @@
-// Package buildinfo tells which version of the programs this is.
+// Package buildinfo provides the version of the programs.
 package buildinfo
 
 import (
@@ -7,11 +7,11 @@
 	"runtime/debug"
 )
 
-// Version is the released version, or the one being worked on.
+// Version is the released version, or the next one with the suffix -dev.
 const Version = "0.1.0-dev"
 
-// String returns the version, the commit if it was stamped into the build, and
-// the Go version.
+// String returns the version, the commit if the build is stamped with one, and the
+// Go version.
 func String() string {
 	return fmt.Sprintf("hawthornrill %s%s %s", Version, revision(), runtime.Version())
 }
