--- a/deployment/build.go
+++ b/deployment/build.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// engineSlots and engineTokens keep an engine just below saturation.
-	engineSlots  = 32
-	engineTokens = 60_000
-	serviceSlots = 64
-	fullWeight   = 100
-	// GenerationA is the faster kind of hardware, GenerationB the slower.
+	// engineSlots and engineTokenLimit load an engine to just below saturation.
+	engineSlots      = 32
+	engineTokenLimit = 60_000
+	serviceSlots     = 64
+	fullWeight       = 100
+	// GenerationA is the faster hardware generation, GenerationB the slower one.
 	GenerationA = "gen-a"
 	GenerationB = "gen-b"
 )
 
-// hosts numbers the hosts of each data centre from 1.
-func hosts(counts []dataCentreCount) []Host {
+// hosts returns the hosts of all data centres, numbered from 1 in each of them.
+func hosts(counts []dataCentreSize) []Host {
 	var all []Host
 	for _, c := range counts {
 		for i := 1; i <= c.hosts; i++ {
@@ -30,15 +30,15 @@
 	return all
 }
 
-// dataCentreCount tells what stands in a data centre.
-type dataCentreCount struct {
+// dataCentreSize is the number of hosts, engines and services in a data centre.
+type dataCentreSize struct {
 	name                     domain.DataCentre
 	hosts, engines, services int
 }
 
-// endpoints makes the engines and services of all data centres; engines are of
-// the two generations in turn.
-func endpoints(counts []dataCentreCount, model, service string) []config.EndpointRow {
+// endpoints returns the engines and services of all data centres. The engines of a
+// data centre alternate between the two hardware generations.
+func endpoints(counts []dataCentreSize, model, service string) []config.EndpointRow {
 	var rows []config.EndpointRow
 	for _, c := range counts {
 		for i := 1; i <= c.engines; i++ {
@@ -64,7 +64,7 @@
 		Generation:    generation,
 		Weight:        fullWeight,
 		Limit:         engineSlots,
-		TokenLimit:    engineTokens,
+		TokenLimit:    engineTokenLimit,
 		ChecksFencing: number%2 == 1,
 	}
 }
@@ -81,8 +81,9 @@
 	}
 }
 
-// withKeys sets the demonstration key's hash in each row and returns the keys.
-func withKeys(rows []config.OrganisationRow) map[domain.OrganisationID]string {
+// assignDemoKeys sets the hash of the demonstration key in each row and returns the
+// keys by organisation.
+func assignDemoKeys(rows []config.OrganisationRow) map[domain.OrganisationID]string {
 	keys := make(map[domain.OrganisationID]string, len(rows))
 	for i := range rows {
 		key := DemoKey(rows[i].ID)
--- a/deployment/cucine.go
+++ b/deployment/cucine.go
@@ -6,14 +6,15 @@
 	"hawthornrill.example/hawthornrill/config"
 )
 
-// Cucine is Cucine Quotate Trinacria: three data centres in Sicily, a model that
-// drafts kitchen quotes, and a catalogue-and-jobs service.
+// Cucine returns the deployment of Cucine Quotate Trinacria: three data centres in
+// Sicily, a model that drafts kitchen quotes, and a service for the catalogue and
+// jobs.
 func Cucine() *Deployment {
 	const (
 		model   = "quote"
 		service = "catalogue"
 	)
-	places := []dataCentreCount{
+	dataCentres := []dataCentreSize{
 		{name: "palermo", hosts: 3, engines: 4, services: 1},
 		{name: "catania", hosts: 2, engines: 4, services: 1},
 		{name: "siracusa", hosts: 2, engines: 4, services: 1},
@@ -25,10 +26,10 @@
 		{ID: "drafts", Tier: "batch", Weight: 20, InFlight: 60, TokensPerMinute: 300_000},
 		{ID: "training", Tier: "batch", Weight: 5, InFlight: 20, TokensPerMinute: 100_000},
 	}
-	keys := withKeys(organisations)
+	keys := assignDemoKeys(organisations)
 	return &Deployment{
 		Name:  "cucine",
-		Hosts: hosts(places),
+		Hosts: hosts(dataCentres),
 		Table: config.Table{
 			Tiers: []config.TierRow{
 				{Name: "showroom", Rank: 0, FirstTokenMillis: 1_000, DeadlineMillis: 60_000},
@@ -38,7 +39,7 @@
 			Organisations: organisations,
 			Models:        []config.ModelRow{{Name: model, MaxPromptTokens: 16_000, MaxAnswerTokens: 4_000}},
 			Services:      []config.ServiceRow{{Name: service, Once: "POST, PUT, PATCH", DeadlineMillis: 10_000}},
-			Endpoints:     endpoints(places, model, service),
+			Endpoints:     endpoints(dataCentres, model, service),
 		},
 		Keys:              keys,
 		OneWayDelay:       1500 * time.Microsecond,
--- a/deployment/deployment.go
+++ b/deployment/deployment.go
@@ -1,6 +1,6 @@
-// Package deployment describes the first users' systems at their sizes of today,
-// for the demo, the load tool and tests: which hosts, endpoints and
-// organisations there are. It starts nothing.
+// Package deployment describes the systems of the first users at their current
+// size: their hosts, endpoints and organisations. The demo, the load tool and tests
+// use the descriptions; the package starts no processes.
 package deployment
 
 import (
@@ -14,7 +14,7 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// ErrUnknown means that no deployment has the given name.
+// ErrUnknown means that there is no deployment with the given name.
 var ErrUnknown = errors.New("deployment: no such deployment")
 
 // Host is an entry host.
@@ -23,30 +23,32 @@
 	DataCentre domain.DataCentre
 }
 
-// Deployment is one user's system. Endpoint rows have no addresses yet: whoever
-// starts the endpoints fills them in.
+// Deployment is the system of one user. Endpoint rows have no addresses; the code
+// that starts the endpoints sets them.
 type Deployment struct {
 	Name  string
 	Hosts []Host
 	Table config.Table
 	// Keys holds a demonstration API key for each organisation.
 	Keys map[domain.OrganisationID]string
-	// OneWayDelay is the delay between data centres, ClientOneWayDelay that to callers.
+	// OneWayDelay is the one-way network delay between data centres, ClientOneWayDelay
+	// the one between callers and nodes.
 	OneWayDelay       time.Duration
 	ClientOneWayDelay time.Duration
 	// Model is the name of the model that the engines serve.
 	Model string
-	// Service is the name of the plain service. NonIdempotentPath and NonIdempotentBody are a POST to it
-	// that may not be repeated.
+	// Service is the name of the plain service. NonIdempotentPath and
+	// NonIdempotentBody are the path and body of a POST to it that must not be
+	// repeated.
 	Service           string
 	NonIdempotentPath string
 	NonIdempotentBody string
 }
 
-// Names lists the deployments.
+// Names returns the names of the deployments.
 func Names() []string { return []string{"cucine", "pryce"} }
 
-// ByName returns a deployment or ErrUnknown.
+// ByName returns the deployment with the given name, or ErrUnknown.
 func ByName(name string) (*Deployment, error) {
 	switch name {
 	case "cucine":
@@ -57,10 +59,10 @@
 	return nil, fmt.Errorf("%w: %q, there are %q", ErrUnknown, name, Names())
 }
 
-// DemoKey returns the demonstration API key of an organisation. It is no secret.
+// DemoKey returns the demonstration API key of an organisation. It is not secret.
 func DemoKey(id domain.OrganisationID) string { return "demo-key-" + string(id) }
 
-// KeyHash returns the SHA-256 of an API key as organisation rows hold it.
+// KeyHash returns the SHA-256 of an API key in the encoding of organisation rows.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/deployment/pryce.go
+++ b/deployment/pryce.go
@@ -6,14 +6,14 @@
 	"hawthornrill.example/hawthornrill/config"
 )
 
-// Pryce is Pryce & Daughters: four data centres in South Wales, a model that
-// writes recaps and hints, and a game service.
+// Pryce returns the deployment of Pryce & Daughters: four data centres in South
+// Wales, a model that writes recaps and hints, and a game service.
 func Pryce() *Deployment {
 	const (
 		model   = "hunt"
 		service = "game"
 	)
-	places := []dataCentreCount{
+	dataCentres := []dataCentreSize{
 		{name: "taf", hosts: 2, engines: 3, services: 1},
 		{name: "usk", hosts: 2, engines: 3, services: 1},
 		{name: "tawe", hosts: 2, engines: 3, services: 1},
@@ -26,10 +26,10 @@
 		{ID: "companies", Tier: "team", Weight: 20, InFlight: 100, TokensPerMinute: 400_000},
 		{ID: "recaps", Tier: "after", Weight: 30, InFlight: 60, TokensPerMinute: 600_000},
 	}
-	keys := withKeys(organisations)
+	keys := assignDemoKeys(organisations)
 	return &Deployment{
 		Name:  "pryce",
-		Hosts: hosts(places),
+		Hosts: hosts(dataCentres),
 		Table: config.Table{
 			Tiers: []config.TierRow{
 				{Name: "live", Rank: 0, FirstTokenMillis: 800, DeadlineMillis: 30_000},
@@ -39,7 +39,7 @@
 			Organisations: organisations,
 			Models:        []config.ModelRow{{Name: model, MaxPromptTokens: 16_000, MaxAnswerTokens: 6_000}},
 			Services:      []config.ServiceRow{{Name: service, Once: "POST /unlocks, POST /scores", DeadlineMillis: 5_000}},
-			Endpoints:     endpoints(places, model, service),
+			Endpoints:     endpoints(dataCentres, model, service),
 		},
 		Keys:              keys,
 		OneWayDelay:       500 * time.Microsecond,
