--- a/examples/nightly/main.go
+++ b/examples/nightly/main.go
@@ -1,6 +1,7 @@
-// Command nightly shows two of the library's parts embedded in a program of somebody else: several processes want to do a
-// job, one at a time does it under a lease, and a document tells all of them what the job is. Here the processes are
-// goroutines over stores and links in memory; a real program gives its own adapters of store.Store and peer.Transport.
+// Command nightly shows how to embed two parts of the library in another program: several processes can run a job, a
+// lease ensures that one at a time does, and a replicated document tells all of them what the job is. In this example the
+// processes are goroutines that use an in-memory store and network; a real program provides its own implementations of
+// store.Store and peer.Transport.
 package main
 
 import (
@@ -26,7 +27,7 @@
 	}
 }
 
-// run has two workers, writes the job through one of them and reports what the one that leads does.
+// run starts two workers, writes the job through one of them and prints the job that the lease holder ran.
 func run(ctx context.Context, out io.Writer) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -54,7 +55,7 @@
 	return err
 }
 
-// worker is one process that may do the job.
+// worker represents a process that can run the job.
 type worker struct {
 	self      domain.Member
 	store     *memstore.Client
@@ -70,11 +71,11 @@
 		return nil, err
 	}
 	w.documents = documents
-	return w, documents.Register(document.Spec{Name: jobName, Apply: w.take})
+	return w, documents.Register(document.Spec{Name: jobName, Apply: w.applyJob})
 }
 
-// take keeps the latest job.
-func (w *worker) take(_ document.Version, value []byte) error {
+// applyJob implements document.Spec.Apply: it keeps only the latest job.
+func (w *worker) applyJob(_ document.Version, value []byte) error {
 	select {
 	case <-w.job:
 	default:
@@ -83,21 +84,21 @@
 	return nil
 }
 
-// run does the job whenever this worker holds the lease.
+// run campaigns for the lease and runs the job while this worker holds it.
 func (w *worker) run(ctx context.Context, done chan<- string) {
-	go func() { _ = w.documents.Run(ctx) }() // it ends with the context
+	go func() { _ = w.documents.Run(ctx) }() // returns when the context ends
 	lead := func(ctx context.Context, l *lease.Lease) {
 		select {
 		case job := <-w.job:
-			w.do(ctx, l, job, done)
+			w.runJob(ctx, l, job, done)
 		case <-ctx.Done():
 		}
 	}
-	_ = lease.Campaign(ctx, w.store, "jobs/"+jobName, lease.Options{Owner: string(w.self.Node)}, lead) // its options are right
+	_ = lease.Campaign(ctx, w.store, "jobs/"+jobName, lease.Options{Owner: string(w.self.Node)}, lead) // fails only for invalid options
 }
 
-// do does the job, if the lease is held still: a worker that was paused may have lost it.
-func (w *worker) do(ctx context.Context, l *lease.Lease, job string, done chan<- string) {
+// runJob runs the job if the lease is still held: a worker that was paused may have lost it.
+func (w *worker) runJob(ctx context.Context, l *lease.Lease, job string, done chan<- string) {
 	if !l.Held() {
 		return
 	}
--- a/examples/nightly/main_test.go
+++ b/examples/nightly/main_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestOneWorkerDoesTheJob(t *testing.T) {
+func TestOneWorkerRunsJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
 		assert.NilError(t, run(t.Context(), &out))
