--- a/sizing/check.go
+++ b/sizing/check.go
@@ -13,7 +13,7 @@
 func (c *Constants) Check() error {
 	names := make(map[string]bool)
 	var faults []error
-	for _, list := range [][]Figure{c.Sizes, c.Limits, c.Settings, c.Assumed} {
+	for _, list := range [][]Parameter{c.Sizes, c.Limits, c.Settings, c.Assumed} {
 		for _, f := range list {
 			faults = append(faults, checkName(names, f.Name), checkFigure(f))
 		}
@@ -23,7 +23,7 @@
 	}
 	for _, m := range c.Missing {
 		faults = append(faults, checkName(names, m.Name))
-		if m.Why == "" {
+		if m.Reason == "" {
 			faults = append(faults, fmt.Errorf("%w: missing slope %s has no reason", ErrConstants, m.Name))
 		}
 	}
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func checkFigure(f Figure) error {
+func checkFigure(f Parameter) error {
 	if f.Source == "" || f.Unit == "" {
 		return fmt.Errorf("%w: %s has no unit or no source", ErrConstants, f.Name)
 	}
--- a/sizing/constants.go
+++ b/sizing/constants.go
@@ -11,17 +11,17 @@
 type Constants struct {
 	Machine Machine `toml:"machine"`
 	// Sizes are the users' figures.
-	Sizes []Figure `toml:"size"`
+	Sizes []Parameter `toml:"size"`
 	// Limits are the users' limits.
-	Limits []Figure `toml:"limit"`
+	Limits []Parameter `toml:"limit"`
 	// Settings repeat defaults of the code; a test compares them.
-	Settings []Figure `toml:"setting"`
+	Settings []Parameter `toml:"setting"`
 	// Assumed are figures that can't be measured here, with the reason for each.
-	Assumed []Figure `toml:"assumed"`
+	Assumed []Parameter `toml:"assumed"`
 	// Slopes are what benchmarks measured.
 	Slopes []Slope `toml:"slope"`
-	// Missing are slopes that formulas need and nothing has measured yet.
-	Missing []Missing `toml:"missing"`
+	// MissingSlope are slopes that formulas need and nothing has measured yet.
+	Missing []MissingSlope `toml:"missing"`
 }
 
 // Machine is where the slopes were measured.
@@ -30,10 +30,10 @@
 	Go    string `toml:"go"`
 }
 
-// Missing names a slope that has not been measured.
-type Missing struct {
-	Name string `toml:"name"`
-	Why  string `toml:"why"`
+// MissingSlope names a slope that has not been measured.
+type MissingSlope struct {
+	Name   string `toml:"name"`
+	Reason string `toml:"why"`
 }
 
 // ReadConstants reads and checks the constants file. All faults are told at once.
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// Figure returns the figure of that name from any list but the slopes.
-func (c *Constants) Figure(name string) (Figure, bool) {
-	for _, list := range [][]Figure{c.Sizes, c.Limits, c.Settings, c.Assumed} {
+// Parameter returns the figure of that name from any list but the slopes.
+func (c *Constants) Parameter(name string) (Parameter, bool) {
+	for _, list := range [][]Parameter{c.Sizes, c.Limits, c.Settings, c.Assumed} {
 		for _, f := range list {
 			if f.Name == name {
 				return f, true
 			}
 		}
 	}
-	return Figure{}, false
+	return Parameter{}, false
 }
--- a/sizing/constants_test.go
+++ b/sizing/constants_test.go
@@ -81,7 +81,7 @@
 	day := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	declared := Slope{Package: "ledger", Benchmark: "BenchmarkSlopeRecords", Axis: "records", Where: []string{"kind=home"}}
 	each, whole, few := declared, declared, declared
-	each.Name, each.Metric, each.Each = "record_bytes", "B/record", true
+	each.Name, each.Metric, each.PerUnit = "record_bytes", "B/record", true
 	whole.Name, whole.Metric = "record_ns", "ns/op"
 	few.Name, few.Metric, few.Where = "witness_ns", "ns/op", []string{"kind=witness"}
 
--- a/sizing/event.go
+++ b/sizing/event.go
@@ -7,13 +7,13 @@
 	// Mechanism is what carries the event.
 	Mechanism string
 	// Callers is what callers see.
-	Callers  string
-	Measures []Measure
+	CallerImpact string
+	Estimates    []Estimate
 }
 
-// Measure is one figure of an event.
-type Measure struct {
-	What    string
-	Unit    Unit
-	Formula Formula
+// Estimate is one figure of an event.
+type Estimate struct {
+	Description string
+	Unit        Unit
+	Formula     Formula
 }
--- a/sizing/figure.go
+++ b/sizing/figure.go
@@ -1,7 +1,7 @@
 package sizing
 
-// Figure is a named constant that was given, set or assumed rather than fitted.
-type Figure struct {
+// Parameter is a named constant that was given, set or assumed rather than fitted.
+type Parameter struct {
 	// Name is used in formulas.
 	Name string `toml:"name"`
 	// Value is the figure at the design size.
@@ -19,7 +19,7 @@
 }
 
 // At returns the figure for a deployment.
-func (f Figure) At(d Deployment) float64 {
+func (f Parameter) ValueFor(d Deployment) float64 {
 	switch {
 	case d == Cucine && f.Cucine != nil:
 		return *f.Cucine
@@ -32,7 +32,7 @@
 
 // Between returns the figure at a part of the way from the first user's
 // deployment of today to the design size.
-func (f Figure) Between(part float64) float64 {
-	today := f.At(Cucine)
+func (f Parameter) Interpolate(part float64) float64 {
+	today := f.ValueFor(Cucine)
 	return today + part*(f.Value-today)
 }
--- a/sizing/files.go
+++ b/sizing/files.go
@@ -70,5 +70,5 @@
 	if err != nil {
 		return "", err
 	}
-	return Place(page, sections)
+	return InsertSections(page, sections)
 }
--- a/sizing/hop.go
+++ b/sizing/hop.go
@@ -1,17 +1,17 @@
 package sizing
 
-// Aim is one of the users' two latency aims.
-type Aim uint8
+// LatencyTarget is one of the users' two latency aims.
+type LatencyTarget uint8
 
 const (
 	// FirstToken is the time from the caller's request to the first token.
-	FirstToken Aim = iota
+	FirstToken LatencyTarget = iota
 	// TokenGap is the time between two tokens.
 	TokenGap
 )
 
 // String returns the aim's name as the page prints it.
-func (a Aim) String() string {
+func (a LatencyTarget) String() string {
 	if a == TokenGap {
 		return "between tokens"
 	}
@@ -19,7 +19,7 @@
 }
 
 // Limit names the constant that holds the aim in seconds.
-func (a Aim) Limit() Formula {
+func (a LatencyTarget) Limit() Formula {
 	if a == TokenGap {
 		return "token_gap_seconds"
 	}
@@ -28,10 +28,10 @@
 
 // Hop is a step on the way of a request or of a token, in seconds.
 type Hop struct {
-	Aim     Aim
-	What    string
-	Formula Formula
+	Target      LatencyTarget
+	Description string
+	Formula     Formula
 	// Far is true if the hop is taken only when the home of the key or the pool is
 	// in another region.
-	Far bool
+	CrossRegion bool
 }
--- a/sizing/item.go
+++ b/sizing/item.go
@@ -28,8 +28,8 @@
 
 // Item is one cost of a role on an average node.
 type Item struct {
-	What     string
-	Kind     Kind
-	Quantity Quantity
-	Formula  Formula
+	Description string
+	Kind        Kind
+	Quantity    Quantity
+	Formula     Formula
 }
--- a/sizing/limit.go
+++ b/sizing/limit.go
@@ -4,7 +4,7 @@
 type Limit struct {
 	Quantity Quantity
 	// What the page calls it.
-	What string
+	Description string
 	// Name is the constant that holds the limit.
 	Name string
 	// Factor is a formula by which the sum is multiplied before it is compared.
@@ -14,7 +14,7 @@
 // Limits returns the users' limits.
 func Limits() []Limit {
 	return []Limit{
-		{Processor, "processor", "limit_core", "1"},
+		{CPU, "processor", "limit_core", "1"},
 		{Memory, "memory: state and the collector's headroom", "limit_memory", "gc_headroom"},
 		{Bytes, "bytes a second", "limit_bytes", "1"},
 	}
--- a/sizing/measurement.go
+++ b/sizing/measurement.go
@@ -85,7 +85,7 @@
 	if !ok {
 		return Point{}, false
 	}
-	if s.Each {
+	if s.PerUnit {
 		total *= size
 	}
 	return Point{size, total}, true
--- a/sizing/page.go
+++ b/sizing/page.go
@@ -15,9 +15,9 @@
 
 func (s Section) end() string { return "<!-- end " + s.Name + " -->" }
 
-// Place puts the sections between their markers in the page. It returns ErrPage
+// InsertSections puts the sections between their markers in the page. It returns ErrPage
 // if a marker is missing.
-func Place(page string, sections []Section) (string, error) {
+func InsertSections(page string, sections []Section) (string, error) {
 	for _, s := range sections {
 		before, rest, ok := strings.Cut(page, s.begin())
 		if !ok {
--- a/sizing/page_test.go
+++ b/sizing/page_test.go
@@ -37,7 +37,7 @@
 	page := read(t, pageFile)
 	constants, err := ReadConstants(strings.NewReader(read(t, constantsFile)))
 	assert.NilError(t, err)
-	for _, list := range [][]Figure{constants.Sizes, constants.Limits, constants.Settings, constants.Assumed} {
+	for _, list := range [][]Parameter{constants.Sizes, constants.Limits, constants.Settings, constants.Assumed} {
 		for i := range list {
 			old := list[i].Value
 			list[i].Value = old*1.25 + 1
@@ -62,7 +62,7 @@
 	assert.NilError(t, err)
 	sections, err := r.Sections()
 	assert.NilError(t, err)
-	rendered, err := Place(page, sections)
+	rendered, err := InsertSections(page, sections)
 	assert.NilError(t, err)
 	return rendered
 }
@@ -74,7 +74,7 @@
 	names, err := f.Names()
 	assert.NilError(t, err)
 	for _, name := range names {
-		if slices.ContainsFunc(c.Assumed, func(a Figure) bool { return a.Name == name }) {
+		if slices.ContainsFunc(c.Assumed, func(a Parameter) bool { return a.Name == name }) {
 			return true
 		}
 		for _, d := range Derivations() {
@@ -97,7 +97,7 @@
 		}
 	}
 	for _, event := range Events() {
-		for _, m := range event.Measures {
+		for _, m := range event.Estimates {
 			all = append(all, m.Formula)
 		}
 	}
@@ -105,7 +105,7 @@
 		all = append(all, p.Formula)
 	}
 	for _, r := range Replacements() {
-		for _, way := range r.Ways {
+		for _, way := range r.Alternatives {
 			all = append(all, way.Formula)
 		}
 	}
@@ -165,7 +165,7 @@
 		whole, err := scope.Eval(c.Whole)
 		assert.NilError(t, err)
 		off := math.Abs(parts.Amount/whole.Amount - 1)
-		assert.Assert(t, off < tolerance, "%s: parts %v, whole %v", c.What, parts.Amount, whole.Amount)
+		assert.Assert(t, off < tolerance, "%s: parts %v, whole %v", c.Description, parts.Amount, whole.Amount)
 	}
 }
 
--- a/sizing/peak.go
+++ b/sizing/peak.go
@@ -2,9 +2,9 @@
 
 // Peak is what a node has to bear that some work falls to more than to others.
 type Peak struct {
-	What     string
-	Quantity Quantity
-	Formula  Formula
+	Description string
+	Quantity    Quantity
+	Formula     Formula
 	// Limit names the constant that holds the limit; empty if none speaks of it.
 	Limit string
 }
@@ -16,7 +16,7 @@
 		{"owner of most pools: prefix tables", Memory, "owned_pools_most * pool_endpoints * prefix_blocks * prefix_block_bytes", "limit_memory"},
 		{"any owner: renewals of all nodes of its data centre", Bytes, "(peers_in_dc + owners_per_dc) / renew_seconds * message_overhead + models * renewal_bytes / renew_seconds", "limit_bytes"},
 		{"owner of the busiest pool: asks, rulings, releases", Bytes, "requests_per_second / data_centres * busiest_pool_part * (grant_request_bytes_base + grant_request_bytes * prompt_blocks + grant_request_messages_base * message_overhead)", ""},
-		{"owner of the busiest pool: decisions and choices", Processor, "requests_per_second / data_centres * busiest_pool_part * (owner_decision_ns_base + route_ns_base + (owner_decision_ns + route_ns) * busiest_pool_part * runners / data_centres) / ns_per_second", "limit_core"},
+		{"owner of the busiest pool: decisions and choices", CPU, "requests_per_second / data_centres * busiest_pool_part * (owner_decision_ns_base + route_ns_base + (owner_decision_ns + route_ns) * busiest_pool_part * runners / data_centres) / ns_per_second", "limit_core"},
 		{"reader of the host list", Bytes, "(nodes + runners) * host_list_bytes / list_seconds", "limit_bytes"},
 		{"coordinator of a model: its engines read", Bytes, "runners / models / coordinator_seconds * engine_report_bytes_base / 2", "limit_bytes"},
 		{"coordinator, if all models share engines: all read", Bytes, "runners / coordinator_seconds * engine_report_bytes_base / 2", "limit_bytes"},
--- a/sizing/quantity.go
+++ b/sizing/quantity.go
@@ -11,13 +11,13 @@
 	// Bytes a second: sent to other nodes; sent to and received from the platform
 	// and the engines, which have no share in the limit.
 	Bytes
-	// Processor is the fraction of one core.
-	Processor
+	// CPU is the fraction of one core.
+	CPU
 )
 
 // Quantities returns all of them in the order of the page's columns.
 func Quantities() []Quantity {
-	return []Quantity{Memory, Messages, Bytes, Processor}
+	return []Quantity{Memory, Messages, Bytes, CPU}
 }
 
 // String returns the quantity's name.
@@ -44,6 +44,6 @@
 	case Bytes:
 		return BytesPerSecond
 	default:
-		return CoreFraction
+		return Fraction
 	}
 }
--- a/sizing/render_constants.go
+++ b/sizing/render_constants.go
@@ -7,7 +7,7 @@
 
 func (r *Renderer) sizes() (string, error) {
 	t := table{header: []string{"name", "design", Cucine.String(), Pryce.String(), "unit", "from"}}
-	for _, list := range [][]Figure{r.constants.Sizes, r.constants.Limits} {
+	for _, list := range [][]Parameter{r.constants.Sizes, r.constants.Limits} {
 		for _, f := range list {
 			t.add(code(f.Name), plain(f.Value), today(f, Cucine), today(f, Pryce), f.Unit, f.Source)
 		}
@@ -15,11 +15,11 @@
 	return t.String(), nil
 }
 
-func today(f Figure, d Deployment) string {
+func today(f Parameter, d Deployment) string {
 	if f.AssumedToday {
-		return plain(f.At(d)) + assumedMark
+		return plain(f.ValueFor(d)) + assumedMark
 	}
-	return plain(f.At(d))
+	return plain(f.ValueFor(d))
 }
 
 func (r *Renderer) settings() (string, error) {
@@ -33,7 +33,7 @@
 func (r *Renderer) assumed() (string, error) {
 	t := table{header: []string{"name", "design", Cucine.String(), Pryce.String(), "unit", "why"}}
 	for _, f := range r.constants.Assumed {
-		t.add(code(f.Name), plain(f.Value)+assumedMark, plain(f.At(Cucine))+assumedMark, plain(f.At(Pryce))+assumedMark, f.Unit, f.Source)
+		t.add(code(f.Name), plain(f.Value)+assumedMark, plain(f.ValueFor(Cucine))+assumedMark, plain(f.ValueFor(Pryce))+assumedMark, f.Unit, f.Source)
 	}
 	return t.String(), nil
 }
--- a/sizing/render_events.go
+++ b/sizing/render_events.go
@@ -3,24 +3,24 @@
 func (r *Renderer) events() (string, error) {
 	t := table{header: []string{"event", "what", "design", Cucine.String(), Pryce.String(), "formula"}}
 	for _, event := range Events() {
-		for _, m := range event.Measures {
+		for _, m := range event.Estimates {
 			cells, err := r.figures(m.Formula, m.Unit)
 			if err != nil {
 				return "", err
 			}
-			t.add(append(append([]string{event.Name, m.What}, cells...), code(string(m.Formula)))...)
+			t.add(append(append([]string{event.Name, m.Description}, cells...), code(string(m.Formula)))...)
 		}
 	}
 	seen := table{header: []string{"event", "what callers see", "carried by"}}
 	for _, event := range Events() {
-		seen.add(event.Name, event.Callers, event.Mechanism)
+		seen.add(event.Name, event.CallerImpact, event.Mechanism)
 	}
 	return t.String() + "\n" + seen.String(), nil
 }
 
 func (r *Renderer) latency() (string, error) {
 	t := table{header: []string{"aim", "hop", "design", "formula"}}
-	for _, aim := range []Aim{FirstToken, TokenGap} {
+	for _, aim := range []LatencyTarget{FirstToken, TokenGap} {
 		if err := r.addHops(&t, aim); err != nil {
 			return "", err
 		}
@@ -28,21 +28,21 @@
 	return t.String(), nil
 }
 
-func (r *Renderer) addHops(t *table, aim Aim) error {
+func (r *Renderer) addHops(t *table, aim LatencyTarget) error {
 	var near, far Value
 	for _, hop := range Hops() {
-		if hop.Aim != aim {
+		if hop.Target != aim {
 			continue
 		}
 		v, err := r.scopes[Design].Eval(hop.Formula)
 		if err != nil {
 			return err
 		}
-		far = far.Plus(v)
-		if !hop.Far {
-			near = near.Plus(v)
+		far = far.Add(v)
+		if !hop.CrossRegion {
+			near = near.Add(v)
 		}
-		t.add(aim.String(), hop.What, show(v, Seconds), code(string(hop.Formula)))
+		t.add(aim.String(), hop.Description, show(v, Seconds), code(string(hop.Formula)))
 	}
 	limit, err := r.scopes[Design].Eval(aim.Limit())
 	if err != nil {
@@ -93,7 +93,7 @@
 	if write {
 		name = "store_writes_per_second"
 	}
-	bound, _ := r.constants.Figure(name)
+	bound, _ := r.constants.Parameter(name)
 	t.add(append(cells, PerSecond.Format(bound.Value)+" allowed: "+verdict(atDesign, bound.Value))...)
 	return nil
 }
--- a/sizing/render_growth.go
+++ b/sizing/render_growth.go
@@ -8,20 +8,20 @@
 	t := table{header: []string{"of the way", "nodes", "bytes a second", "", "with the chosen ways", "", "memory", "", "with the chosen ways", ""}}
 	after := replaced(Roles(), Replacements())
 	for _, part := range growthParts {
-		s, err := NewScopeBetween(r.constants, part)
+		s, err := NewInterpolatedScope(r.constants, part)
 		if err != nil {
 			return "", err
 		}
-		row := []string{CoreFraction.Format(part)}
-		nodes, _ := r.constants.Figure("nodes")
-		row = append(row, plain(float64(int(nodes.Between(part)))))
+		row := []string{Fraction.Format(part)}
+		nodes, _ := r.constants.Parameter("nodes")
+		row = append(row, plain(float64(int(nodes.Interpolate(part)))))
 		for _, limit := range []Limit{limitOn(Bytes), limitOn(Memory)} {
 			for _, roles := range [][]Role{Roles(), after} {
 				sum, err := total(s, roles, readings[0], limit)
 				if err != nil {
 					return "", err
 				}
-				bound, _ := r.constants.Figure(limit.Name)
+				bound, _ := r.constants.Parameter(limit.Name)
 				row = append(row, show(sum, limit.Quantity.Unit()), verdict(sum, bound.Value))
 			}
 		}
--- a/sizing/render_replacements.go
+++ b/sizing/render_replacements.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	ways := append([]Way{{Name: "today's", Formula: item.Formula}}, rep.Ways...)
+	ways := append([]Alternative{{Name: "today's", Formula: item.Formula}}, rep.Alternatives...)
 	for _, way := range ways {
 		v, err := r.scopes[Design].Eval(way.Formula)
 		if err != nil {
@@ -31,7 +31,7 @@
 		if way.Chosen {
 			name = "**chosen:** " + name
 		}
-		t.add(rep.Role+": "+rep.What, name, show(v, item.Quantity.Unit()), code(string(way.Formula)), way.Remark)
+		t.add(rep.Role+": "+rep.ItemDescription, name, show(v, item.Quantity.Unit()), code(string(way.Formula)), way.Remark)
 	}
 	return nil
 }
@@ -40,12 +40,12 @@
 func findItem(rep Replacement) (Item, error) {
 	for _, role := range Roles() {
 		for _, item := range role.Items {
-			if role.Name == rep.Role && item.What == rep.What && item.Quantity == rep.quantity() {
+			if role.Name == rep.Role && item.Description == rep.ItemDescription && item.Quantity == rep.quantity() {
 				return item, nil
 			}
 		}
 	}
-	return Item{}, fmt.Errorf("%w: no item %s of %s", ErrFormula, rep.What, rep.Role)
+	return Item{}, fmt.Errorf("%w: no item %s of %s", ErrFormula, rep.ItemDescription, rep.Role)
 }
 
 func (r *Renderer) sumsAfter() (string, error) {
@@ -61,8 +61,8 @@
 			return "", err
 		}
 		unit := limit.Quantity.Unit()
-		bound, _ := r.constants.Figure(limit.Name)
-		t.add(readings[0].name, limit.What, show(before, unit), show(then, unit), unit.Format(bound.Value), verdict(then, bound.Value))
+		bound, _ := r.constants.Parameter(limit.Name)
+		t.add(readings[0].name, limit.Description, show(before, unit), show(then, unit), unit.Format(bound.Value), verdict(then, bound.Value))
 	}
 	return t.String(), nil
 }
@@ -78,13 +78,13 @@
 		if err != nil {
 			return "", err
 		}
-		t.add(append(append([]string{p.What, p.Quantity.String()}, cells...), code(string(p.Formula)), r.peakVerdict(p, v))...)
+		t.add(append(append([]string{p.Description, p.Quantity.String()}, cells...), code(string(p.Formula)), r.peakVerdict(p, v))...)
 	}
 	return t.String(), nil
 }
 
 func (r *Renderer) peakVerdict(p Peak, v Value) string {
-	bound, ok := r.constants.Figure(p.Limit)
+	bound, ok := r.constants.Parameter(p.Limit)
 	if !ok {
 		return "per request: no limit"
 	}
--- a/sizing/render_roles.go
+++ b/sizing/render_roles.go
@@ -50,7 +50,7 @@
 			if err != nil {
 				return "", err
 			}
-			what := fmt.Sprintf("%s (%s)", item.What, item.Quantity)
+			what := fmt.Sprintf("%s (%s)", item.Description, item.Quantity)
 			t.add(append(append([]string{role.Name, what, item.Kind.String()}, cells...), code(string(item.Formula)))...)
 		}
 	}
--- a/sizing/render_sums.go
+++ b/sizing/render_sums.go
@@ -30,7 +30,7 @@
 }
 
 func (r *Renderer) addSum(t *table, way reading, limit Limit) error {
-	cells := []string{way.name, limit.What}
+	cells := []string{way.name, limit.Description}
 	unit := limit.Quantity.Unit()
 	var atDesign Value
 	for _, d := range deployments {
@@ -47,7 +47,7 @@
 		t.add(append(cells, notCounted, "not control: no limit")...)
 		return nil
 	}
-	bound, _ := r.constants.Figure(limit.Name)
+	bound, _ := r.constants.Parameter(limit.Name)
 	t.add(append(cells, unit.Format(bound.Value), verdict(atDesign, bound.Value))...)
 	return nil
 }
@@ -60,7 +60,7 @@
 		if err != nil {
 			return Value{}, err
 		}
-		total = total.Plus(sum)
+		total = total.Add(sum)
 	}
 	factor, err := s.Eval(limit.Factor)
 	if err != nil {
@@ -77,7 +77,7 @@
 	switch {
 	case sum.Amount > bound:
 		return breaksMark
-	case !sum.Known():
+	case !sum.Complete():
 		return "open: part " + notMeasured
 	default:
 		return "holds"
--- a/sizing/renderer.go
+++ b/sizing/renderer.go
@@ -76,7 +76,7 @@
 	if v.Assumed {
 		text += assumedMark
 	}
-	if !v.Known() {
+	if !v.Complete() {
 		text += ", part " + notMeasured
 	}
 	return text
@@ -106,7 +106,7 @@
 	var b strings.Builder
 	b.WriteString("\nNot measured yet, and left out of the sums:\n\n")
 	for _, m := range r.constants.Missing {
-		fmt.Fprintf(&b, "* %s: %s\n", code(m.Name), m.Why)
+		fmt.Fprintf(&b, "* %s: %s\n", code(m.Name), m.Reason)
 	}
 	return b.String()
 }
--- a/sizing/replacement.go
+++ b/sizing/replacement.go
@@ -4,13 +4,13 @@
 // or carries at too high a part of the limit.
 type Replacement struct {
 	// Role and What name the item.
-	Role string
-	What string
-	Ways []Way
+	Role            string
+	ItemDescription string
+	Alternatives    []Alternative
 }
 
-// Way is one of the ways weighed.
-type Way struct {
+// Alternative is one of the ways weighed.
+type Alternative struct {
 	Name string
 	// Formula is what the item costs in this way.
 	Formula Formula
@@ -36,7 +36,7 @@
 
 func (i Item) replacedBy(role string, replacements []Replacement) Item {
 	for _, r := range replacements {
-		if r.Role == role && r.What == i.What && r.quantity() == i.Quantity {
+		if r.Role == role && r.ItemDescription == i.Description && r.quantity() == i.Quantity {
 			i.Formula = r.chosen().Formula
 		}
 	}
@@ -51,11 +51,11 @@
 	return Bytes
 }
 
-func (r Replacement) chosen() Way {
-	for _, w := range r.Ways {
+func (r Replacement) chosen() Alternative {
+	for _, w := range r.Alternatives {
 		if w.Chosen {
 			return w
 		}
 	}
-	return Way{}
+	return Alternative{}
 }
--- a/sizing/role.go
+++ b/sizing/role.go
@@ -20,7 +20,7 @@
 		if err != nil {
 			return Value{}, err
 		}
-		sum = sum.Plus(v)
+		sum = sum.Add(v)
 	}
 	return sum, nil
 }
@@ -43,7 +43,7 @@
 		if err != nil {
 			return Value{}, err
 		}
-		sum = sum.Plus(v)
+		sum = sum.Add(v)
 	}
 	return sum, nil
 }
--- a/sizing/role_configuration.go
+++ b/sizing/role_configuration.go
@@ -10,7 +10,7 @@
 			{"comparisons and changes", Control, Messages, "document_messages"},
 			{"comparisons", Control, Bytes, "document_rest_bytes_base + document_rest_messages_base * message_overhead"},
 			{"changes", Control, Bytes, "config_changes * (document_change_bytes_base + document_change_bytes * organisations + change_messages * message_overhead)"},
-			{"changes decoded and compiled", Control, Processor, "config_changes * (config_change_ns_base + config_change_ns * organisations) / ns_per_second"},
+			{"changes decoded and compiled", Control, CPU, "config_changes * (config_change_ns_base + config_change_ns * organisations) / ns_per_second"},
 		},
 	}
 }
--- a/sizing/role_entry.go
+++ b/sizing/role_entry.go
@@ -10,9 +10,9 @@
 			{"finished answers kept for replay", Data, Memory, "min(answer_bytes_bound, node_requests * retention_seconds * (finished_answer_bytes_base + finished_answer_bytes * answer_tokens))"},
 			{"prompts in and out", Data, Bytes, "2 * node_requests * prompt_tokens * characters_per_token"},
 			{"tokens in and out", Data, Bytes, "2 * node_tokens * token_event_bytes"},
-			{"requests", Data, Processor, "node_requests * answer_ns_base / ns_per_second"},
-			{"tokens", Data, Processor, "node_tokens * answer_ns / ns_per_second"},
-			{"packing of finished answers", Data, Processor, "node_requests * (pack_answer_ns_base + pack_answer_ns * answer_tokens) / ns_per_second"},
+			{"requests", Data, CPU, "node_requests * answer_ns_base / ns_per_second"},
+			{"tokens", Data, CPU, "node_tokens * answer_ns / ns_per_second"},
+			{"packing of finished answers", Data, CPU, "node_requests * (pack_answer_ns_base + pack_answer_ns * answer_tokens) / ns_per_second"},
 		},
 	}
 }
--- a/sizing/role_ledger.go
+++ b/sizing/role_ledger.go
@@ -15,7 +15,7 @@
 			{"records of the retention window, at home and witness", Request, Memory, "2 * node_requests * retention_seconds * ledger_record_bytes"},
 			{"claim, commit, finish with replies", Request, Messages, "ledger_messages"},
 			{"claim, commit, finish with replies", Request, Bytes, "node_requests * ledger_request_bytes_base + ledger_messages * message_overhead"},
-			{"claim, commit, finish decided", Request, Processor, "node_requests * (ledger_decision_ns_base + ledger_decision_ns * 2 * node_requests * retention_seconds) / ns_per_second"},
+			{"claim, commit, finish decided", Request, CPU, "node_requests * (ledger_decision_ns_base + ledger_decision_ns * 2 * node_requests * retention_seconds) / ns_per_second"},
 		},
 	}
 }
--- a/sizing/role_limits.go
+++ b/sizing/role_limits.go
@@ -8,7 +8,7 @@
 			{"accounts and books of organisations in use", Control, Memory, "organisations_in_use * limits_organisation_bytes"},
 			{"reports and replies", Control, Messages, "limits_messages"},
 			{"reports and replies", Control, Bytes, "organisations_in_use * limits_payload_bytes + limits_messages * message_overhead"},
-			{"admission", Request, Processor, "node_requests * (limits_admit_ns_base + limits_admit_ns * organisations_in_use) / ns_per_second"},
+			{"admission", Request, CPU, "node_requests * (limits_admit_ns_base + limits_admit_ns * organisations_in_use) / ns_per_second"},
 		},
 	}
 }
--- a/sizing/scope.go
+++ b/sizing/scope.go
@@ -23,18 +23,18 @@
 // NewScope returns a scope with all constants of c at a deployment's sizes, its
 // derived figures included.
 func NewScope(c *Constants, d Deployment) (*Scope, error) {
-	assumed := func(f Figure) bool { return f.AssumedToday && d != Design }
-	return newScope(c, func(f Figure) float64 { return f.At(d) }, assumed)
+	assumed := func(f Parameter) bool { return f.AssumedToday && d != Design }
+	return newScope(c, func(f Parameter) float64 { return f.ValueFor(d) }, assumed)
 }
 
-// NewScopeBetween returns a scope at a part of the way from the first user's
+// NewInterpolatedScope returns a scope at a part of the way from the first user's
 // deployment of today to the design size.
-func NewScopeBetween(c *Constants, part float64) (*Scope, error) {
-	assumed := func(f Figure) bool { return f.AssumedToday && part != 1 }
-	return newScope(c, func(f Figure) float64 { return f.Between(part) }, assumed)
+func NewInterpolatedScope(c *Constants, part float64) (*Scope, error) {
+	assumed := func(f Parameter) bool { return f.AssumedToday && part != 1 }
+	return newScope(c, func(f Parameter) float64 { return f.Interpolate(part) }, assumed)
 }
 
-func newScope(c *Constants, at func(Figure) float64, assumed func(Figure) bool) (*Scope, error) {
+func newScope(c *Constants, at func(Parameter) float64, assumed func(Parameter) bool) (*Scope, error) {
 	s := &Scope{
 		values:  make(map[string]float64),
 		assumed: make(map[string]bool),
@@ -53,8 +53,8 @@
 	return s, nil
 }
 
-func (s *Scope) addFigures(c *Constants, at func(Figure) float64, assumed func(Figure) bool) {
-	for _, list := range [][]Figure{c.Sizes, c.Limits, c.Settings, c.Assumed} {
+func (s *Scope) addFigures(c *Constants, at func(Parameter) float64, assumed func(Parameter) bool) {
+	for _, list := range [][]Parameter{c.Sizes, c.Limits, c.Settings, c.Assumed} {
 		for _, f := range list {
 			s.define(f.Name, at(f))
 			s.assumed[f.Name] = assumed(f)
@@ -81,7 +81,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", d.Name, err)
 	}
-	if !v.Known() {
+	if !v.Complete() {
 		s.missing[d.Name] = true
 		return nil
 	}
@@ -107,7 +107,7 @@
 			v.Missing = append(v.Missing, name)
 		}
 	}
-	if !v.Known() {
+	if !v.Complete() {
 		return v, nil
 	}
 	v.Amount, err = s.compute(f)
--- a/sizing/scope_test.go
+++ b/sizing/scope_test.go
@@ -10,10 +10,10 @@
 	seven := 7.0
 	c, err := minimal()
 	assert.NilError(t, err)
-	c.Sizes = append(c.Sizes, Figure{Name: "apples", Value: 3, Cucine: &seven, AssumedToday: true})
-	c.Assumed = append(c.Assumed, Figure{Name: "pears", Value: 4})
+	c.Sizes = append(c.Sizes, Parameter{Name: "apples", Value: 3, Cucine: &seven, AssumedToday: true})
+	c.Assumed = append(c.Assumed, Parameter{Name: "pears", Value: 4})
 	c.Slopes = append(c.Slopes, Slope{Name: "plum_bytes", Fit: Fit{Slope: 5, Intercept: 1}})
-	c.Missing = append(c.Missing, Missing{Name: "figs", Why: "none"})
+	c.Missing = append(c.Missing, MissingSlope{Name: "figs", Reason: "none"})
 	for _, tt := range []struct {
 		formula    Formula
 		deployment Deployment
@@ -53,7 +53,7 @@
 		for _, name := range names {
 			if _, fixed := conversions[name]; !fixed && !derived[name] && !given[name] {
 				given[name] = true
-				c.Sizes = append(c.Sizes, Figure{Name: name, Value: 2})
+				c.Sizes = append(c.Sizes, Parameter{Name: name, Value: 2})
 			}
 		}
 		derived[d.Name] = true
@@ -69,7 +69,7 @@
 	}{
 		{ByteCount, 8_640_000, "8.64 MB"},
 		{BytesPerSecond, 999, "999 B/s"},
-		{CoreFraction, 0.045, "4.50 %"},
+		{Fraction, 0.045, "4.50 %"},
 		{Seconds, 0.00031, "310 µs"},
 		{Seconds, 48, "48.0 s"},
 		{PerSecond, 12345.6, "12,346 /s"},
--- a/sizing/slope.go
+++ b/sizing/slope.go
@@ -24,7 +24,7 @@
 	Where []string `toml:"where,omitempty"`
 	// Each is true if the metric is for one step of the size, so that the total is
 	// the metric times the size.
-	Each bool `toml:"each,omitempty"`
+	PerUnit bool `toml:"each,omitempty"`
 
 	Fit
 
--- a/sizing/storecall.go
+++ b/sizing/storecall.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			return Value{}, err
 		}
-		sum = sum.Plus(v)
+		sum = sum.Add(v)
 	}
 	return sum, nil
 }
--- a/sizing/unit.go
+++ b/sizing/unit.go
@@ -18,8 +18,8 @@
 	ByteCount
 	// BytesPerSecond is a rate of data.
 	BytesPerSecond
-	// CoreFraction is a part of one core's time.
-	CoreFraction
+	// Fraction is a part of one core's time.
+	Fraction
 	// Seconds is a time.
 	Seconds
 )
@@ -34,7 +34,7 @@
 		return prefixed(amount) + "B"
 	case BytesPerSecond:
 		return prefixed(amount) + "B/s"
-	case CoreFraction:
+	case Fraction:
 		return digits(amount*100) + " %"
 	case Seconds:
 		return seconds(amount)
