--- a/sizing/check.go
+++ b/sizing/check.go
@@ -7,43 +7,44 @@
 	"strings"
 )
 
-// Check returns every fault of the constants: names that are not unique or no
-// identifiers, figures without source or unit, slopes that rest on fewer than
-// MinPoints sizes or whose line is not the one through their points.
+// Check returns all errors in the constants, joined: names that are duplicates or not
+// identifiers, parameters without a source or unit, slopes measured at fewer than
+// MinPoints sizes, and slopes whose stored line is not the least-squares fit of
+// their points.
 func (c *Constants) Check() error {
 	names := make(map[string]bool)
-	var faults []error
+	var errs []error
 	for _, list := range [][]Parameter{c.Sizes, c.Limits, c.Settings, c.Assumed} {
-		for _, f := range list {
-			faults = append(faults, checkName(names, f.Name), checkFigure(f))
+		for _, p := range list {
+			errs = append(errs, checkName(names, p.Name), checkParameter(p))
 		}
 	}
 	for _, s := range c.Slopes {
-		faults = append(faults, checkName(names, s.Name), checkSlope(s))
+		errs = append(errs, checkName(names, s.Name), checkSlope(s))
 	}
 	for _, m := range c.Missing {
-		faults = append(faults, checkName(names, m.Name))
+		errs = append(errs, checkName(names, m.Name))
 		if m.Reason == "" {
-			faults = append(faults, fmt.Errorf("%w: missing slope %s has no reason", ErrConstants, m.Name))
+			errs = append(errs, fmt.Errorf("%w: missing slope %s has no reason", ErrConstants, m.Name))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func checkName(seen map[string]bool, name string) error {
 	if !token.IsIdentifier(name) || strings.HasSuffix(name, baseSuffix) {
-		return fmt.Errorf("%w: %q can't be a name", ErrConstants, name)
+		return fmt.Errorf("%w: %q is not a valid name", ErrConstants, name)
 	}
 	if seen[name] {
-		return fmt.Errorf("%w: %s stands twice", ErrConstants, name)
+		return fmt.Errorf("%w: name %s is defined more than once", ErrConstants, name)
 	}
 	seen[name] = true
 	return nil
 }
 
-func checkFigure(f Parameter) error {
-	if f.Source == "" || f.Unit == "" {
-		return fmt.Errorf("%w: %s has no unit or no source", ErrConstants, f.Name)
+func checkParameter(p Parameter) error {
+	if p.Source == "" || p.Unit == "" {
+		return fmt.Errorf("%w: parameter %s lacks a unit or a source", ErrConstants, p.Name)
 	}
 	return nil
 }
@@ -54,10 +55,10 @@
 		return fmt.Errorf("slope %s: %w", s.Name, err)
 	}
 	if fit != s.Fit {
-		return fmt.Errorf("%w: slope %s is %+v, its points give %+v", ErrConstants, s.Name, s.Fit, fit)
+		return fmt.Errorf("%w: slope %s is stored as %+v, but its points fit %+v", ErrConstants, s.Name, s.Fit, fit)
 	}
 	if s.Package == "" || s.Benchmark == "" || s.Metric == "" || s.Date == "" {
-		return fmt.Errorf("%w: slope %s does not say how it was measured", ErrConstants, s.Name)
+		return fmt.Errorf("%w: slope %s lacks its package, benchmark, metric or date", ErrConstants, s.Name)
 	}
 	return nil
 }
--- a/sizing/config_bench_test.go
+++ b/sizing/config_bench_test.go
@@ -18,8 +18,8 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// fleetTable has so many organisations and, in the proportion of the design size,
-// engines.
+// fleetTable returns a table with the given number of organisations, and engines in
+// the proportion of the design size, 2,700 engines to 2,900 organisations.
 func fleetTable(organisations int) config.Table {
 	t := config.Table{Tiers: []config.TierRow{{Name: "gold", DeadlineMillis: 60_000}}}
 	for i := range 33 {
@@ -41,9 +41,9 @@
 	return t
 }
 
-// tableFleet is the table's services of one data centre over an in-memory network
+// configFleet is the configuration services of one data centre on an in-memory network
 // and store.
-type tableFleet struct {
+type configFleet struct {
 	network *peertest.Network
 	store   *memstore.Store
 	nodes   []*agreed.Service
@@ -52,18 +52,18 @@
 	running sync.WaitGroup
 }
 
-func newTableFleet(b *testing.B, nodes int) *tableFleet {
+func newConfigFleet(b *testing.B, nodes int) *configFleet {
 	b.Helper()
-	f := &tableFleet{network: peertest.NewNetwork(), store: memstore.New(memstore.Options{}), inForce: make(chan config.Revision, nodes)}
+	f := &configFleet{network: peertest.NewNetwork(), store: memstore.New(memstore.Options{}), inForce: make(chan config.Revision, nodes)}
 	var peers []membership.Peer
 	for i := range nodes {
-		peers = append(peers, membership.Peer{Member: limitsMember(i)})
+		peers = append(peers, membership.Peer{Member: benchMember(i)})
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	for i := range nodes {
 		documents, err := document.New(document.Options{
-			Transport: f.network.Node(limitsMember(i)), Members: membership.NewStaticView(&membership.Snapshot{Self: limitsMember(i), Peers: peers}),
+			Transport: f.network.Node(benchMember(i)), Members: membership.NewStaticView(&membership.Snapshot{Self: benchMember(i), Peers: peers}),
 			Store: f.store.NewClient(), AntiEntropy: time.Hour, Supervision: 10 * time.Millisecond,
 		})
 		assert.NilError(b, err)
@@ -72,38 +72,39 @@
 		f.nodes = append(f.nodes, node)
 		f.running.Go(func() { _ = documents.Run(ctx) })
 	}
-	time.Sleep(2 * time.Second) // The watchers have begun.
+	time.Sleep(2 * time.Second) // until the watchers have started
 	return f
 }
 
-// edit accepts a change and waits until it is in force on all nodes.
-func (f *tableFleet) edit(b *testing.B, before, after config.Table) {
+// edit makes a change through the first node and waits until it is in force on all
+// nodes.
+func (f *configFleet) edit(b *testing.B, before, after config.Table) {
 	b.Helper()
 	edit := document.Edit{ID: document.NewEditID(), Author: "bench"}
 	version, err := f.nodes[0].Edit(b.Context(), edit, config.Diff(before, after))
 	assert.NilError(b, err)
-	for left := len(f.nodes); left > 0; {
+	for pending := len(f.nodes); pending > 0; {
 		if <-f.inForce == config.Revision(version.Generation) {
-			left--
+			pending--
 		}
 	}
-	time.Sleep(50 * time.Millisecond) // The watchers have seen it.
+	time.Sleep(50 * time.Millisecond) // until the watchers have seen it
 }
 
-func (f *tableFleet) close() {
+func (f *configFleet) close() {
 	f.stop()
 	f.running.Wait()
 	f.network.Close()
 }
 
-// measureConfigChange reports what a change of one cell costs a node, what the
-// whole table does, and the calls to the store.
+// measureConfigChange reports the traffic of a node for a change of one cell and for
+// the initial distribution of the whole table, and the calls to the store.
 func measureConfigChange(b *testing.B, nodes, organisations int) {
-	f := newTableFleet(b, nodes)
+	f := newConfigFleet(b, nodes)
 	defer f.close()
 	table := fleetTable(organisations)
 	f.edit(b, config.Table{}, table)
-	whole := f.network.Total("")
+	initial := f.network.Total("")
 	f.network.ResetCounts()
 	before, changes := f.store.Counts(), 0
 	for b.Loop() {
@@ -114,22 +115,23 @@
 		changes++
 	}
 	sent, after := f.network.Total(""), f.store.Counts()
-	b.ReportMetric(float64(whole.Bytes)/float64(nodes), "whole-table-B")
+	b.ReportMetric(float64(initial.Bytes)/float64(nodes), "whole-table-B")
 	b.ReportMetric(float64(sent.Bytes)/float64(nodes*changes), "B/change")
 	b.ReportMetric(float64(sent.Messages)/float64(nodes*changes), "messages/change")
 	b.ReportMetric(float64(after.Reads+after.Watches-before.Reads-before.Watches)/float64(changes), "store-reads/change")
 	b.ReportMetric(float64(after.Writes-before.Writes)/float64(changes), "store-writes/change")
 }
 
-// BenchmarkSlopeConfigChange measures a change of one cell at the 24 nodes of a
-// data centre, by the organisations of the table.
+// BenchmarkSlopeConfigChange measures a change of one cell in a data centre of 24
+// nodes, for several numbers of organisations in the table.
 func BenchmarkSlopeConfigChange(b *testing.B) {
 	for _, organisations := range []int{290, 1450, 2900} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) { measureConfigChange(b, 24, organisations) })
 	}
 }
 
-// BenchmarkSlopeConfigNodes measures the same by the nodes of the data centre.
+// BenchmarkSlopeConfigNodes measures a change of one cell for several numbers of nodes
+// in the data centre.
 func BenchmarkSlopeConfigNodes(b *testing.B) {
 	for _, nodes := range []int{7, 24, 48} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) { measureConfigChange(b, nodes, 1450) })
--- a/sizing/constants.go
+++ b/sizing/constants.go
@@ -7,24 +7,25 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Constants is the constants file.
+// Constants is the content of the constants file.
 type Constants struct {
 	Machine Machine `toml:"machine"`
-	// Sizes are the users' figures.
+	// Sizes are the fleet sizes and loads that the users stated.
 	Sizes []Parameter `toml:"size"`
-	// Limits are the users' limits.
+	// Limits are the limits that the users set on resource use.
 	Limits []Parameter `toml:"limit"`
-	// Settings repeat defaults of the code; a test compares them.
+	// Settings repeat defaults of the code; a test compares the two.
 	Settings []Parameter `toml:"setting"`
-	// Assumed are figures that can't be measured here, with the reason for each.
+	// Assumed are values that can't be measured with this repository's benchmarks, with
+	// the reason for each.
 	Assumed []Parameter `toml:"assumed"`
-	// Slopes are what benchmarks measured.
+	// Slopes are the lines fitted to benchmark results.
 	Slopes []Slope `toml:"slope"`
-	// MissingSlope are slopes that formulas need and nothing has measured yet.
+	// Missing are slopes that formulas use but that have not been measured yet.
 	Missing []MissingSlope `toml:"missing"`
 }
 
-// Machine is where the slopes were measured.
+// Machine describes the computer on which the slopes were measured.
 type Machine struct {
 	Cores int    `toml:"cores"`
 	Go    string `toml:"go"`
@@ -36,7 +37,8 @@
 	Reason string `toml:"why"`
 }
 
-// ReadConstants reads and checks the constants file. All faults are told at once.
+// ReadConstants reads and checks the constants file. The error reports all invalid
+// entries, not only the first.
 func ReadConstants(r io.Reader) (*Constants, error) {
 	c, err := DecodeConstants(r)
 	if err != nil {
@@ -48,8 +50,8 @@
 	return c, nil
 }
 
-// DecodeConstants reads the constants file without checking it, so that slopes
-// which only say how they are measured can be filled.
+// DecodeConstants reads the constants file without checking it. Refit needs this for
+// new slopes, which state how they are measured but have no points yet.
 func DecodeConstants(r io.Reader) (*Constants, error) {
 	var c Constants
 	meta, err := toml.NewDecoder(r).Decode(&c)
@@ -62,16 +64,16 @@
 	return &c, nil
 }
 
-// header opens the constants file.
-const header = `# Constants of docs/CAPACITY.md. Sizes, limits, settings and assumed figures are
+// fileHeader is the comment at the top of the constants file.
+const fileHeader = `# Constants of docs/CAPACITY.md. Sizes, limits, settings and assumed figures are
 # edited by hand; slopes are filled by hawthornrill-sizing fit. See
 # docs/operators/capacity-planning.md.
 
 `
 
-// Write writes the constants file.
+// Write writes the constants in TOML.
 func (c *Constants) Write(w io.Writer) error {
-	if _, err := io.WriteString(w, header); err != nil {
+	if _, err := io.WriteString(w, fileHeader); err != nil {
 		return fmt.Errorf("sizing: write constants: %w", err)
 	}
 	encoder := toml.NewEncoder(w)
@@ -82,12 +84,12 @@
 	return nil
 }
 
-// Parameter returns the figure of that name from any list but the slopes.
+// Parameter returns the parameter of that name. Slopes are not searched.
 func (c *Constants) Parameter(name string) (Parameter, bool) {
 	for _, list := range [][]Parameter{c.Sizes, c.Limits, c.Settings, c.Assumed} {
-		for _, f := range list {
-			if f.Name == name {
-				return f, true
+		for _, p := range list {
+			if p.Name == name {
+				return p, true
 			}
 		}
 	}
--- a/sizing/constants_test.go
+++ b/sizing/constants_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const goodSlope = `
+const validSlope = `
 [[slope]]
 name = "record_bytes"
 unit = "bytes"
@@ -25,24 +25,24 @@
 points = [[1.0, 12.0], [2.0, 14.0], [4.0, 18.0]]
 `
 
-func TestReadConstantsRefuses(t *testing.T) {
+func TestReadConstantsRejectsInvalid(t *testing.T) {
 	size := "[[size]]\nname = \"nodes\"\nvalue = 7\nunit = \"nodes\"\nsource = \"letter\"\n"
 	for name, tt := range map[string]struct {
 		text string
 		want string
 	}{
-		"good":             {size + goodSlope, ""},
-		"two sizes":        {strings.Replace(goodSlope, "[4.0, 18.0]", "[2.0, 14.0]", 1), "2 sizes, 3 needed"},
-		"no points":        {goodSlope[:strings.Index(goodSlope, "points")], "0 sizes, 3 needed"},
-		"another line":     {strings.Replace(goodSlope, "slope = 2.0", "slope = 1.0", 1), "its points give"},
-		"no command":       {strings.Replace(goodSlope, "BenchmarkSlopeRecords", "", 1), "does not say how it was measured"},
-		"name twice":       {size + size, "nodes stands twice"},
-		"no source":        {strings.Replace(size, "letter", "", 1), "no source"},
-		"no identifier":    {strings.Replace(size, "\"nodes\"\nvalue", "\"no des\"\nvalue", 1), "can't be a name"},
-		"unknown key":      {size + "assumption = 1\n", "unknown key"},
-		"missing, no why":  {"[[missing]]\nname = \"x\"\nwhy = \"\"\n", "no reason"},
-		"assumed, no why":  {strings.Replace(strings.Replace(size, "[[size]]", "[[assumed]]", 1), "letter", "", 1), "no source"},
-		"missing measured": {goodSlope + "[[missing]]\nname = \"record_bytes\"\nwhy = \"later\"\n", "stands twice"},
+		"valid":             {size + validSlope, ""},
+		"two sizes":         {strings.Replace(validSlope, "[4.0, 18.0]", "[2.0, 14.0]", 1), "2 sizes, 3 needed"},
+		"no points":         {validSlope[:strings.Index(validSlope, "points")], "0 sizes, 3 needed"},
+		"wrong fit":         {strings.Replace(validSlope, "slope = 2.0", "slope = 1.0", 1), "but its points fit"},
+		"no benchmark":      {strings.Replace(validSlope, "BenchmarkSlopeRecords", "", 1), "lacks its package, benchmark, metric or date"},
+		"duplicate name":    {size + size, "name nodes is defined more than once"},
+		"no source":         {strings.Replace(size, "letter", "", 1), "lacks a unit or a source"},
+		"invalid name":      {strings.Replace(size, "\"nodes\"\nvalue", "\"no des\"\nvalue", 1), "is not a valid name"},
+		"unknown key":       {size + "assumption = 1\n", "unknown key"},
+		"missing no reason": {"[[missing]]\nname = \"x\"\nwhy = \"\"\n", "no reason"},
+		"assumed no source": {strings.Replace(strings.Replace(size, "[[size]]", "[[assumed]]", 1), "letter", "", 1), "lacks a unit or a source"},
+		"missing measured":  {validSlope + "[[missing]]\nname = \"record_bytes\"\nwhy = \"later\"\n", "is defined more than once"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ReadConstants(strings.NewReader(tt.text))
@@ -58,7 +58,8 @@
 func TestFitLine(t *testing.T) {
 	fit, err := FitLine([]Point{{1, 3}, {2, 5}, {3, 7}, {4, 11}})
 	assert.NilError(t, err)
-	// By hand: Sxx 5, Sxy 13; residuals 0.4 -0.2 -0.8 0.6, squared 1.2, over 2 is 0.6.
+	// Expected values computed by hand: Sxx 5, Sxy 13; the residuals 0.4 -0.2 -0.8 0.6
+	// have a sum of squares of 1.2, which over 2 degrees of freedom is 0.6.
 	assert.DeepEqual(t, fit, Fit{Slope: 2.6, SlopeError: 0.34641, Intercept: 0, InterceptError: 0.94868})
 
 	_, err = FitLine([]Point{{1, 3}, {1, 3.1}, {2, 5}})
@@ -80,12 +81,12 @@
 	assert.NilError(t, err)
 	day := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	declared := Slope{Package: "ledger", Benchmark: "BenchmarkSlopeRecords", Axis: "records", Where: []string{"kind=home"}}
-	each, whole, few := declared, declared, declared
-	each.Name, each.Metric, each.PerUnit = "record_bytes", "B/record", true
-	whole.Name, whole.Metric = "record_ns", "ns/op"
-	few.Name, few.Metric, few.Where = "witness_ns", "ns/op", []string{"kind=witness"}
+	perUnit, total, tooFew := declared, declared, declared
+	perUnit.Name, perUnit.Metric, perUnit.PerUnit = "record_bytes", "B/record", true
+	total.Name, total.Metric = "record_ns", "ns/op"
+	tooFew.Name, tooFew.Metric, tooFew.Where = "witness_ns", "ns/op", []string{"kind=witness"}
 
-	c := Constants{Slopes: []Slope{each, whole}}
+	c := Constants{Slopes: []Slope{perUnit, total}}
 	fitted, err := c.Refit(measurements, day)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, fitted, []string{"record_bytes", "record_ns"})
@@ -94,7 +95,7 @@
 	assert.DeepEqual(t, c.Slopes[1].Points, []Point{{1, 50}, {2, 60}, {4, 80}})
 	assert.NilError(t, c.Check())
 
-	c = Constants{Slopes: []Slope{few}}
+	c = Constants{Slopes: []Slope{tooFew}}
 	_, err = c.Refit(measurements, day)
 	assert.ErrorIs(t, err, ErrFewPoints)
 }
--- a/sizing/crosscheck.go
+++ b/sizing/crosscheck.go
@@ -1,7 +1,7 @@
 package sizing
 
-// CrossCheck compares the sum of what was measured in parts with what was measured
-// of whole nodes, at the size of a data centre.
+// CrossCheck compares the sum of separately measured components with a measurement of
+// whole nodes, at the size of one data centre.
 type CrossCheck struct {
 	Description string
 	Unit        Unit
@@ -9,8 +9,8 @@
 	Whole       Formula
 }
 
-// CrossChecks returns the comparisons of a node at rest: without a request, and
-// with no other data centre.
+// CrossChecks returns the comparisons for an idle node: no requests and no other data
+// centre.
 func CrossChecks() []CrossCheck {
 	return []CrossCheck{
 		{
--- a/sizing/deployment.go
+++ b/sizing/deployment.go
@@ -1,18 +1,18 @@
 package sizing
 
-// Deployment is a set of sizes that the sums are worked out for.
+// Deployment selects the set of sizes that the costs are computed for.
 type Deployment uint8
 
 const (
-	// Design is the size that the users design for.
+	// Design is the size that the users plan for.
 	Design Deployment = iota
-	// Cucine is the first user's deployment of today.
+	// Cucine is the first user's current deployment.
 	Cucine
-	// Pryce is the second user's deployment of today.
+	// Pryce is the second user's current deployment.
 	Pryce
 )
 
-// String returns the deployment's name as the page prints it.
+// String returns the deployment's column heading in the tables.
 func (d Deployment) String() string {
 	switch d {
 	case Cucine:
--- a/sizing/derivation.go
+++ b/sizing/derivation.go
@@ -1,13 +1,14 @@
 package sizing
 
-// Derivation names a figure that several formulas use.
+// Derivation is a named intermediate value that several formulas use.
 type Derivation struct {
 	Name    string
 	Unit    string
 	Formula Formula
 }
 
-// Derivations returns the derived figures; each may use those before it.
+// Derivations returns the derived values in order of evaluation: each may use only
+// those before it.
 func Derivations() []Derivation {
 	var all []Derivation
 	for _, list := range [][]Derivation{loadDerivations, eventRates, messageRates, linkDerivations, eventDerivations} {
@@ -16,7 +17,8 @@
 	return all
 }
 
-// loadDerivations are about what one node has in hand.
+// loadDerivations are the load on an average node and the sizes of pools and data
+// centres.
 var loadDerivations = []Derivation{
 	{"nodes_per_dc", "nodes", "nodes / data_centres"},
 	{"peers_in_dc", "nodes", "nodes_per_dc - 1"},
@@ -39,20 +41,21 @@
 	{"cache_events", "events/s a node", "node_requests * prompt_blocks * uncached_part * 2"},
 }
 
-// eventRates are how often the fleet changes.
+// eventRates are the rates of configuration changes, restarts and failures.
 var eventRates = []Derivation{
 	{"config_changes", "changes/s", "config_changes_per_day / seconds_per_day"},
 	{"life_changes", "lives/s", "(restarts_per_day + failures_per_day) / seconds_per_day"},
 	{"table_losses", "epochs/s a data centre that collect all records", "(2 * restarts_per_day + failures_per_day) / data_centres / seconds_per_day"},
 }
 
-// eventDerivations are about events.
+// eventDerivations are values that the formulas of events use.
 var eventDerivations = []Derivation{
 	{"table_watchers", "calls that wait at the store all the time", "2 * watchers * data_centres"},
 	{"burst_at_busiest", "asks", "requests_per_second / data_centres * busiest_pool_part * burst_seconds"},
 }
 
-// messageRates are messages that a node sends a second, replies included.
+// messageRates are the messages, replies included, that an average node sends per
+// second, and the values that they are computed from.
 var messageRates = []Derivation{
 	{"renewal_messages", "messages/s", "2 * owners_per_dc / renew_seconds"},
 	{"limits_messages", "messages/s", "organisations_in_use * limits_fleet_messages"},
@@ -70,8 +73,8 @@
 	{"message_overhead", "bytes a message", "link_wire_bytes_base + ip_tcp_bytes"},
 }
 
-// linkDerivations are about open links between nodes. Partners are met at random;
-// exp(-k/n) is the part of n nodes that k meetings miss.
+// linkDerivations are the open links between nodes. A node picks the peers it contacts
+// at random; exp(-k/n) is the fraction of n nodes that k random contacts miss.
 var linkDerivations = []Derivation{
 	{"limits_partners", "part of all nodes", "1 - exp(-organisations_in_use / nodes)"},
 	{"limits_links", "links", "nodes * limits_partners * (2 - limits_partners)"},
--- a/sizing/doc.go
+++ b/sizing/doc.go
@@ -1,12 +1,14 @@
-// Package sizing works out docs/CAPACITY.md: what each role of a node costs at
-// the size that the users design for, from slopes that benchmarks measured.
+// Package sizing computes the tables of docs/CAPACITY.md: the memory, messages, bytes
+// and CPU that each role of a node needs at the design size, extrapolated from lines
+// fitted to benchmark results.
 //
-// One file, docs/capacity.toml, holds every constant: the users' sizes, their
-// limits, the settings of the code, the slopes with their points, and what is
-// assumed. A Formula is an arithmetic expression over these names; the text that
-// the page shows is the very text that is evaluated. A figure that rests on an
-// assumed constant, at whatever distance, is marked as assumed in the page.
+// docs/capacity.toml holds every constant: the users' sizes and limits, the settings
+// of the code, the fitted slopes with their points, and assumed values. A Formula is
+// an arithmetic expression over the names of these constants; the page shows exactly
+// the text that is evaluated. A value that depends on an assumed constant, directly or
+// through derived values, is marked as assumed in the page.
 //
-// The package does no I/O but on the readers and writers given to it, and
-// starts no process.
+// FitFile and RenderFile read and write the files that they are given; the rest of the
+// package uses only the readers and writers passed to it. The package starts no
+// process.
 package sizing
--- a/sizing/endpoint_bench_test.go
+++ b/sizing/endpoint_bench_test.go
@@ -19,7 +19,7 @@
 	"hawthornrill.example/hawthornrill/ledger"
 )
 
-// countingListener counts the bytes of its connections, both ways.
+// countingListener counts the bytes read from and written to its connections.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -27,19 +27,20 @@
 
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	return bothWays{countingConn{conn, l.bytes}}, err
+	return readWriteCountingConn{countingConn{conn, l.bytes}}, err
 }
 
-// bothWays counts what is read too.
-type bothWays struct{ countingConn }
+// readWriteCountingConn counts bytes read as well as bytes written.
+type readWriteCountingConn struct{ countingConn }
 
-func (c bothWays) Read(p []byte) (int, error) {
+func (c readWriteCountingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// reportServer answers like an engine that has so many cache events to tell.
+// reportServer starts an engine's load report and cache event interfaces, with the given
+// number of cache events, and returns its URL. It counts the bytes transferred.
 func reportServer(b *testing.B, events int, bytes *atomic.Int64) string {
 	b.Helper()
 	list := make([]endpoint.CacheEvent, events)
@@ -58,9 +59,9 @@
 	return server.URL
 }
 
-// BenchmarkSlopeEngineReport measures what an owner's reading of one engine's load
-// and cache events takes on the connection, both ways, and in processor time of
-// both ends, by the events.
+// BenchmarkSlopeEngineReport measures the bytes in both directions and the CPU time of
+// both ends when an owner reads one engine's load and cache events, for several numbers
+// of events.
 func BenchmarkSlopeEngineReport(b *testing.B) {
 	for _, events := range []int{0, 100, 400, 1600} {
 		b.Run(fmt.Sprintf("events=%d", events), func(b *testing.B) {
@@ -74,19 +75,19 @@
 				assert.Equal(b, len(got), events)
 			}
 			read()
-			before, began := bytes.Load(), processorTime()
+			before, cpuBefore := bytes.Load(), cpuTime()
 			for b.Loop() {
 				read()
 			}
-			used := processorTime() - began
+			used := cpuTime() - cpuBefore
 			b.ReportMetric(float64(bytes.Load()-before)/float64(b.N), "B/reading")
 			b.ReportMetric(float64(used.Nanoseconds())/float64(b.N), "cpu-ns/reading")
 		})
 	}
 }
 
-// BenchmarkSlopeLedgerTable measures the stored form of a data centre's ledger
-// table, by its members.
+// BenchmarkSlopeLedgerTable measures the encoded size of a data centre's ledger table
+// for several numbers of members.
 func BenchmarkSlopeLedgerTable(b *testing.B) {
 	for _, members := range []int{7, 24, 48} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
@@ -107,14 +108,14 @@
 	}
 }
 
-// BenchmarkSlopeHostList measures the platform's host list as this repository's
-// adapter reads it, by its hosts.
+// BenchmarkSlopeHostList measures the size of the platform's host list, in the format
+// that this repository's adapter reads, for several numbers of hosts.
 func BenchmarkSlopeHostList(b *testing.B) {
 	for _, hosts := range []int{37, 370, 3700} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
 			var list []hostlist.Host
 			for i := range hosts {
-				list = append(list, hostOf(fleetMember(i%21, i, 1)))
+				list = append(list, hostEntry(fleetMember(i%21, i, 1)))
 			}
 			var size int
 			for b.Loop() {
--- a/sizing/evaluate.go
+++ b/sizing/evaluate.go
@@ -8,12 +8,12 @@
 	"strconv"
 )
 
-// functions may be called in formulas.
+// functions are the functions that formulas may call.
 var functions = map[string]func(args []float64) (float64, error){
-	"min": func(args []float64) (float64, error) { return two(args, math.Min) },
-	"max": func(args []float64) (float64, error) { return two(args, math.Max) },
-	// exp is the exponential function; exp(-k/n) is the part of n things that k
-	// random choices miss.
+	"min": func(args []float64) (float64, error) { return applyBinary(args, math.Min) },
+	"max": func(args []float64) (float64, error) { return applyBinary(args, math.Max) },
+	// Formulas use exp(-k/n), the expected fraction of n items that k random choices
+	// miss.
 	"exp": func(args []float64) (float64, error) {
 		if len(args) != 1 {
 			return 0, fmt.Errorf("%w: exp takes one argument", ErrFormula)
@@ -22,14 +22,15 @@
 	},
 }
 
-func two(args []float64, f func(x, y float64) float64) (float64, error) {
+func applyBinary(args []float64, f func(x, y float64) float64) (float64, error) {
 	if len(args) != 2 {
 		return 0, fmt.Errorf("%w: min and max take two arguments", ErrFormula)
 	}
 	return f(args[0], args[1]), nil
 }
 
-// evaluator computes an expression; its values are the constants by name.
+// evaluator evaluates an expression; values maps the names of constants to their
+// values.
 type evaluator struct{ values map[string]float64 }
 
 func (e evaluator) expr(x ast.Expr) (float64, error) {
@@ -47,7 +48,7 @@
 	case *ast.CallExpr:
 		return e.call(x)
 	default:
-		return 0, fmt.Errorf("%w: %T has no place in a formula", ErrFormula, x)
+		return 0, fmt.Errorf("%w: %T is not allowed in a formula", ErrFormula, x)
 	}
 }
 
@@ -62,7 +63,7 @@
 func (e evaluator) name(name string) (float64, error) {
 	v, ok := e.values[name]
 	if !ok {
-		return 0, fmt.Errorf("%w: %s is no constant", ErrFormula, name)
+		return 0, fmt.Errorf("%w: constant %s is not defined", ErrFormula, name)
 	}
 	return v, nil
 }
@@ -70,7 +71,7 @@
 func (e evaluator) unary(x *ast.UnaryExpr) (float64, error) {
 	v, err := e.expr(x.X)
 	if err != nil || x.Op != token.SUB {
-		return 0, fmt.Errorf("%w: operator %s", ErrFormula, x.Op)
+		return 0, fmt.Errorf("%w: unsupported operator %s", ErrFormula, x.Op)
 	}
 	return -v, nil
 }
@@ -94,7 +95,7 @@
 	case token.QUO:
 		return left / right, nil
 	default:
-		return 0, fmt.Errorf("%w: operator %s", ErrFormula, x.Op)
+		return 0, fmt.Errorf("%w: unsupported operator %s", ErrFormula, x.Op)
 	}
 }
 
--- a/sizing/event.go
+++ b/sizing/event.go
@@ -1,17 +1,17 @@
 package sizing
 
-// Event is something that happens to the fleet, with what it costs, how long it
-// takes to settle and what callers see meanwhile.
+// Event is a failure or a change in the fleet, with its cost, the time until the fleet
+// has recovered and the effect on callers until then.
 type Event struct {
 	Name string
-	// Mechanism is what carries the event.
+	// Mechanism is how the fleet detects and handles the event.
 	Mechanism string
-	// Callers is what callers see.
+	// CallerImpact is what callers observe.
 	CallerImpact string
 	Estimates    []Estimate
 }
 
-// Estimate is one figure of an event.
+// Estimate is one computed cost or duration of an event.
 type Estimate struct {
 	Description string
 	Unit        Unit
--- a/sizing/events.go
+++ b/sizing/events.go
@@ -1,14 +1,14 @@
 package sizing
 
-// Events returns the events that the fleet lives through.
+// Events returns the failures and changes that the page covers.
 func Events() []Event {
 	return []Event{
-		restartEvent(), deathEvent(), switchEvent(), dataCentreEvent(),
-		partitionEvent(), storeEvent(), burstEvent(), changeEvent(),
+		nodeRestartEvent(), nodeFailureEvent(), switchFailureEvent(), dataCentreFailureEvent(),
+		partitionEvent(), storeOutageEvent(), loadBurstEvent(), configChangeEvent(),
 	}
 }
 
-func restartEvent() Event {
+func nodeRestartEvent() Event {
 	return Event{
 		Name:         "a node is restarted or replaced",
 		Mechanism:    "notice, drain, hand-over of records, farewell; the next life joins by one peer, takes the configuration from peers and its place in the ledger table by one write",
@@ -26,7 +26,7 @@
 	}
 }
 
-func deathEvent() Event {
+func nodeFailureEvent() Event {
 	return Event{
 		Name:         "a node dies",
 		Mechanism:    "probes, relays and suspicion within the data centre; grants of silent holders expire; the life leaves the ledger table once it is off the host list too",
@@ -43,7 +43,7 @@
 	}
 }
 
-func switchEvent() Event {
+func switchFailureEvent() Event {
 	return Event{
 		Name:         "a switch takes 48 hosts at once",
 		Mechanism:    "the data centre's delegates no longer answer: others hold it cut off; its callers come in elsewhere by the platform's balancer; its keys stay undecided",
@@ -61,7 +61,7 @@
 	}
 }
 
-func dataCentreEvent() Event {
+func dataCentreFailureEvent() Event {
 	return Event{
 		Name:         "a data centre dies",
 		Mechanism:    "as for the switch; pools are a data centre's own, so no owner elsewhere changes; asks go to other data centres' owners before anything is shed",
@@ -91,7 +91,7 @@
 	}
 }
 
-func storeEvent() Event {
+func storeOutageEvent() Event {
 	return Event{
 		Name:         "the store is down for an hour",
 		Mechanism:    "nothing on a request's path needs it; nodes back off with jitter, one call at a time; a node that starts takes the configuration from peers",
@@ -104,7 +104,7 @@
 	}
 }
 
-func burstEvent() Event {
+func loadBurstEvent() Event {
 	return Event{
 		Name:         "a burst of twice the peak",
 		Mechanism:    "owners queue by tier and weight, refuse what can't be on time, revoke the lowest tier's grants for a higher one",
@@ -120,7 +120,7 @@
 	}
 }
 
-func changeEvent() Event {
+func configChangeEvent() Event {
 	return Event{
 		Name:         "a configuration is changed",
 		Mechanism:    "one write of the changed part and of the head; two watchers a data centre, then a tree of eight children a node; a node compiles the whole table",
--- a/sizing/files.go
+++ b/sizing/files.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// filePermissions are those of the constants file and of the page.
+// filePermissions is the mode of the constants file and the page if they are created.
 const filePermissions = 0o644
 
-// FitFile reads benchmark output and fits the slopes of the constants file at
-// path anew. It returns the names of those it fitted. The file is written only
-// if all of its slopes are sound after it.
+// FitFile reads benchmark output and refits the slopes of the constants file at path
+// that it has results for. It returns the names of the refitted slopes. The file is
+// written only if all of its constants pass Check after the refit.
 func FitFile(path string, output io.Reader, day time.Time) ([]string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -39,7 +39,8 @@
 	return fitted, os.WriteFile(path, b.Bytes(), filePermissions)
 }
 
-// RenderFile works out the tables of the page from the constants file.
+// RenderFile computes the tables of the page from the constants file and writes them
+// into the page.
 func RenderFile(constantsPath, pagePath string) error {
 	text, err := os.ReadFile(constantsPath)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return os.WriteFile(pagePath, []byte(rendered), filePermissions)
 }
 
-// Render returns the page with its tables worked out from the constants.
+// Render returns the page with its tables computed from the constants.
 func Render(constants io.Reader, page string) (string, error) {
 	c, err := ReadConstants(constants)
 	if err != nil {
--- a/sizing/formula.go
+++ b/sizing/formula.go
@@ -7,11 +7,12 @@
 	"sync"
 )
 
-// Formula is an arithmetic expression over names of constants, written as a Go
-// expression: + - * / ( ) and the functions of this package.
+// Formula is an arithmetic expression over names of constants in Go syntax: numbers,
+// + - * / ( ) and the functions min, max and exp.
 type Formula string
 
-// Names returns the names that the formula uses, each once, in order.
+// Names returns the names of constants in the formula, without duplicates, in order of
+// first use.
 func (f Formula) Names() ([]string, error) {
 	expr, err := f.parse()
 	if err != nil {
@@ -30,7 +31,8 @@
 	return names, nil
 }
 
-// parsed keeps the expressions of formulas, which are few and read often.
+// parsed caches the syntax trees of formulas: there are few of them and each is
+// evaluated many times.
 var parsed sync.Map
 
 func (f Formula) parse() (ast.Expr, error) {
--- a/sizing/hops.go
+++ b/sizing/hops.go
@@ -1,6 +1,6 @@
 package sizing
 
-// Hops returns the steps on the way of a request and of a token.
+// Hops returns the steps in the paths of a request and of a token.
 func Hops() []Hop {
 	return []Hop{
 		{FirstToken, "caller to entry node and first token back", "2 * client_seconds", false},
--- a/sizing/item.go
+++ b/sizing/item.go
@@ -1,16 +1,16 @@
 package sizing
 
-// Kind tells what makes an item's cost grow.
+// Kind classifies a cost by what causes it.
 type Kind uint8
 
 const (
-	// Control goes on without a single request: membership, ownership,
+	// Control is work that is done even without requests: membership, ownership,
 	// configuration, coordination.
 	Control Kind = iota
-	// Request is coordination between nodes for each request: asks, grants, claims,
-	// commits, and the decisions and records that belong to them.
+	// Request is coordination between nodes for each request: capacity requests,
+	// grants, claims and commits, with their decisions and records.
 	Request
-	// Data is the callers' requests and answers themselves, on their way through.
+	// Data is the transfer of callers' requests and answers through the node.
 	Data
 )
 
--- a/sizing/limit.go
+++ b/sizing/limit.go
@@ -1,13 +1,14 @@
 package sizing
 
-// Limit holds what a node may spend on control.
+// Limit is the users' limit on what a node may use of a quantity for control.
 type Limit struct {
 	Quantity Quantity
-	// What the page calls it.
+	// Description is the text in the page.
 	Description string
-	// Name is the constant that holds the limit.
+	// Name is the name of the constant that holds the limit.
 	Name string
-	// Factor is a formula by which the sum is multiplied before it is compared.
+	// Factor is a formula for the factor by which the sum is multiplied before the
+	// comparison.
 	Factor Formula
 }
 
--- a/sizing/limits_bench_test.go
+++ b/sizing/limits_bench_test.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	// limitsNodes are in the fleet, so that nearly every organisation has an owner of
-	// its own.
+	// limitsNodes is the number of nodes in the fleet. It is large enough that nearly
+	// every organisation has an owner to itself.
 	limitsNodes = 1000
-	// limitsCompress is how many times faster than usual the exchange runs.
-	limitsCompress = 50
-	// limitsRounds is for how many quiet intervals it is counted.
-	limitsRounds = 5
+	// limitsSpeedup is the factor by which the report intervals are shortened.
+	limitsSpeedup = 50
+	// limitsIntervals is the number of slow report intervals in the measurement window.
+	limitsIntervals = 5
 )
 
-func limitsMember(i int) domain.Member {
+func benchMember(i int) domain.Member {
 	return domain.Member{Node: domain.NodeID(fmt.Sprintf("node-%03d", i)), Incarnation: 1, DataCentre: "taf"}
 }
 
-// BenchmarkSlopeLimitsFleet measures what the organisations in use at one node of
-// 1,000, with one request in flight each, cause in messages and payload, both ways:
-// an organisation's owner may be any node. The limit leaves no node a request of
-// its own.
+// BenchmarkSlopeLimitsFleet measures the messages and payload bytes in both directions
+// that limit reports cause for the organisations in use at one node of 1,000, with one
+// request in flight each. An organisation's owner may be any node. The organisations'
+// limits are too low for a request to be reserved for each node, so every request counts
+// against a share that the owner grants.
 func BenchmarkSlopeLimitsFleet(b *testing.B) {
 	for _, organisations := range []int{20, 80, 160, 320} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) {
@@ -46,24 +47,25 @@
 	}
 }
 
-// limitsTraffic returns messages and payload bytes a second of uncompressed time.
+// limitsTraffic returns messages and payload bytes per second at the default report
+// intervals.
 func limitsTraffic(b *testing.B, organisations int) (messages, bytes float64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	network := peertest.NewNetwork()
 	defer network.Close()
-	view := &membership.Snapshot{Self: limitsMember(0)}
+	view := &membership.Snapshot{Self: benchMember(0)}
 	for i := range limitsNodes {
-		view.Peers = append(view.Peers, membership.Peer{Member: limitsMember(i)})
+		view.Peers = append(view.Peers, membership.Peer{Member: benchMember(i)})
 	}
 	table := limitsConfig(b, organisations)
 	services := make([]*limits.Service, limitsNodes)
 	for i := range services {
 		services[i] = limits.New(limits.Options{
-			Transport: network.Node(limitsMember(i)), Membership: membership.NewStaticView(view), Config: table,
-			ReportInterval:     limits.DefaultReportInterval / limitsCompress,
-			SlowReportInterval: limits.DefaultSlowReportInterval / limitsCompress,
-			IdleTimeout:        limits.DefaultIdleTimeout / limitsCompress,
+			Transport: network.Node(benchMember(i)), Membership: membership.NewStaticView(view), Config: table,
+			ReportInterval:     limits.DefaultReportInterval / limitsSpeedup,
+			SlowReportInterval: limits.DefaultSlowReportInterval / limitsSpeedup,
+			IdleTimeout:        limits.DefaultIdleTimeout / limitsSpeedup,
 			SettleTime:         time.Nanosecond,
 		})
 		defer services[i].Close()
@@ -74,16 +76,17 @@
 			defer permit.Release(1, 1)
 		}
 	}
-	time.Sleep(2 * limits.DefaultSlowReportInterval / limitsCompress)
+	time.Sleep(2 * limits.DefaultSlowReportInterval / limitsSpeedup)
 	network.ResetCounts()
 	began := time.Now()
-	time.Sleep(limitsRounds * limits.DefaultSlowReportInterval / limitsCompress)
+	time.Sleep(limitsIntervals * limits.DefaultSlowReportInterval / limitsSpeedup)
 	sent := network.Total("")
-	seconds := time.Since(began).Seconds() * limitsCompress
+	seconds := time.Since(began).Seconds() * limitsSpeedup
 	return float64(sent.Messages) / seconds, float64(sent.Bytes) / seconds
 }
 
-// limitsConfig gives each organisation a limit of four requests a node.
+// limitsConfig returns a configuration in which each organisation has a limit of four
+// requests per node.
 func limitsConfig(b *testing.B, organisations int) *config.StaticView {
 	b.Helper()
 	snapshot := &config.Snapshot{Revision: 1, Organisations: make(map[domain.OrganisationID]*config.Organisation)}
--- a/sizing/link_bench_test.go
+++ b/sizing/link_bench_test.go
@@ -20,7 +20,7 @@
 
 const echoMethod peer.Method = "sizing.echo"
 
-// countingConn counts what is written to a socket.
+// countingConn counts the bytes written to a connection.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -32,7 +32,8 @@
 	return n, err
 }
 
-// linkFixture is two transports on loopback sockets with mutual TLS.
+// linkFixture starts transports on loopback sockets with mutual TLS and counts the bytes
+// that they write to connections they dialled.
 type linkFixture struct {
 	authority *pki.Authority
 	written   atomic.Int64
@@ -67,8 +68,8 @@
 	return t
 }
 
-// processorTime is what this process has used of all cores, user and system.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time of this process, on all cores.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err)
@@ -76,10 +77,10 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkSlopeLinkMessage measures a message over a peer link with mutual TLS,
-// by the payload: bytes on the socket, and the processor time of both ends
-// together. A call and its reply are two messages; one call is under way at a
-// time, as on a link at rest, so that nothing is batched.
+// BenchmarkSlopeLinkMessage measures a message on a peer link with mutual TLS for
+// several payload sizes: the bytes on the socket and the CPU time of both ends together.
+// A call and its reply are two messages. Only one call is in progress at a time, as on a
+// mostly idle link, so that messages are not batched.
 func BenchmarkSlopeLinkMessage(b *testing.B) {
 	for _, payload := range []int{16, 128, 512, 2048} {
 		b.Run(fmt.Sprintf("payload=%d", payload), func(b *testing.B) {
@@ -93,19 +94,19 @@
 				assert.NilError(b, err)
 			}
 			call()
-			written, began := f.written.Load(), processorTime()
+			written, cpuBefore := f.written.Load(), cpuTime()
 			for b.Loop() {
 				call()
 			}
-			used := processorTime() - began
+			used := cpuTime() - cpuBefore
 			b.ReportMetric(float64(f.written.Load()-written)/float64(b.N), "B/message")
 			b.ReportMetric(float64(used.Nanoseconds())/float64(2*b.N), "cpu-ns/message")
 		})
 	}
 }
 
-// BenchmarkSlopeLinkOpening measures the processor time of opening links with
-// mutual TLS, both ends together, by their number.
+// BenchmarkSlopeLinkOpening measures the CPU time of opening links with mutual TLS, both
+// ends together, for several numbers of links.
 func BenchmarkSlopeLinkOpening(b *testing.B) {
 	for _, links := range []int{8, 24, 48} {
 		b.Run(fmt.Sprintf("links=%d", links), func(b *testing.B) {
@@ -121,19 +122,19 @@
 					others = append(others, f.start(b, domain.NodeID(fmt.Sprintf("n%d", i))))
 				}
 				b.StartTimer()
-				began := processorTime()
+				cpuBefore := cpuTime()
 				for _, other := range others {
 					_, err := hub.Call(context.Background(), other.Self(), echoMethod, []byte{1})
 					assert.NilError(b, err)
 				}
-				used += processorTime() - began
+				used += cpuTime() - cpuBefore
 			}
 			b.ReportMetric(float64(used.Nanoseconds())/float64(b.N), "cpu-ns/hub")
 		})
 	}
 }
 
-// heapBytes returns the bytes of the heap that are in use.
+// heapBytes returns the size of the live heap after garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/sizing/measurement.go
+++ b/sizing/measurement.go
@@ -9,19 +9,19 @@
 	"golang.org/x/perf/benchfmt"
 )
 
-// Measurement is one line of a benchmark's output.
+// Measurement is one result line of go test -bench.
 type Measurement struct {
-	// Package is the import path's last part below the module.
+	// Package is the package's path relative to the module.
 	Package string
 	// Benchmark is the name of the benchmark function.
 	Benchmark string
-	// Parts are the "name=value" parts of the sub-benchmark.
+	// Parts maps the names of the sub-benchmark's "name=value" parts to their values.
 	Parts map[string]string
-	// Metrics are the figures by unit.
+	// Metrics maps units to the reported values.
 	Metrics map[string]float64
 }
 
-// modulePath precedes the package names in benchmark output.
+// modulePath is the prefix of the package paths in benchmark output.
 const modulePath = "hawthornrill.example/hawthornrill/"
 
 // ReadMeasurements reads the output of go test -bench.
@@ -31,7 +31,7 @@
 	for reader.Scan() {
 		switch record := reader.Result().(type) {
 		case *benchfmt.Result:
-			measurements = append(measurements, measurementOf(record))
+			measurements = append(measurements, newMeasurement(record))
 		case *benchfmt.SyntaxError:
 			return nil, fmt.Errorf("%w: %w", ErrBenchmark, record)
 		}
@@ -42,7 +42,7 @@
 	return measurements, nil
 }
 
-func measurementOf(r *benchfmt.Result) Measurement {
+func newMeasurement(r *benchfmt.Result) Measurement {
 	base, parts := r.Name.Parts()
 	m := Measurement{
 		Package:   strings.TrimPrefix(r.GetConfig("pkg"), modulePath),
@@ -62,8 +62,8 @@
 	return m
 }
 
-// setMetric keeps the figure as the benchmark reported it, not in the base unit
-// that the reader turns it into.
+// setMetric stores a value in the unit that the benchmark reported, not in the base
+// unit that benchfmt converts it to.
 func (m Measurement) setMetric(v benchfmt.Value) {
 	if v.OrigUnit != "" {
 		m.Metrics[v.OrigUnit] = v.OrigValue
@@ -72,9 +72,10 @@
 	m.Metrics[v.Unit] = v.Value
 }
 
-// Point returns the point that the measurement gives to a slope, if it does.
+// Point returns the measurement as a point of the slope. It returns false if the
+// measurement is not one of that slope.
 func (m Measurement) Point(s Slope) (Point, bool) {
-	if m.Package != s.Package || m.Benchmark != s.Benchmark || !m.has(s.Where) {
+	if m.Package != s.Package || m.Benchmark != s.Benchmark || !m.matches(s.Where) {
 		return Point{}, false
 	}
 	size, err := strconv.ParseFloat(m.Parts[s.Axis], 64)
@@ -91,7 +92,7 @@
 	return Point{size, total}, true
 }
 
-func (m Measurement) has(parts []string) bool {
+func (m Measurement) matches(parts []string) bool {
 	for _, part := range parts {
 		name, value, _ := strings.Cut(part, "=")
 		if m.Parts[name] != value {
--- a/sizing/membership_bench_test.go
+++ b/sizing/membership_bench_test.go
@@ -14,19 +14,19 @@
 	"hawthornrill.example/hawthornrill/peer/peertest"
 )
 
-// membershipCompress is how many times faster than usual the periodic work runs.
-const membershipCompress = 10
+// membershipSpeedup is the factor by which the intervals of periodic work are shortened.
+const membershipSpeedup = 10
 
-// fixedList is a host list that does not change.
-type fixedList []hostlist.Host
+// staticHostList is a host list that does not change.
+type staticHostList []hostlist.Host
 
-func (l fixedList) List(context.Context) ([]hostlist.Host, error) { return l, nil }
+func (l staticHostList) List(context.Context) ([]hostlist.Host, error) { return l, nil }
 
-// memberFleet is the membership services of some data centres over an in-memory
+// membershipFleet is the membership services of several data centres on an in-memory
 // network.
-type memberFleet struct {
+type membershipFleet struct {
 	network  *peertest.Network
-	hosts    fixedList
+	hosts    staticHostList
 	services []*membership.Service
 	stops    []func()
 }
@@ -40,19 +40,19 @@
 	}
 }
 
-// hostOf lists a member.
-func hostOf(m domain.Member) hostlist.Host {
+// hostEntry returns the host list entry of a member.
+func hostEntry(m domain.Member) hostlist.Host {
 	return hostlist.Host{Node: m.Node, Address: m.Address, DataCentre: m.DataCentre, State: hostlist.StateLive}
 }
 
-// newMemberFleet starts the nodes and waits until each sees all others alive and
-// the news of the start is no longer passed on.
-func newMemberFleet(b *testing.B, dataCentres, nodes int) *memberFleet {
+// newMembershipFleet starts the nodes and waits until each sees all others alive and
+// the updates about the start are no longer forwarded.
+func newMembershipFleet(b *testing.B, dataCentres, nodes int) *membershipFleet {
 	b.Helper()
-	f := &memberFleet{network: peertest.NewNetwork()}
+	f := &membershipFleet{network: peertest.NewNetwork()}
 	for dc := range dataCentres {
 		for i := range nodes {
-			f.hosts = append(f.hosts, hostOf(fleetMember(dc, i, 1)))
+			f.hosts = append(f.hosts, hostEntry(fleetMember(dc, i, 1)))
 		}
 	}
 	for dc := range dataCentres {
@@ -61,31 +61,31 @@
 		}
 	}
 	f.await(b, func(p membership.Peer) bool { return p.Status == membership.StatusAlive })
-	f.awaitRest()
+	f.awaitSteadyState()
 	return f
 }
 
-// awaitRest waits until a second's traffic is no less than that of the second
-// before, to one part in restPrecision.
-func (f *memberFleet) awaitRest() {
-	const restPrecision = 20
+// awaitSteadyState waits until the traffic of a second is no longer lower than that of
+// the second before, to within one part in steadyPrecision.
+func (f *membershipFleet) awaitSteadyState() {
+	const steadyPrecision = 20
 	last, _ := f.count(time.Second)
 	for {
 		now, _ := f.count(time.Second)
-		if last.Bytes-now.Bytes <= last.Bytes/restPrecision {
+		if last.Bytes-now.Bytes <= last.Bytes/steadyPrecision {
 			return
 		}
 		last = now
 	}
 }
 
-func (f *memberFleet) start(m domain.Member) *membership.Service {
+func (f *membershipFleet) start(m domain.Member) *membership.Service {
 	s := membership.New(membership.Options{
 		Transport:        f.network.Node(m),
 		HostList:         f.hosts,
 		Seeds:            f.hosts,
-		ProbeInterval:    membership.DefaultProbeInterval / membershipCompress,
-		ExchangeInterval: membership.DefaultExchangeInterval / membershipCompress,
+		ProbeInterval:    membership.DefaultProbeInterval / membershipSpeedup,
+		ExchangeInterval: membership.DefaultExchangeInterval / membershipSpeedup,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -101,22 +101,22 @@
 	return s
 }
 
-// await waits until all nodes see all peers so.
-func (f *memberFleet) await(b *testing.B, is func(membership.Peer) bool) {
+// await waits until match holds for every peer in every node's view.
+func (f *membershipFleet) await(b *testing.B, match func(membership.Peer) bool) {
 	b.Helper()
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-		if f.all(is) {
+		if f.allPeers(match) {
 			return
 		}
-		assert.Assert(b, time.Since(began) < time.Minute, "membership does not settle")
+		assert.Assert(b, time.Since(began) < time.Minute, "membership did not converge within a minute")
 	}
 }
 
-func (f *memberFleet) all(is func(membership.Peer) bool) bool {
+func (f *membershipFleet) allPeers(match func(membership.Peer) bool) bool {
 	for _, s := range f.services {
 		peers := s.Current().Peers
 		for _, p := range peers {
-			if len(peers) != len(f.hosts) || !is(p) {
+			if len(peers) != len(f.hosts) || !match(p) {
 				return false
 			}
 		}
@@ -124,34 +124,35 @@
 	return true
 }
 
-// count returns what all nodes send in a while.
-func (f *memberFleet) count(window time.Duration) (peertest.Count, time.Duration) {
+// count returns the traffic that all nodes send during window and the CPU time that the
+// process uses in it.
+func (f *membershipFleet) count(window time.Duration) (peertest.Count, time.Duration) {
 	f.network.ResetCounts()
-	began := processorTime()
+	cpuBefore := cpuTime()
 	time.Sleep(window)
-	return f.network.Total(""), processorTime() - began
+	return f.network.Total(""), cpuTime() - cpuBefore
 }
 
-func (f *memberFleet) close() {
+func (f *membershipFleet) close() {
 	for _, stop := range f.stops {
 		stop()
 	}
 	f.network.Close()
 }
 
-// restWindow is for how long a fleet at rest is counted.
-const restWindow = 2 * time.Second
+// idleWindow is how long the traffic of an idle fleet is measured.
+const idleWindow = 2 * time.Second
 
-// BenchmarkSlopeMembershipRest measures what a node sends at rest, and the
-// processor time without the link's, by the nodes of its data centre.
+// BenchmarkSlopeMembershipRest measures what a node sends in an idle fleet, and its CPU
+// time without that of the links, for several numbers of nodes in its data centre.
 func BenchmarkSlopeMembershipRest(b *testing.B) {
 	for _, nodes := range []int{6, 12, 24, 48} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			f := newMemberFleet(b, 1, nodes)
+			f := newMembershipFleet(b, 1, nodes)
 			defer f.close()
 			for b.Loop() {
-				sent, used := f.count(restWindow)
-				seconds := restWindow.Seconds() * membershipCompress * float64(nodes)
+				sent, used := f.count(idleWindow)
+				seconds := idleWindow.Seconds() * membershipSpeedup * float64(nodes)
 				b.ReportMetric(float64(sent.Messages)/seconds, "messages/s")
 				b.ReportMetric(float64(sent.Bytes)/seconds, "B/s")
 				b.ReportMetric(float64(used.Nanoseconds())/seconds, "cpu-ns/s")
@@ -160,16 +161,17 @@
 	}
 }
 
-// BenchmarkSlopeMembershipExchange measures what the nodes of a data centre send
-// together at rest, by the other data centres of the fleet; each has four nodes.
+// BenchmarkSlopeMembershipExchange measures what all nodes of a data centre together
+// send in an idle fleet, for several numbers of other data centres. Each data centre has
+// four nodes.
 func BenchmarkSlopeMembershipExchange(b *testing.B) {
 	for _, others := range []int{1, 3, 7, 20} {
 		b.Run(fmt.Sprintf("others=%d", others), func(b *testing.B) {
-			f := newMemberFleet(b, others+1, 4)
+			f := newMembershipFleet(b, others+1, 4)
 			defer f.close()
 			for b.Loop() {
-				sent, _ := f.count(restWindow)
-				seconds := restWindow.Seconds() * membershipCompress * float64(others+1)
+				sent, _ := f.count(idleWindow)
+				seconds := idleWindow.Seconds() * membershipSpeedup * float64(others+1)
 				b.ReportMetric(float64(sent.Messages)/seconds, "messages/s")
 				b.ReportMetric(float64(sent.Bytes)/seconds, "B/s")
 			}
@@ -177,13 +179,14 @@
 	}
 }
 
-// BenchmarkSlopeMembershipMemory measures what one node holds by the members.
+// BenchmarkSlopeMembershipMemory measures one node's heap for several numbers of
+// members.
 func BenchmarkSlopeMembershipMemory(b *testing.B) {
 	for _, members := range []int{250, 500, 1000, 2000} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
 			var hosts []hostlist.Host
 			for i := range members {
-				hosts = append(hosts, hostOf(fleetMember(i%21, i, 1)))
+				hosts = append(hosts, hostEntry(fleetMember(i%21, i, 1)))
 			}
 			for b.Loop() {
 				network := peertest.NewNetwork()
@@ -198,29 +201,30 @@
 	}
 }
 
-// restartWindow is how long after a restart its messages are counted.
+// restartWindow is the time from the start of a restart during which messages are
+// counted.
 const restartWindow = 4 * time.Second
 
-// BenchmarkSlopeMembershipRestart measures what the fleet sends beyond its rest
-// when a node leaves, ends and comes back as another life, by the nodes of the
-// fleet; a data centre has eight.
+// BenchmarkSlopeMembershipRestart measures what the fleet sends in addition to its idle
+// traffic when a node leaves, stops and starts with a new incarnation, for several
+// numbers of nodes in the fleet. Each data centre has eight nodes.
 func BenchmarkSlopeMembershipRestart(b *testing.B) {
 	for _, dataCentres := range []int{1, 2, 4, 8} {
 		b.Run(fmt.Sprintf("nodes=%d", 8*dataCentres), func(b *testing.B) {
-			f := newMemberFleet(b, dataCentres, 8)
+			f := newMembershipFleet(b, dataCentres, 8)
 			defer f.close()
 			incarnation := domain.Incarnation(1)
 			var messages, bytes float64
 			for b.Loop() {
-				rest, _ := f.count(restartWindow)
+				idle, _ := f.count(restartWindow)
 				f.network.ResetCounts()
 				began := time.Now()
 				incarnation++
 				f.restart(b, incarnation)
 				time.Sleep(restartWindow - time.Since(began))
 				sent := f.network.Total("")
-				messages += float64(sent.Messages - rest.Messages)
-				bytes += float64(sent.Bytes - rest.Bytes)
+				messages += float64(sent.Messages - idle.Messages)
+				bytes += float64(sent.Bytes - idle.Bytes)
 			}
 			b.ReportMetric(messages/float64(b.N), "messages/restart")
 			b.ReportMetric(bytes/float64(b.N), "B/restart")
@@ -228,8 +232,8 @@
 	}
 }
 
-// restart ends the first node's life gracefully and begins the next.
-func (f *memberFleet) restart(b *testing.B, incarnation domain.Incarnation) {
+// restart stops the first node gracefully and starts it with a new incarnation.
+func (f *membershipFleet) restart(b *testing.B, incarnation domain.Incarnation) {
 	b.Helper()
 	assert.NilError(b, f.services[0].Leave(b.Context()))
 	assert.NilError(b, f.services[0].AnnounceStopped(b.Context()))
--- a/sizing/node_bench_test.go
+++ b/sizing/node_bench_test.go
@@ -21,19 +21,19 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// nodeWindow is for how long whole nodes are counted; it is some rounds of the
-// ledger's members, who ask each other every 30 s.
-const nodeWindow = 60 * time.Second
+// nodeMeasurementWindow is how long whole nodes are measured. It covers two
+// rounds of the epoch checks between ledger members, which run every 30 s.
+const nodeMeasurementWindow = 60 * time.Second
 
-// noEndpoints has no adapters: nothing is dispatched.
+// noEndpoints provides no adapters: no request is dispatched.
 type noEndpoints struct{}
 
 func (noEndpoints) Engine(*config.EndpointRow) endpoint.Engine   { return nil }
 func (noEndpoints) Service(*config.EndpointRow) endpoint.Service { return nil }
 
-// BenchmarkSlopeNodeAtRest measures whole nodes without a request, by the nodes of
-// their one data centre: what each sends, its processor time without the links',
-// and its memory. It is the check of the sums of the parts.
+// BenchmarkSlopeNodeAtRest measures idle whole nodes for several numbers of nodes in
+// their only data centre: what each sends, its CPU time without that of the links, and
+// its memory. The results are compared with the sums of the components.
 func BenchmarkSlopeNodeAtRest(b *testing.B) {
 	for _, nodes := range []int{6, 12, 24, 48} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -45,10 +45,10 @@
 			held := heapBytes() - before
 			for b.Loop() {
 				network.ResetCounts()
-				began := processorTime()
-				time.Sleep(nodeWindow)
-				used, sent := processorTime()-began, network.Total("")
-				seconds := nodeWindow.Seconds() * float64(nodes)
+				cpuBefore := cpuTime()
+				time.Sleep(nodeMeasurementWindow)
+				used, sent := cpuTime()-cpuBefore, network.Total("")
+				seconds := nodeMeasurementWindow.Seconds() * float64(nodes)
 				b.ReportMetric(float64(sent.Messages)/seconds, "messages/s")
 				b.ReportMetric(float64(sent.Bytes)/seconds, "B/s")
 				b.ReportMetric(float64(used.Nanoseconds())/seconds, "cpu-ns/s")
@@ -58,14 +58,14 @@
 	}
 }
 
-// startNodes starts the nodes with a small table and waits until they are ready
-// and at rest.
+// startNodes starts the nodes with a small table and waits until they are ready and
+// idle.
 func startNodes(b *testing.B, network *peertest.Network, count int) (stop func()) {
 	b.Helper()
-	var hosts fixedList
+	var hosts staticHostList
 	for i := range count {
 		m := fleetMember(0, i, 1)
-		hosts = append(hosts, hostOf(m))
+		hosts = append(hosts, hostEntry(m))
 	}
 	store := memstore.New(memstore.Options{})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/sizing/page.go
+++ b/sizing/page.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// Section is a part of the page that is worked out; the rest is written by hand.
+// Section is a generated part of the page, between a begin and an end marker. The rest
+// of the page is written by hand.
 type Section struct {
 	Name string
 	Body string
@@ -15,17 +16,17 @@
 
 func (s Section) end() string { return "<!-- end " + s.Name + " -->" }
 
-// InsertSections puts the sections between their markers in the page. It returns ErrPage
-// if a marker is missing.
+// InsertSections replaces the text between the markers of each section. It returns
+// ErrPage if a marker is missing.
 func InsertSections(page string, sections []Section) (string, error) {
 	for _, s := range sections {
 		before, rest, ok := strings.Cut(page, s.begin())
 		if !ok {
-			return "", fmt.Errorf("%w: no %q", ErrPage, s.begin())
+			return "", fmt.Errorf("%w: marker %q is missing", ErrPage, s.begin())
 		}
 		_, after, ok := strings.Cut(rest, s.end())
 		if !ok {
-			return "", fmt.Errorf("%w: no %q", ErrPage, s.end())
+			return "", fmt.Errorf("%w: marker %q is missing", ErrPage, s.end())
 		}
 		page = before + s.begin() + s.Body + s.end() + after
 	}
--- a/sizing/page_test.go
+++ b/sizing/page_test.go
@@ -17,25 +17,26 @@
 	pageFile      = "../docs/CAPACITY.md"
 )
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	return string(text)
 }
 
-func TestPageFollowsFromConstants(t *testing.T) {
-	page := read(t, pageFile)
-	rendered, err := Render(strings.NewReader(read(t, constantsFile)), page)
+func TestPageMatchesConstants(t *testing.T) {
+	page := readFile(t, pageFile)
+	rendered, err := Render(strings.NewReader(readFile(t, constantsFile)), page)
 	assert.NilError(t, err)
 	assert.Equal(t, rendered, page, "run: go run ./cmd/hawthornrill-sizing page")
 }
 
-// The check above must be able to fail: every figure of the constants file that
-// a formula uses shows in the page, and so does every cell that is changed.
-func TestPageCheckFails(t *testing.T) {
-	page := read(t, pageFile)
-	constants, err := ReadConstants(strings.NewReader(read(t, constantsFile)))
+// Guards TestPageMatchesConstants against passing whatever the page holds: a change of
+// any parameter or slope of the constants file, or of a cell of the page, must make the
+// rendered page differ.
+func TestPageComparisonDetectsChanges(t *testing.T) {
+	page := readFile(t, pageFile)
+	constants, err := ReadConstants(strings.NewReader(readFile(t, constantsFile)))
 	assert.NilError(t, err)
 	for _, list := range [][]Parameter{constants.Sizes, constants.Limits, constants.Settings, constants.Assumed} {
 		for i := range list {
@@ -67,9 +68,9 @@
 	return rendered
 }
 
-// restsOnAssumed follows names through the derived figures by itself, without
-// the scope's own marking.
-func restsOnAssumed(t *testing.T, c *Constants, f Formula) bool {
+// dependsOnAssumed follows names through the derived values independently of Scope,
+// whose marking of assumed values is under test.
+func dependsOnAssumed(t *testing.T, c *Constants, f Formula) bool {
 	t.Helper()
 	names, err := f.Names()
 	assert.NilError(t, err)
@@ -78,7 +79,7 @@
 			return true
 		}
 		for _, d := range Derivations() {
-			if d.Name == name && restsOnAssumed(t, c, d.Formula) {
+			if d.Name == name && dependsOnAssumed(t, c, d.Formula) {
 				return true
 			}
 		}
@@ -118,25 +119,25 @@
 	return all
 }
 
-func TestAssumedFiguresAreMarked(t *testing.T) {
-	constants, err := ReadConstants(strings.NewReader(read(t, constantsFile)))
+func TestAssumedValuesAreMarked(t *testing.T) {
+	constants, err := ReadConstants(strings.NewReader(readFile(t, constantsFile)))
 	assert.NilError(t, err)
-	page := read(t, pageFile)
+	page := readFile(t, pageFile)
 	for _, a := range constants.Assumed {
-		assert.Assert(t, strings.Contains(page, "| `"+a.Name+"` | "+plain(a.Value)+assumedMark+" |"), "%s", a.Name)
+		assert.Assert(t, strings.Contains(page, "| `"+a.Name+"` | "+formatConstant(a.Value)+assumedMark+" |"), "%s", a.Name)
 	}
 	for _, f := range allFormulas() {
 		cells := designCells(page, f)
 		assert.Assert(t, len(cells) > 0, "formula %s is not in the page", f)
 		for _, cell := range cells {
 			marked := strings.Contains(cell, assumedMark) || strings.Contains(cell, notMeasured)
-			assert.Assert(t, marked || !restsOnAssumed(t, constants, f), "%s is not marked: %s", f, cell)
+			assert.Assert(t, marked || !dependsOnAssumed(t, constants, f), "%s is not marked: %s", f, cell)
 		}
 	}
 }
 
-// designCells returns the cells of the design size in all rows of the page that
-// show the formula.
+// designCells returns the cells in the column of the design size, from all rows of the
+// page that show the formula.
 func designCells(page string, f Formula) []string {
 	var cells []string
 	design := -1
@@ -152,10 +153,11 @@
 	return cells
 }
 
-// The parts that the sums are made of must add up to a whole node.
-func TestPartsAddUpToTheWhole(t *testing.T) {
+// The components are measured by separate benchmarks, which could leave out or count
+// twice part of a node's work: their sum must match the measurement of whole nodes.
+func TestMeasuredPartsSumToWholeNode(t *testing.T) {
 	const tolerance = 0.05
-	constants, err := ReadConstants(strings.NewReader(read(t, constantsFile)))
+	constants, err := ReadConstants(strings.NewReader(readFile(t, constantsFile)))
 	assert.NilError(t, err)
 	scope, err := NewScope(constants, Design)
 	assert.NilError(t, err)
@@ -164,13 +166,14 @@
 		assert.NilError(t, err)
 		whole, err := scope.Eval(c.Whole)
 		assert.NilError(t, err)
-		off := math.Abs(parts.Amount/whole.Amount - 1)
-		assert.Assert(t, off < tolerance, "%s: parts %v, whole %v", c.Description, parts.Amount, whole.Amount)
+		deviation := math.Abs(parts.Amount/whole.Amount - 1)
+		assert.Assert(t, deviation < tolerance, "%s: parts %v, whole %v", c.Description, parts.Amount, whole.Amount)
 	}
 }
 
-// A number in a formula would be a constant without a name, a source or a mark.
-func TestFormulasHaveNoBareNumbers(t *testing.T) {
+// A number written into a formula would be a constant without a name, a source or a
+// mark for assumed values. Only 1 and 2 are allowed.
+func TestFormulasHaveNoUnnamedConstants(t *testing.T) {
 	for _, f := range allFormulas() {
 		expr, err := parser.ParseExpr(string(f))
 		assert.NilError(t, err)
--- a/sizing/peak.go
+++ b/sizing/peak.go
@@ -1,15 +1,16 @@
 package sizing
 
-// Peak is what a node has to bear that some work falls to more than to others.
+// Peak is the load on a node that has a larger share of some work than the average
+// node.
 type Peak struct {
 	Description string
 	Quantity    Quantity
 	Formula     Formula
-	// Limit names the constant that holds the limit; empty if none speaks of it.
+	// Limit is the name of the constant that holds the limit, or empty if there is none.
 	Limit string
 }
 
-// Peaks returns the loads of the busiest nodes.
+// Peaks returns the loads of the most loaded nodes.
 func Peaks() []Peak {
 	return []Peak{
 		{"owner of most pools: load reports of its engines", Bytes, "owned_pools_most * pool_endpoints / report_seconds * engine_report_bytes_base", "limit_bytes"},
--- a/sizing/quantity.go
+++ b/sizing/quantity.go
@@ -1,26 +1,27 @@
 package sizing
 
-// Quantity is what an item costs a node.
+// Quantity is a resource that an item uses on a node.
 type Quantity uint8
 
 const (
-	// Memory is state, bytes.
+	// Memory is state in bytes.
 	Memory Quantity = iota
-	// Messages sent to other nodes and to the store, a second.
+	// Messages is the messages sent to other nodes and to the store per second.
 	Messages
-	// Bytes a second: sent to other nodes; sent to and received from the platform
-	// and the engines, which have no share in the limit.
+	// Bytes is bytes per second: those sent to other nodes, and those sent to and
+	// received from the platform and the engines. For the latter both directions count,
+	// since the limit does not apply to the other end.
 	Bytes
 	// CPU is the fraction of one core.
 	CPU
 )
 
-// Quantities returns all of them in the order of the page's columns.
+// Quantities returns all quantities in the order of the page's columns.
 func Quantities() []Quantity {
 	return []Quantity{Memory, Messages, Bytes, CPU}
 }
 
-// String returns the quantity's name.
+// String returns the quantity's name as the page prints it.
 func (q Quantity) String() string {
 	switch q {
 	case Memory:
--- a/sizing/refit.go
+++ b/sizing/refit.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Refit replaces the points of every slope that the measurements speak of and
-// fits it anew; other slopes stay as they are. It returns the names of the slopes
-// it fitted, and ErrFewPoints for those with too few sizes, which stay unchanged.
+// Refit replaces the points of every slope that has measurements and fits its line to
+// them; other slopes are not changed. It returns the names of the slopes it fitted, and
+// ErrFewPoints for those with too few sizes, which are not changed either.
 func (c *Constants) Refit(measurements []Measurement, day time.Time) ([]string, error) {
 	var fitted []string
-	var faults []error
+	var errs []error
 	for i := range c.Slopes {
 		s := &c.Slopes[i]
-		points := pointsOf(*s, measurements)
+		points := matchingPoints(*s, measurements)
 		if len(points) == 0 {
 			continue
 		}
 		fit, err := FitLine(points)
 		if err != nil {
-			faults = append(faults, fmt.Errorf("slope %s: %w", s.Name, err))
+			errs = append(errs, fmt.Errorf("slope %s: %w", s.Name, err))
 			continue
 		}
 		s.Fit = fit
@@ -28,10 +28,10 @@
 		s.Date = day.Format(time.DateOnly)
 		fitted = append(fitted, s.Name)
 	}
-	return fitted, errors.Join(faults...)
+	return fitted, errors.Join(errs...)
 }
 
-func pointsOf(s Slope, measurements []Measurement) []Point {
+func matchingPoints(s Slope, measurements []Measurement) []Point {
 	var points []Point
 	for _, m := range measurements {
 		if p, ok := m.Point(s); ok {
--- a/sizing/render_constants.go
+++ b/sizing/render_constants.go
@@ -8,32 +8,32 @@
 func (r *Renderer) sizes() (string, error) {
 	t := table{header: []string{"name", "design", Cucine.String(), Pryce.String(), "unit", "from"}}
 	for _, list := range [][]Parameter{r.constants.Sizes, r.constants.Limits} {
-		for _, f := range list {
-			t.add(code(f.Name), plain(f.Value), today(f, Cucine), today(f, Pryce), f.Unit, f.Source)
+		for _, p := range list {
+			t.add(codeSpan(p.Name), formatConstant(p.Value), currentValue(p, Cucine), currentValue(p, Pryce), p.Unit, p.Source)
 		}
 	}
 	return t.String(), nil
 }
 
-func today(f Parameter, d Deployment) string {
-	if f.AssumedToday {
-		return plain(f.ValueFor(d)) + assumedMark
+func currentValue(p Parameter, d Deployment) string {
+	if p.AssumedToday {
+		return formatConstant(p.ValueFor(d)) + assumedMark
 	}
-	return plain(f.ValueFor(d))
+	return formatConstant(p.ValueFor(d))
 }
 
 func (r *Renderer) settings() (string, error) {
 	t := table{header: []string{"name", "value", "unit", "set by"}}
-	for _, f := range r.constants.Settings {
-		t.add(code(f.Name), plain(f.Value), f.Unit, f.Source)
+	for _, p := range r.constants.Settings {
+		t.add(codeSpan(p.Name), formatConstant(p.Value), p.Unit, p.Source)
 	}
 	return t.String(), nil
 }
 
 func (r *Renderer) assumed() (string, error) {
 	t := table{header: []string{"name", "design", Cucine.String(), Pryce.String(), "unit", "why"}}
-	for _, f := range r.constants.Assumed {
-		t.add(code(f.Name), plain(f.Value)+assumedMark, plain(f.ValueFor(Cucine))+assumedMark, plain(f.ValueFor(Pryce))+assumedMark, f.Unit, f.Source)
+	for _, p := range r.constants.Assumed {
+		t.add(codeSpan(p.Name), formatConstant(p.Value)+assumedMark, formatConstant(p.ValueFor(Cucine))+assumedMark, formatConstant(p.ValueFor(Pryce))+assumedMark, p.Unit, p.Source)
 	}
 	return t.String(), nil
 }
@@ -42,12 +42,12 @@
 	t := table{header: []string{"name", "slope", "intercept", "sizes measured", "date", "command"}}
 	for _, s := range r.constants.Slopes {
 		t.add(
-			code(s.Name),
-			fmt.Sprintf("%s ± %s %s per %s", plain(s.Slope), plain(s.SlopeError), s.Unit, s.Per),
-			fmt.Sprintf("%s ± %s %s", plain(s.Intercept), plain(s.InterceptError), s.Unit),
-			sizesOf(s),
+			codeSpan(s.Name),
+			fmt.Sprintf("%s ± %s %s per %s", formatConstant(s.Slope), formatConstant(s.SlopeError), s.Unit, s.Per),
+			fmt.Sprintf("%s ± %s %s", formatConstant(s.Intercept), formatConstant(s.InterceptError), s.Unit),
+			measuredSizes(s),
 			s.Date,
-			code(s.Command())+" ("+metricOf(s)+")",
+			codeSpan(s.Command())+" ("+metricDescription(s)+")",
 		)
 	}
 	m := r.constants.Machine
@@ -55,17 +55,17 @@
 	return t.String() + note + r.missingNote(), nil
 }
 
-func metricOf(s Slope) string {
+func metricDescription(s Slope) string {
 	return strings.Join(append([]string{s.Metric, "over " + s.Axis}, s.Where...), ", ")
 }
 
-func sizesOf(s Slope) string {
+func measuredSizes(s Slope) string {
 	var sizes []string
 	seen := make(map[float64]bool)
 	for _, p := range s.Points {
 		if !seen[p.Size()] {
 			seen[p.Size()] = true
-			sizes = append(sizes, plain(p.Size()))
+			sizes = append(sizes, formatConstant(p.Size()))
 		}
 	}
 	return fmt.Sprintf("%s (%d points)", strings.Join(sizes, "; "), len(s.Points))
@@ -74,16 +74,17 @@
 func (r *Renderer) derived() (string, error) {
 	t := table{header: []string{"name", "design", Cucine.String(), Pryce.String(), "unit", "formula"}}
 	for _, d := range Derivations() {
-		cells, err := r.figures(d.Formula, Count)
+		cells, err := r.deploymentCells(d.Formula, Count)
 		if err != nil {
 			return "", err
 		}
-		t.add(append(append([]string{code(d.Name)}, cells...), d.Unit, code(string(d.Formula)))...)
+		t.add(append(append([]string{codeSpan(d.Name)}, cells...), d.Unit, codeSpan(string(d.Formula)))...)
 	}
 	return t.String(), nil
 }
 
-// plain prints a constant as it stands in the file.
-func plain(v float64) string {
-	return grouped(trimmed(v))
+// formatConstant formats a constant with all its digits, as stored in the file, and
+// groups thousands.
+func formatConstant(v float64) string {
+	return groupThousands(exactDecimal(v))
 }
--- a/sizing/render_crosscheck.go
+++ b/sizing/render_crosscheck.go
@@ -11,7 +11,7 @@
 		if err != nil {
 			return "", err
 		}
-		t.add(c.Description, show(parts, c.Unit), show(whole, c.Unit), Fraction.Format(parts.Amount/whole.Amount), code(string(c.Parts)), code(string(c.Whole)))
+		t.add(c.Description, formatValue(parts, c.Unit), formatValue(whole, c.Unit), Fraction.Format(parts.Amount/whole.Amount), codeSpan(string(c.Parts)), codeSpan(string(c.Whole)))
 	}
 	return t.String(), nil
 }
--- a/sizing/render_events.go
+++ b/sizing/render_events.go
@@ -4,69 +4,70 @@
 	t := table{header: []string{"event", "what", "design", Cucine.String(), Pryce.String(), "formula"}}
 	for _, event := range Events() {
 		for _, m := range event.Estimates {
-			cells, err := r.figures(m.Formula, m.Unit)
+			cells, err := r.deploymentCells(m.Formula, m.Unit)
 			if err != nil {
 				return "", err
 			}
-			t.add(append(append([]string{event.Name, m.Description}, cells...), code(string(m.Formula)))...)
+			t.add(append(append([]string{event.Name, m.Description}, cells...), codeSpan(string(m.Formula)))...)
 		}
 	}
-	seen := table{header: []string{"event", "what callers see", "carried by"}}
+	impact := table{header: []string{"event", "what callers see", "carried by"}}
 	for _, event := range Events() {
-		seen.add(event.Name, event.CallerImpact, event.Mechanism)
+		impact.add(event.Name, event.CallerImpact, event.Mechanism)
 	}
-	return t.String() + "\n" + seen.String(), nil
+	return t.String() + "\n" + impact.String(), nil
 }
 
 func (r *Renderer) latency() (string, error) {
 	t := table{header: []string{"aim", "hop", "design", "formula"}}
-	for _, aim := range []LatencyTarget{FirstToken, TokenGap} {
-		if err := r.addHops(&t, aim); err != nil {
+	for _, target := range []LatencyTarget{FirstToken, TokenGap} {
+		if err := r.addHops(&t, target); err != nil {
 			return "", err
 		}
 	}
 	return t.String(), nil
 }
 
-func (r *Renderer) addHops(t *table, aim LatencyTarget) error {
-	var near, far Value
+func (r *Renderer) addHops(t *table, target LatencyTarget) error {
+	var withinRegion, total Value
 	for _, hop := range Hops() {
-		if hop.Target != aim {
+		if hop.Target != target {
 			continue
 		}
 		v, err := r.scopes[Design].Eval(hop.Formula)
 		if err != nil {
 			return err
 		}
-		far = far.Add(v)
+		total = total.Add(v)
 		if !hop.CrossRegion {
-			near = near.Add(v)
+			withinRegion = withinRegion.Add(v)
 		}
-		t.add(aim.String(), hop.Description, show(v, Seconds), code(string(hop.Formula)))
+		t.add(target.String(), hop.Description, formatValue(v, Seconds), codeSpan(string(hop.Formula)))
 	}
-	limit, err := r.scopes[Design].Eval(aim.Limit())
+	limit, err := r.scopes[Design].Eval(target.Limit())
 	if err != nil {
 		return err
 	}
-	t.add(aim.String(), "**sum without the hops between regions**", share(near, limit), "")
-	t.add(aim.String(), "**sum with them**", share(far, limit), "")
+	t.add(target.String(), "**sum without the hops between regions**", formatShareOfLimit(withinRegion, limit), "")
+	t.add(target.String(), "**sum with them**", formatShareOfLimit(total, limit), "")
 	return nil
 }
 
-// share prints a sum with the part of the limit that it takes.
-func share(sum, limit Value) string {
-	text := show(sum, Seconds) + " of " + show(limit, Seconds)
-	return text + " (" + digits(sum.Amount/limit.Amount*100) + " %)"
+// formatShareOfLimit formats a latency, its limit and the percentage of the limit that
+// it uses.
+func formatShareOfLimit(sum, limit Value) string {
+	text := formatValue(sum, Seconds) + " of " + formatValue(limit, Seconds)
+	return text + " (" + formatSignificant(sum.Amount/limit.Amount*100) + " %)"
 }
 
 func (r *Renderer) store() (string, error) {
 	t := table{header: []string{"purpose", "counts as", "when", "design", Cucine.String(), Pryce.String(), "formula"}}
 	for _, call := range StoreCalls() {
-		cells, err := r.figures(call.Formula, PerSecond)
+		cells, err := r.deploymentCells(call.Formula, PerSecond)
 		if err != nil {
 			return "", err
 		}
-		t.add(append(append([]string{call.Purpose, call.kind(), call.When}, cells...), code(string(call.Formula)))...)
+		t.add(append(append([]string{call.Purpose, call.kind(), call.When}, cells...), codeSpan(string(call.Formula)))...)
 	}
 	for _, write := range []bool{true, false} {
 		if err := r.addStoreSum(&t, write); err != nil {
@@ -87,13 +88,13 @@
 		if d == Design {
 			atDesign = sum
 		}
-		cells = append(cells, show(sum, PerSecond))
+		cells = append(cells, formatValue(sum, PerSecond))
 	}
 	name := "store_reads_per_second"
 	if write {
 		name = "store_writes_per_second"
 	}
 	bound, _ := r.constants.Parameter(name)
-	t.add(append(cells, PerSecond.Format(bound.Value)+" allowed: "+verdict(atDesign, bound.Value))...)
+	t.add(append(cells, PerSecond.Format(bound.Value)+" allowed: "+limitStatus(atDesign, bound.Value))...)
 	return nil
 }
--- a/sizing/render_growth.go
+++ b/sizing/render_growth.go
@@ -1,28 +1,30 @@
 package sizing
 
-// growthParts are the parts of the way to the design size that the page shows.
-var growthParts = []float64{0, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1}
+// growthFractions are the fractions of the growth from the current deployment to the
+// design size that the page shows.
+var growthFractions = []float64{0, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1}
 
-// growth shows when the ways of today cease to carry the fleet.
+// growth renders the growth table, which shows at what size the current mechanisms
+// exceed the limits, with and without the chosen replacements.
 func (r *Renderer) growth() (string, error) {
 	t := table{header: []string{"of the way", "nodes", "bytes a second", "", "with the chosen ways", "", "memory", "", "with the chosen ways", ""}}
-	after := replaced(Roles(), Replacements())
-	for _, part := range growthParts {
-		s, err := NewInterpolatedScope(r.constants, part)
+	after := applyReplacements(Roles(), Replacements())
+	for _, fraction := range growthFractions {
+		s, err := NewInterpolatedScope(r.constants, fraction)
 		if err != nil {
 			return "", err
 		}
-		row := []string{Fraction.Format(part)}
+		row := []string{Fraction.Format(fraction)}
 		nodes, _ := r.constants.Parameter("nodes")
-		row = append(row, plain(float64(int(nodes.Interpolate(part)))))
-		for _, limit := range []Limit{limitOn(Bytes), limitOn(Memory)} {
+		row = append(row, formatConstant(float64(int(nodes.Interpolate(fraction)))))
+		for _, limit := range []Limit{limitFor(Bytes), limitFor(Memory)} {
 			for _, roles := range [][]Role{Roles(), after} {
-				sum, err := total(s, roles, readings[0], limit)
+				sum, err := sumForLimit(s, roles, interpretations[0], limit)
 				if err != nil {
 					return "", err
 				}
 				bound, _ := r.constants.Parameter(limit.Name)
-				row = append(row, show(sum, limit.Quantity.Unit()), verdict(sum, bound.Value))
+				row = append(row, formatValue(sum, limit.Quantity.Unit()), limitStatus(sum, bound.Value))
 			}
 		}
 		t.add(row...)
@@ -30,8 +32,8 @@
 	return t.String(), nil
 }
 
-// limitOn returns the limit on a quantity.
-func limitOn(q Quantity) Limit {
+// limitFor returns the limit on a quantity, or the zero Limit if there is none.
+func limitFor(q Quantity) Limit {
 	for _, limit := range Limits() {
 		if limit.Quantity == q {
 			return limit
--- a/sizing/render_replacements.go
+++ b/sizing/render_replacements.go
@@ -9,7 +9,7 @@
 			return "", err
 		}
 	}
-	after, err := r.sumsAfter()
+	after, err := r.sumsWithReplacements()
 	if err != nil {
 		return "", err
 	}
@@ -17,27 +17,27 @@
 }
 
 func (r *Renderer) addReplacement(t *table, rep Replacement) error {
-	item, err := findItem(rep)
+	item, err := replacedItem(rep)
 	if err != nil {
 		return err
 	}
-	ways := append([]Alternative{{Name: "today's", Formula: item.Formula}}, rep.Alternatives...)
-	for _, way := range ways {
-		v, err := r.scopes[Design].Eval(way.Formula)
+	alternatives := append([]Alternative{{Name: "today's", Formula: item.Formula}}, rep.Alternatives...)
+	for _, alternative := range alternatives {
+		v, err := r.scopes[Design].Eval(alternative.Formula)
 		if err != nil {
 			return err
 		}
-		name := way.Name
-		if way.Chosen {
+		name := alternative.Name
+		if alternative.Chosen {
 			name = "**chosen:** " + name
 		}
-		t.add(rep.Role+": "+rep.ItemDescription, name, show(v, item.Quantity.Unit()), code(string(way.Formula)), way.Remark)
+		t.add(rep.Role+": "+rep.ItemDescription, name, formatValue(v, item.Quantity.Unit()), codeSpan(string(alternative.Formula)), alternative.Remark)
 	}
 	return nil
 }
 
-// findItem returns the item that a replacement is about.
-func findItem(rep Replacement) (Item, error) {
+// replacedItem returns the item that a replacement applies to.
+func replacedItem(rep Replacement) (Item, error) {
 	for _, role := range Roles() {
 		for _, item := range role.Items {
 			if role.Name == rep.Role && item.Description == rep.ItemDescription && item.Quantity == rep.quantity() {
@@ -45,24 +45,24 @@
 			}
 		}
 	}
-	return Item{}, fmt.Errorf("%w: no item %s of %s", ErrFormula, rep.ItemDescription, rep.Role)
+	return Item{}, fmt.Errorf("%w: no item %s in role %s", ErrFormula, rep.ItemDescription, rep.Role)
 }
 
-func (r *Renderer) sumsAfter() (string, error) {
+func (r *Renderer) sumsWithReplacements() (string, error) {
 	t := table{header: []string{"counted", "quantity", "today's ways", "chosen ways", "limit", "then"}}
-	after := replaced(Roles(), Replacements())
+	after := applyReplacements(Roles(), Replacements())
 	for _, limit := range Limits() {
-		before, err := total(r.scopes[Design], Roles(), readings[0], limit)
+		current, err := sumForLimit(r.scopes[Design], Roles(), interpretations[0], limit)
 		if err != nil {
 			return "", err
 		}
-		then, err := total(r.scopes[Design], after, readings[0], limit)
+		withReplacements, err := sumForLimit(r.scopes[Design], after, interpretations[0], limit)
 		if err != nil {
 			return "", err
 		}
 		unit := limit.Quantity.Unit()
 		bound, _ := r.constants.Parameter(limit.Name)
-		t.add(readings[0].name, limit.Description, show(before, unit), show(then, unit), unit.Format(bound.Value), verdict(then, bound.Value))
+		t.add(interpretations[0].name, limit.Description, formatValue(current, unit), formatValue(withReplacements, unit), unit.Format(bound.Value), limitStatus(withReplacements, bound.Value))
 	}
 	return t.String(), nil
 }
@@ -70,7 +70,7 @@
 func (r *Renderer) peaks() (string, error) {
 	t := table{header: []string{"node", "quantity", "design", Cucine.String(), Pryce.String(), "formula", "at the design size"}}
 	for _, p := range Peaks() {
-		cells, err := r.figures(p.Formula, p.Quantity.Unit())
+		cells, err := r.deploymentCells(p.Formula, p.Quantity.Unit())
 		if err != nil {
 			return "", err
 		}
@@ -78,15 +78,15 @@
 		if err != nil {
 			return "", err
 		}
-		t.add(append(append([]string{p.Description, p.Quantity.String()}, cells...), code(string(p.Formula)), r.peakVerdict(p, v))...)
+		t.add(append(append([]string{p.Description, p.Quantity.String()}, cells...), codeSpan(string(p.Formula)), r.peakStatus(p, v))...)
 	}
 	return t.String(), nil
 }
 
-func (r *Renderer) peakVerdict(p Peak, v Value) string {
+func (r *Renderer) peakStatus(p Peak, v Value) string {
 	bound, ok := r.constants.Parameter(p.Limit)
 	if !ok {
 		return "per request: no limit"
 	}
-	return verdict(v, bound.Value)
+	return limitStatus(v, bound.Value)
 }
--- a/sizing/render_roles.go
+++ b/sizing/render_roles.go
@@ -22,10 +22,11 @@
 	return t.String(), nil
 }
 
-// notCounted stands where a role has no item of the quantity.
+// notCounted is the cell text for a quantity of which a role has no item.
 const notCounted = "-"
 
-// roleCells returns a role's sums of one kind, and whether it has any item of it.
+// roleCells returns the cells with a role's sums of one kind, one for each quantity.
+// used reports whether the role has any item of that kind.
 func (r *Renderer) roleCells(role Role, kind Kind) (cells []string, used bool, err error) {
 	for _, q := range Quantities() {
 		if !role.counts(q, kind) {
@@ -37,7 +38,7 @@
 		if err != nil {
 			return nil, false, err
 		}
-		cells = append(cells, show(v, q.Unit()))
+		cells = append(cells, formatValue(v, q.Unit()))
 	}
 	return cells, used, nil
 }
@@ -46,12 +47,12 @@
 	t := table{header: []string{"role", "what", "kind", "design", Cucine.String(), Pryce.String(), "formula"}}
 	for _, role := range Roles() {
 		for _, item := range role.Items {
-			cells, err := r.figures(item.Formula, item.Quantity.Unit())
+			cells, err := r.deploymentCells(item.Formula, item.Quantity.Unit())
 			if err != nil {
 				return "", err
 			}
 			what := fmt.Sprintf("%s (%s)", item.Description, item.Quantity)
-			t.add(append(append([]string{role.Name, what, item.Kind.String()}, cells...), code(string(item.Formula)))...)
+			t.add(append(append([]string{role.Name, what, item.Kind.String()}, cells...), codeSpan(string(item.Formula)))...)
 		}
 	}
 	return t.String(), nil
--- a/sizing/render_sums.go
+++ b/sizing/render_sums.go
@@ -1,27 +1,27 @@
 package sizing
 
-// reading is a way to understand which costs the users' limits are about.
-type reading struct {
+// interpretation is one interpretation of which kinds of cost the users' limits cover.
+type interpretation struct {
 	name  string
 	kinds []Kind
-	// limited is false if no limit speaks of it.
-	limited bool
+	// hasLimit is false if no limit applies to these kinds.
+	hasLimit bool
 }
 
-var readings = []reading{
+var interpretations = []interpretation{
 	{"control", []Kind{Control}, true},
 	{"control and per-request coordination", []Kind{Control, Request}, true},
 	{"callers' requests and answers themselves", []Kind{Data}, false},
 }
 
-// breaksMark is set where a sum is over its limit.
-const breaksMark = "**breaks**"
+// exceededMark is the cell text for a sum that exceeds its limit.
+const exceededMark = "**breaks**"
 
 func (r *Renderer) sums() (string, error) {
 	t := table{header: []string{"counted", "quantity", "design", Cucine.String(), Pryce.String(), "limit", "at the design size"}}
-	for _, way := range readings {
+	for _, view := range interpretations {
 		for _, limit := range Limits() {
-			if err := r.addSum(&t, way, limit); err != nil {
+			if err := r.addSum(&t, view, limit); err != nil {
 				return "", err
 			}
 		}
@@ -29,33 +29,34 @@
 	return t.String(), nil
 }
 
-func (r *Renderer) addSum(t *table, way reading, limit Limit) error {
-	cells := []string{way.name, limit.Description}
+func (r *Renderer) addSum(t *table, view interpretation, limit Limit) error {
+	cells := []string{view.name, limit.Description}
 	unit := limit.Quantity.Unit()
 	var atDesign Value
 	for _, d := range deployments {
-		sum, err := total(r.scopes[d], Roles(), way, limit)
+		sum, err := sumForLimit(r.scopes[d], Roles(), view, limit)
 		if err != nil {
 			return err
 		}
 		if d == Design {
 			atDesign = sum
 		}
-		cells = append(cells, show(sum, unit))
+		cells = append(cells, formatValue(sum, unit))
 	}
-	if !way.limited {
+	if !view.hasLimit {
 		t.add(append(cells, notCounted, "not control: no limit")...)
 		return nil
 	}
 	bound, _ := r.constants.Parameter(limit.Name)
-	t.add(append(cells, unit.Format(bound.Value), verdict(atDesign, bound.Value))...)
+	t.add(append(cells, unit.Format(bound.Value), limitStatus(atDesign, bound.Value))...)
 	return nil
 }
 
-// total adds up a quantity over roles and the kinds of a reading.
-func total(s *Scope, roles []Role, way reading, limit Limit) (Value, error) {
+// sumForLimit adds up the limit's quantity over the roles and the kinds of an
+// interpretation, and multiplies the sum by the limit's factor.
+func sumForLimit(s *Scope, roles []Role, view interpretation, limit Limit) (Value, error) {
 	var total Value
-	for _, kind := range way.kinds {
+	for _, kind := range view.kinds {
 		sum, err := Sum(s, roles, limit.Quantity, kind)
 		if err != nil {
 			return Value{}, err
@@ -71,12 +72,12 @@
 	return total, nil
 }
 
-// verdict compares a sum with its limit. A sum with parts not measured can break
-// its limit but not keep it.
-func verdict(sum Value, bound float64) string {
+// limitStatus compares a sum with its limit. A sum that lacks unmeasured parts can
+// exceed its limit, but is never reported as within it.
+func limitStatus(sum Value, bound float64) string {
 	switch {
 	case sum.Amount > bound:
-		return breaksMark
+		return exceededMark
 	case !sum.Complete():
 		return "open: part " + notMeasured
 	default:
--- a/sizing/renderer.go
+++ b/sizing/renderer.go
@@ -5,17 +5,16 @@
 	"strings"
 )
 
-// Renderer makes the worked-out sections of the page.
+// Renderer renders the generated sections of the page.
 type Renderer struct {
 	constants *Constants
 	scopes    map[Deployment]*Scope
 }
 
-// deployments are the columns of the sums.
+// deployments are the columns of the tables, in order.
 var deployments = []Deployment{Design, Cucine, Pryce}
 
-// NewRenderer returns a renderer, or ErrFormula if a derived figure can't be
-// worked out.
+// NewRenderer returns a renderer, or ErrFormula if a derived value can't be computed.
 func NewRenderer(c *Constants) (*Renderer, error) {
 	r := &Renderer{constants: c, scopes: make(map[Deployment]*Scope)}
 	for _, d := range deployments {
@@ -28,11 +27,11 @@
 	return r, nil
 }
 
-// Sections returns all sections, or the first formula's error.
+// Sections returns all sections, or the first error of a formula.
 func (r *Renderer) Sections() ([]Section, error) {
-	makers := []struct {
-		name string
-		make func() (string, error)
+	renderers := []struct {
+		name   string
+		render func() (string, error)
 	}{
 		{"sizes", r.sizes},
 		{"settings", r.settings},
@@ -51,8 +50,8 @@
 		{"growth", r.growth},
 	}
 	var sections []Section
-	for _, m := range makers {
-		body, err := m.make()
+	for _, m := range renderers {
+		body, err := m.render()
 		if err != nil {
 			return nil, fmt.Errorf("section %s: %w", m.name, err)
 		}
@@ -62,13 +61,13 @@
 }
 
 const (
-	// assumedMark follows each figure that rests on an assumed one.
+	// assumedMark follows each value that depends on an assumed constant.
 	assumedMark = " †"
 	notMeasured = "not measured"
 )
 
-// show prints a value with its mark, or names what has not been measured.
-func show(v Value, u Unit) string {
+// formatValue formats a value, marked if it is assumed or lacks unmeasured parts.
+func formatValue(v Value, u Unit) string {
 	if len(v.Missing) > 0 && v.Amount == 0 {
 		return notMeasured
 	}
@@ -82,23 +81,25 @@
 	return text
 }
 
-// code prints a formula or name.
-func code(s string) string { return "`" + s + "`" }
+// codeSpan returns a Markdown code span.
+func codeSpan(s string) string { return "`" + s + "`" }
 
-// figures evaluates a formula for each deployment and returns the cells.
-func (r *Renderer) figures(f Formula, u Unit) ([]string, error) {
+// deploymentCells evaluates a formula for each deployment and returns the formatted
+// values.
+func (r *Renderer) deploymentCells(f Formula, u Unit) ([]string, error) {
 	var cells []string
 	for _, d := range deployments {
 		v, err := r.scopes[d].Eval(f)
 		if err != nil {
 			return nil, err
 		}
-		cells = append(cells, show(v, u))
+		cells = append(cells, formatValue(v, u))
 	}
 	return cells, nil
 }
 
-// missingNote names the slopes that are not measured yet.
+// missingNote lists the slopes that have not been measured, with the reasons. It
+// returns an empty string if there are none.
 func (r *Renderer) missingNote() string {
 	if len(r.constants.Missing) == 0 {
 		return ""
@@ -106,7 +107,7 @@
 	var b strings.Builder
 	b.WriteString("\nNot measured yet, and left out of the sums:\n\n")
 	for _, m := range r.constants.Missing {
-		fmt.Fprintf(&b, "* %s: %s\n", code(m.Name), m.Reason)
+		fmt.Fprintf(&b, "* %s: %s\n", codeSpan(m.Name), m.Reason)
 	}
 	return b.String()
 }
--- a/sizing/replacement.go
+++ b/sizing/replacement.go
@@ -1,40 +1,41 @@
 package sizing
 
-// Replacement weighs ways to carry an item that the mechanism of today does not,
-// or carries at too high a part of the limit.
+// Replacement compares alternatives for an item whose current mechanism exceeds a limit
+// at the design size, or uses too much of it.
 type Replacement struct {
-	// Role and What name the item.
+	// Role and ItemDescription are the name of the item's role and its description.
 	Role            string
 	ItemDescription string
 	Alternatives    []Alternative
 }
 
-// Alternative is one of the ways weighed.
+// Alternative is one possible replacement of a mechanism.
 type Alternative struct {
 	Name string
-	// Formula is what the item costs in this way.
+	// Formula is the item's cost with this alternative.
 	Formula Formula
-	// Remark says what it asks for or gives up.
+	// Remark states its requirements or disadvantages.
 	Remark string
-	// Chosen is true for the one to be built.
+	// Chosen is true for the alternative to be implemented.
 	Chosen bool
 }
 
-// replaced returns the roles with the chosen ways in place of their items.
-func replaced(roles []Role, replacements []Replacement) []Role {
-	var after []Role
+// applyReplacements returns the roles with the formulas of the chosen alternatives in
+// place of the items' own.
+func applyReplacements(roles []Role, replacements []Replacement) []Role {
+	var result []Role
 	for _, role := range roles {
 		items := make([]Item, len(role.Items))
 		for i, item := range role.Items {
-			items[i] = item.replacedBy(role.Name, replacements)
+			items[i] = item.withReplacement(role.Name, replacements)
 		}
 		role.Items = items
-		after = append(after, role)
+		result = append(result, role)
 	}
-	return after
+	return result
 }
 
-func (i Item) replacedBy(role string, replacements []Replacement) Item {
+func (i Item) withReplacement(role string, replacements []Replacement) Item {
 	for _, r := range replacements {
 		if r.Role == role && r.ItemDescription == i.Description && r.quantity() == i.Quantity {
 			i.Formula = r.chosen().Formula
@@ -43,7 +44,8 @@
 	return i
 }
 
-// quantity is that of the item: bytes, unless it is about links.
+// quantity returns the item's quantity: memory for items of the links role, bytes for
+// all others.
 func (r Replacement) quantity() Quantity {
 	if r.Role == linksRole().Name {
 		return Memory
@@ -52,9 +54,9 @@
 }
 
 func (r Replacement) chosen() Alternative {
-	for _, w := range r.Alternatives {
-		if w.Chosen {
-			return w
+	for _, a := range r.Alternatives {
+		if a.Chosen {
+			return a
 		}
 	}
 	return Alternative{}
--- a/sizing/replacements.go
+++ b/sizing/replacements.go
@@ -1,10 +1,11 @@
 package sizing
 
-// Replacements returns what is to replace mechanisms of today at the design size.
+// Replacements returns the alternatives considered for mechanisms that must change
+// before the fleet reaches the design size.
 func Replacements() []Replacement {
 	return []Replacement{
-		limitsReplacement(), limitsLinksReplacement(), listReplacement(), renewalsReplacement(),
-		reportsReplacement(), readingsReplacement(), contactsReplacement(), contactLinksReplacement(), collectionReplacement(),
+		limitsReplacement(), limitsLinksReplacement(), hostListReplacement(), renewalsReplacement(),
+		loadReportsReplacement(), engineReadsReplacement(), exchangeOpeningsReplacement(), exchangeLinksReplacement(), recordCollectionReplacement(),
 	}
 }
 
@@ -30,7 +31,7 @@
 	}
 }
 
-func listReplacement() Replacement {
+func hostListReplacement() Replacement {
 	return Replacement{
 		Role: "membership", ItemDescription: "the host list, by the delegates, on average",
 		Alternatives: []Alternative{
@@ -52,7 +53,7 @@
 	}
 }
 
-func reportsReplacement() Replacement {
+func loadReportsReplacement() Replacement {
 	return Replacement{
 		Role: "capacity owner", ItemDescription: "load reports read from engines, both ways",
 		Alternatives: []Alternative{
@@ -62,7 +63,7 @@
 	}
 }
 
-func readingsReplacement() Replacement {
+func engineReadsReplacement() Replacement {
 	return Replacement{
 		Role: "coordinator", ItemDescription: "engines read, a group a model, on average",
 		Alternatives: []Alternative{
@@ -72,7 +73,7 @@
 	}
 }
 
-func contactsReplacement() Replacement {
+func exchangeOpeningsReplacement() Replacement {
 	return Replacement{
 		Role: "membership", ItemDescription: "links opened for exchanges with random nodes",
 		Alternatives: []Alternative{
@@ -82,7 +83,7 @@
 	}
 }
 
-func contactLinksReplacement() Replacement {
+func exchangeLinksReplacement() Replacement {
 	return Replacement{
 		Role: "peer links", ItemDescription: "links for exchanges with other data centres",
 		Alternatives: []Alternative{
@@ -92,7 +93,7 @@
 	}
 }
 
-func collectionReplacement() Replacement {
+func recordCollectionReplacement() Replacement {
 	return Replacement{
 		Role: "ledger", ItemDescription: "records collected when a member leaves or is lost, on average",
 		Alternatives: []Alternative{
--- a/sizing/role.go
+++ b/sizing/role.go
@@ -1,15 +1,15 @@
 package sizing
 
-// Role is a part of a node with what it costs and what carries it.
+// Role is a component of a node, with its costs and the mechanism behind them.
 type Role struct {
 	Name string
-	// Mechanism is what keeps the role's costs where they are.
+	// Mechanism describes the design that determines the role's costs.
 	Mechanism string
 	Items     []Item
 }
 
 // Sum adds up the role's items of a quantity and a kind. Without such an item it
-// is zero and known.
+// returns zero, with nothing missing.
 func (r Role) Sum(s *Scope, q Quantity, k Kind) (Value, error) {
 	var sum Value
 	for _, item := range r.Items {
@@ -35,7 +35,7 @@
 	return false
 }
 
-// Sum adds up a quantity of a kind over roles.
+// Sum adds up the items of a quantity and a kind over all roles.
 func Sum(s *Scope, roles []Role, q Quantity, k Kind) (Value, error) {
 	var sum Value
 	for _, role := range roles {
--- a/sizing/roles.go
+++ b/sizing/roles.go
@@ -1,6 +1,6 @@
 package sizing
 
-// Roles returns the parts of a node.
+// Roles returns the components of a node.
 func Roles() []Role {
 	return []Role{
 		entryRole(),
--- a/sizing/scope.go
+++ b/sizing/scope.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// conversions between units may be named in formulas.
+// conversions are the unit conversion factors that formulas may use.
 var conversions = map[string]float64{
 	"seconds_per_day":  86_400,
 	"seconds_per_hour": 3_600,
@@ -20,21 +20,21 @@
 	missing map[string]bool
 }
 
-// NewScope returns a scope with all constants of c at a deployment's sizes, its
-// derived figures included.
+// NewScope returns a scope with all constants of c at a deployment's sizes, and the
+// values derived from them.
 func NewScope(c *Constants, d Deployment) (*Scope, error) {
-	assumed := func(f Parameter) bool { return f.AssumedToday && d != Design }
-	return newScope(c, func(f Parameter) float64 { return f.ValueFor(d) }, assumed)
+	assumed := func(p Parameter) bool { return p.AssumedToday && d != Design }
+	return newScope(c, func(p Parameter) float64 { return p.ValueFor(d) }, assumed)
 }
 
-// NewInterpolatedScope returns a scope at a part of the way from the first user's
-// deployment of today to the design size.
-func NewInterpolatedScope(c *Constants, part float64) (*Scope, error) {
-	assumed := func(f Parameter) bool { return f.AssumedToday && part != 1 }
-	return newScope(c, func(f Parameter) float64 { return f.Interpolate(part) }, assumed)
+// NewInterpolatedScope returns a scope at a fraction of the growth from the first
+// user's current deployment (0) to the design size (1).
+func NewInterpolatedScope(c *Constants, fraction float64) (*Scope, error) {
+	assumed := func(p Parameter) bool { return p.AssumedToday && fraction != 1 }
+	return newScope(c, func(p Parameter) float64 { return p.Interpolate(fraction) }, assumed)
 }
 
-func newScope(c *Constants, at func(Parameter) float64, assumed func(Parameter) bool) (*Scope, error) {
+func newScope(c *Constants, value func(Parameter) float64, assumed func(Parameter) bool) (*Scope, error) {
 	s := &Scope{
 		values:  make(map[string]float64),
 		assumed: make(map[string]bool),
@@ -43,7 +43,7 @@
 	for name, amount := range conversions {
 		s.define(name, amount)
 	}
-	s.addFigures(c, at, assumed)
+	s.addParameters(c, value, assumed)
 	s.addSlopes(c)
 	for _, derived := range Derivations() {
 		if err := s.derive(derived); err != nil {
@@ -53,15 +53,15 @@
 	return s, nil
 }
 
-func (s *Scope) addFigures(c *Constants, at func(Parameter) float64, assumed func(Parameter) bool) {
+func (s *Scope) addParameters(c *Constants, value func(Parameter) float64, assumed func(Parameter) bool) {
 	for _, list := range [][]Parameter{c.Sizes, c.Limits, c.Settings, c.Assumed} {
-		for _, f := range list {
-			s.define(f.Name, at(f))
-			s.assumed[f.Name] = assumed(f)
+		for _, p := range list {
+			s.define(p.Name, value(p))
+			s.assumed[p.Name] = assumed(p)
 		}
 	}
-	for _, f := range c.Assumed {
-		s.assumed[f.Name] = true
+	for _, p := range c.Assumed {
+		s.assumed[p.Name] = true
 	}
 }
 
@@ -92,9 +92,9 @@
 
 func (s *Scope) define(name string, amount float64) { s.values[name] = amount }
 
-// Eval returns what the formula comes to, or ErrFormula if it names something
-// unknown or can't be computed. A formula with a slope that was not measured is
-// no error: its value says what is missing.
+// Eval returns the value of the formula, or ErrFormula if the formula uses an undefined
+// name or can't be computed. A slope that has not been measured is not an error: the
+// value lists it in Missing.
 func (s *Scope) Eval(f Formula) (Value, error) {
 	names, err := f.Names()
 	if err != nil {
--- a/sizing/scope_test.go
+++ b/sizing/scope_test.go
@@ -8,7 +8,7 @@
 
 func TestScopeEval(t *testing.T) {
 	seven := 7.0
-	c, err := minimal()
+	c, err := minimalConstants()
 	assert.NilError(t, err)
 	c.Sizes = append(c.Sizes, Parameter{Name: "apples", Value: 3, Cucine: &seven, AssumedToday: true})
 	c.Assumed = append(c.Assumed, Parameter{Name: "pears", Value: 4})
@@ -39,9 +39,9 @@
 	}
 }
 
-// minimal returns constants with a value for each name that the derived figures
+// minimalConstants returns constants with a value for each name that the derived values
 // need.
-func minimal() (*Constants, error) {
+func minimalConstants() (*Constants, error) {
 	derived := make(map[string]bool)
 	given := make(map[string]bool)
 	c := &Constants{}
--- a/sizing/settings_test.go
+++ b/sizing/settings_test.go
@@ -21,8 +21,8 @@
 	"hawthornrill.example/hawthornrill/settings"
 )
 
-// codeSettings are the defaults of the code that the constants file repeats.
-func codeSettings(t *testing.T) map[string]float64 {
+// defaultSettings returns the defaults of the code that the constants file repeats.
+func defaultSettings(t *testing.T) map[string]float64 {
 	return map[string]float64{
 		"retention_seconds":         settings.Default().Retention.Window.Seconds(),
 		"answer_bytes_bound":        float64(settings.Default().Retention.AnswerBytes),
@@ -57,8 +57,8 @@
 	}
 }
 
-// sourceNumber reads a default such as "setDefault(&o.Watchers, 2)", or the number
-// in "o.TTL / 3".
+// sourceNumber reads a number that has no exported name from the source code, such as
+// the 2 in "setDefault(&o.Watchers, 2)" or the 3 in "o.TTL / 3".
 func sourceNumber(t *testing.T, file, name, operator string) float64 {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -70,8 +70,8 @@
 	return float64(count)
 }
 
-// sourceDuration reads a default that has no exported name, such as
-// "reportEvery = 2 * time.Second", from its source.
+// sourceDuration reads a duration that has no exported name from the source code, such
+// as the value in "reportEvery = 2 * time.Second".
 func sourceDuration(t *testing.T, file, name string) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(file)
@@ -84,12 +84,12 @@
 	return time.Duration(count) * units[string(found[2])]
 }
 
-func TestSettingsAreThoseOfTheCode(t *testing.T) {
-	c, err := ReadConstants(strings.NewReader(read(t, constantsFile)))
+func TestSettingsMatchCodeDefaults(t *testing.T) {
+	c, err := ReadConstants(strings.NewReader(readFile(t, constantsFile)))
 	assert.NilError(t, err)
 	inFile := make(map[string]float64)
 	for _, f := range c.Settings {
 		inFile[f.Name] = f.Value
 	}
-	assert.DeepEqual(t, inFile, codeSettings(t))
+	assert.DeepEqual(t, inFile, defaultSettings(t))
 }
--- a/sizing/slope.go
+++ b/sizing/slope.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// MinPoints is the smallest number of different sizes that make a slope.
+// MinPoints is the minimum number of distinct sizes for fitting a slope. Two points
+// would leave no degree of freedom for the standard errors.
 const MinPoints = 3
 
-// Slope is a straight line fitted to what a benchmark measured at several sizes.
-// In formulas its Name stands for the slope and its Name followed by "_base" for
-// the intercept.
+// Slope is a line fitted to a benchmark's results at several sizes. In formulas, its
+// Name is the slope and its Name followed by "_base" is the intercept.
 type Slope struct {
 	Name string `toml:"name"`
-	// Unit is that of the measure, Per what one step of the size is.
+	// Unit is the unit of the measured cost, Per the unit of the size.
 	Unit string `toml:"unit"`
 	Per  string `toml:"per"`
 
-	// Package and Benchmark say which benchmark measures it, Metric which of its
-	// figures, and Axis which "name=value" part of the sub-benchmark is the size.
+	// Package and Benchmark identify the benchmark, Metric the unit of the result that
+	// is fitted, and Axis the "name=value" part of the sub-benchmark that is the size.
 	Package   string `toml:"package"`
 	Benchmark string `toml:"benchmark"`
 	Metric    string `toml:"metric"`
 	Axis      string `toml:"axis"`
 	// Where lists other "name=value" parts that the sub-benchmark must have.
 	Where []string `toml:"where,omitempty"`
-	// Each is true if the metric is for one step of the size, so that the total is
+	// PerUnit is true if the metric is the cost per unit of size, so that the total is
 	// the metric times the size.
 	PerUnit bool `toml:"each,omitempty"`
 
@@ -34,7 +34,7 @@
 	Points []Point `toml:"points"`
 }
 
-// baseSuffix follows a slope's name where a formula means its intercept.
+// baseSuffix is appended to a slope's name to refer to its intercept in formulas.
 const baseSuffix = "_base"
 
 // Command returns the shell command that measures the slope.
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("go test -run '^$' -bench '^%s$' ./%s", s.Benchmark, s.Package)
 }
 
-// Sizes returns how many different sizes were measured.
+// Sizes returns the number of distinct sizes measured.
 func (s Slope) Sizes() int {
 	return distinctSizes(s.Points)
 }
--- a/sizing/storecall.go
+++ b/sizing/storecall.go
@@ -1,17 +1,17 @@
 package sizing
 
-// StoreCall is what one purpose takes of the store's budget, calls a second from
-// the whole fleet.
+// StoreCall is the rate of store calls for one purpose, in calls per second of the
+// whole fleet. They count against the store's budget.
 type StoreCall struct {
 	Purpose string
 	// Write is true for a call that counts as a write.
 	Write   bool
 	Formula Formula
-	// When says whether the calls come all the time or in an event.
+	// When is Always, or the event during which the calls are made.
 	When string
 }
 
-// Always marks calls that come all the time.
+// Always is the value of StoreCall.When for calls made continuously.
 const Always = "always"
 
 func (c StoreCall) kind() string {
@@ -21,7 +21,7 @@
 	return "read"
 }
 
-// storeSum adds up the calls of a kind that come all the time.
+// storeSum adds up the continuous calls that are writes, or those that are reads.
 func storeSum(s *Scope, write bool) (Value, error) {
 	var sum Value
 	for _, call := range StoreCalls() {
--- a/sizing/storecalls.go
+++ b/sizing/storecalls.go
@@ -1,6 +1,6 @@
 package sizing
 
-// StoreCalls returns what each purpose takes of the store's budget.
+// StoreCalls returns the store calls of each purpose.
 func StoreCalls() []StoreCall {
 	const outage, return48 = "in an outage", "48 hosts return in 10 s"
 	return []StoreCall{
--- a/sizing/table.go
+++ b/sizing/table.go
@@ -12,7 +12,7 @@
 	t.rows = append(t.rows, cells)
 }
 
-// String returns the table in Markdown, each row on a line.
+// String returns the table in Markdown.
 func (t *table) String() string {
 	var b strings.Builder
 	writeRow(&b, t.header)
--- a/sizing/unit.go
+++ b/sizing/unit.go
@@ -6,59 +6,59 @@
 	"strconv"
 )
 
-// Unit says how an amount is printed.
+// Unit determines how an amount is formatted.
 type Unit uint8
 
 const (
-	// Count is a plain number.
+	// Count is a number without a unit.
 	Count Unit = iota
-	// PerSecond is a rate of events.
+	// PerSecond is a rate of calls, messages or other events.
 	PerSecond
 	// ByteCount is an amount of memory or data.
 	ByteCount
 	// BytesPerSecond is a rate of data.
 	BytesPerSecond
-	// Fraction is a part of one core's time.
+	// Fraction is a ratio, such as a share of one core's time, formatted as a percentage.
 	Fraction
-	// Seconds is a time.
+	// Seconds is a duration.
 	Seconds
 )
 
-// Format prints the amount with three significant digits. Prefixes are decimal:
-// 1 KB is 1,000 bytes.
+// Format formats the amount with three significant digits. Prefixes are decimal: 1 KB
+// is 1,000 bytes.
 func (u Unit) Format(amount float64) string {
 	switch u {
 	case PerSecond:
-		return digits(amount) + " /s"
+		return formatSignificant(amount) + " /s"
 	case ByteCount:
-		return prefixed(amount) + "B"
+		return formatWithPrefix(amount) + "B"
 	case BytesPerSecond:
-		return prefixed(amount) + "B/s"
+		return formatWithPrefix(amount) + "B/s"
 	case Fraction:
-		return digits(amount*100) + " %"
+		return formatSignificant(amount*100) + " %"
 	case Seconds:
-		return seconds(amount)
+		return formatSeconds(amount)
 	default:
-		return digits(amount)
+		return formatSignificant(amount)
 	}
 }
 
-const shownDigits = 3
+const printedDigits = 3
 
-func digits(v float64) string {
+func formatSignificant(v float64) string {
 	if v == 0 {
 		return "0"
 	}
 	magnitude := int(math.Floor(math.Log10(math.Abs(v))))
-	decimals := max(0, shownDigits-1-magnitude)
-	if decimals > shownDigits+3 {
-		return strconv.FormatFloat(v, 'e', shownDigits-1, 64)
+	decimals := max(0, printedDigits-1-magnitude)
+	if decimals > printedDigits+3 {
+		return strconv.FormatFloat(v, 'e', printedDigits-1, 64)
 	}
-	return grouped(strconv.FormatFloat(v, 'f', decimals, 64))
+	return groupThousands(strconv.FormatFloat(v, 'f', decimals, 64))
 }
 
-// grouped puts commas between thousands.
-func grouped(s string) string {
+// groupThousands inserts commas between groups of three digits.
+func groupThousands(s string) string {
 	whole, rest := s, ""
 	for i, r := range s {
 		if r == '.' {
@@ -76,34 +76,34 @@
 	return sign + whole + rest
 }
 
-func prefixed(v float64) string {
+func formatWithPrefix(v float64) string {
 	for _, p := range []struct {
 		scale float64
 		name  string
 	}{{1e9, "G"}, {1e6, "M"}, {1e3, "K"}} {
 		if math.Abs(v) >= p.scale {
-			return digits(v/p.scale) + " " + p.name
+			return formatSignificant(v/p.scale) + " " + p.name
 		}
 	}
-	return digits(v) + " "
+	return formatSignificant(v) + " "
 }
 
-func seconds(v float64) string {
+func formatSeconds(v float64) string {
 	switch a := math.Abs(v); {
 	case a == 0:
 		return "0 s"
 	case a < 1e-6:
-		return fmt.Sprintf("%s ns", digits(v*1e9))
+		return fmt.Sprintf("%s ns", formatSignificant(v*1e9))
 	case a < 1e-3:
-		return fmt.Sprintf("%s µs", digits(v*1e6))
+		return fmt.Sprintf("%s µs", formatSignificant(v*1e6))
 	case a < 1:
-		return fmt.Sprintf("%s ms", digits(v*1e3))
+		return fmt.Sprintf("%s ms", formatSignificant(v*1e3))
 	default:
-		return fmt.Sprintf("%s s", digits(v))
+		return fmt.Sprintf("%s s", formatSignificant(v))
 	}
 }
 
-// trimmed prints all digits of a constant and no more.
-func trimmed(v float64) string {
+// exactDecimal formats a constant with the fewest digits that represent it exactly.
+func exactDecimal(v float64) string {
 	return strconv.FormatFloat(v, 'f', -1, 64)
 }
--- a/sizing/value.go
+++ b/sizing/value.go
@@ -1,21 +1,20 @@
 package sizing
 
-// Value is what a formula comes to.
+// Value is the result of evaluating a formula.
 type Value struct {
 	Amount float64
-	// Assumed is true if an assumed figure went into it.
+	// Assumed is true if the formula depends on an assumed constant.
 	Assumed bool
-	// MissingSlope names the slopes that it needs and that have not been measured. The
-	// amount is then of no use.
+	// Missing lists the slopes and derived values that the formula uses but that have
+	// not been measured. Eval leaves Amount zero if there are any.
 	Missing []string
 }
 
-// Known reports whether everything that the value rests on was measured, given
-// or assumed.
+// Complete reports whether no slope that the value depends on is missing.
 func (v Value) Complete() bool { return len(v.Missing) == 0 }
 
-// Plus returns the sum of both. The parts that are not known are left out of the
-// amount and named.
+// Add returns the sum of both values. Parts that have not been measured are left out of
+// the amount and listed in Missing.
 func (v Value) Add(o Value) Value {
 	sum := Value{Assumed: v.Assumed || o.Assumed}
 	sum.Missing = append(append(sum.Missing, v.Missing...), o.Missing...)
