--- a/answer/bench_test.go
+++ b/answer/bench_test.go
@@ -69,7 +69,7 @@
 			rounds := 0
 			for b.Loop() {
 				before := heapBytes()
-				cache := answer.NewCache(answer.CacheOptions{Bytes: 1 << 40})
+				cache := answer.NewCache(answer.CacheOptions{MaxBytes: 1 << 40})
 				for i := range answers {
 					buffer := fill(b, tokens, random)
 					buffer.End(answer.End{})
--- a/answer/buffer.go
+++ b/answer/buffer.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// DefaultBound is how many bytes of an answer a buffer holds by default.
-const DefaultBound = 4 << 20
+// DefaultBufferBytes is how many bytes of an answer a buffer holds by default.
+const DefaultBufferBytes = 4 << 20
 
 // chunkOverhead is the memory a held chunk costs besides its data, in bytes.
 const chunkOverhead = 48
@@ -20,8 +20,8 @@
 // writer waits. A reader that asks for a dropped chunk gets ErrTruncated, so
 // that nobody takes a part for the whole.
 type Buffer struct {
-	// Audience counts the readers.
-	Audience Audience
+	// ReaderTracker counts the readers.
+	Readers ReaderTracker
 
 	bound int
 
@@ -38,10 +38,10 @@
 }
 
 // NewBuffer returns an empty buffer that holds at most bound bytes; zero means
-// DefaultBound.
+// DefaultBufferBytes.
 func NewBuffer(bound int) *Buffer {
 	if bound <= 0 {
-		bound = DefaultBound
+		bound = DefaultBufferBytes
 	}
 	return &Buffer{bound: bound}
 }
@@ -128,7 +128,7 @@
 }
 
 // Whole reports whether the answer can still be read from its start.
-func (b *Buffer) Whole() bool {
+func (b *Buffer) Untruncated() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.first() == 0
@@ -144,8 +144,8 @@
 	return *b.end, true
 }
 
-// EndRead reports whether some reader has got the end.
-func (b *Buffer) EndRead() bool {
+// EndDelivered reports whether some reader has got the end.
+func (b *Buffer) EndDelivered() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.endRead
--- a/answer/buffer_test.go
+++ b/answer/buffer_test.go
@@ -69,7 +69,7 @@
 	position := answer.Position{From: from}
 	for {
 		batch, err := buffer.Read(context.Background(), position)
-		if errors.Is(err, answer.ErrTruncated) && !buffer.Whole() {
+		if errors.Is(err, answer.ErrTruncated) && !buffer.Untruncated() {
 			return
 		}
 		if err != nil {
@@ -127,7 +127,7 @@
 		return buffer
 	}
 	var dropped []string
-	cache := answer.NewCache(answer.CacheOptions{Bytes: 4000, Retention: time.Minute, OnDrop: func(key domain.RequestKey) {
+	cache := answer.NewCache(answer.CacheOptions{MaxBytes: 4000, Retention: time.Minute, OnEvict: func(key domain.RequestKey) {
 		dropped = append(dropped, key.Client)
 	}})
 	start := time.Now()
@@ -160,20 +160,20 @@
 
 func TestAudience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var audience answer.Audience
+		var audience answer.ReaderTracker
 		start := time.Now()
 		var idle []time.Duration
-		audience.Watch(func() time.Duration { return 10 * time.Second }, func() { idle = append(idle, time.Since(start)) })
+		audience.OnIdle(func() time.Duration { return 10 * time.Second }, func() { idle = append(idle, time.Since(start)) })
 		time.Sleep(9 * time.Second)
-		audience.Enter()
-		audience.Enter()
+		audience.Attach()
+		audience.Attach()
 		time.Sleep(20 * time.Second)
-		audience.Leave()
+		audience.Detach()
 		time.Sleep(20 * time.Second)
-		audience.Leave()
+		audience.Detach()
 		time.Sleep(9 * time.Second)
-		audience.Enter()
-		audience.Leave()
+		audience.Attach()
+		audience.Detach()
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		assert.DeepEqual(t, idle, []time.Duration{68 * time.Second})
--- a/answer/cache.go
+++ b/answer/cache.go
@@ -11,8 +11,8 @@
 const (
 	// DefaultRetention is how long a finished answer is held by default.
 	DefaultRetention = 10 * time.Minute
-	// DefaultCacheBytes is how much memory finished answers take by default.
-	DefaultCacheBytes = 64 << 20
+	// DefaultMaxCacheBytes is how much memory finished answers take by default.
+	DefaultMaxCacheBytes = 64 << 20
 )
 
 // entryOverhead is the memory a finished answer costs besides its data, in bytes.
@@ -21,16 +21,16 @@
 // CacheOptions bounds a cache.
 type CacheOptions struct {
 	// Bytes is the most memory that finished answers may take.
-	Bytes int
+	MaxBytes int
 	// Retention is how long they are held at most.
 	Retention time.Duration
-	// OnDrop, if set, is called after an answer was dropped, without locks held.
-	OnDrop func(key domain.RequestKey)
+	// OnEvict, if set, is called after an answer was dropped, without locks held.
+	OnEvict func(key domain.RequestKey)
 }
 
 func (o CacheOptions) withDefaults() CacheOptions {
-	if o.Bytes <= 0 {
-		o.Bytes = DefaultCacheBytes
+	if o.MaxBytes <= 0 {
+		o.MaxBytes = DefaultMaxCacheBytes
 	}
 	if o.Retention <= 0 {
 		o.Retention = DefaultRetention
@@ -114,7 +114,7 @@
 	var dropped []domain.RequestKey
 	for element := c.order.Front(); element != nil; element = c.order.Front() {
 		entry := element.Value.(*cacheEntry)
-		if c.bytes <= c.options.Bytes && now.Sub(entry.added) < c.options.Retention {
+		if c.bytes <= c.options.MaxBytes && now.Sub(entry.added) < c.options.Retention {
 			break
 		}
 		c.remove(entry.key)
@@ -134,10 +134,10 @@
 }
 
 func (c *Cache) report(dropped []domain.RequestKey) {
-	if c.options.OnDrop == nil {
+	if c.options.OnEvict == nil {
 		return
 	}
 	for _, key := range dropped {
-		c.options.OnDrop(key)
+		c.options.OnEvict(key)
 	}
 }
--- a/answer/errors.go
+++ b/answer/errors.go
@@ -12,6 +12,6 @@
 	ErrEnded = errors.New("answer: already ended")
 	// ErrGap means that a chunk was appended out of order.
 	ErrGap = errors.New("answer: gap in sequence")
-	// ErrHolder means that the node that holds the answer could not be read.
-	ErrHolder = errors.New("answer: holder can't be read")
+	// ErrHolderUnavailable means that the node that holds the answer could not be read.
+	ErrHolderUnavailable = errors.New("answer: holder can't be read")
 )
--- a/answer/audience.go
+++ b/answer/readertracker.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Audience counts the readers of an answer and tells when there has been none
+// ReaderTracker counts the readers of an answer and tells when there has been none
 // for a grace time.
-type Audience struct {
+type ReaderTracker struct {
 	mu    sync.Mutex
 	count int
 	grace func() time.Duration
@@ -20,7 +20,7 @@
 // Watch calls idle, once, when there has been no reader for the grace time,
 // counted from now on. The grace time is asked for whenever the last reader
 // leaves. Watch replaces an earlier watch; a nil idle ends it.
-func (a *Audience) Watch(grace func() time.Duration, idle func()) {
+func (a *ReaderTracker) OnIdle(grace func() time.Duration, idle func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.stop()
@@ -30,7 +30,7 @@
 }
 
 // Enter counts a reader in.
-func (a *Audience) Enter() {
+func (a *ReaderTracker) Attach() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.count++
@@ -38,7 +38,7 @@
 }
 
 // Leave counts a reader out.
-func (a *Audience) Leave() {
+func (a *ReaderTracker) Detach() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.count--
@@ -46,13 +46,13 @@
 }
 
 // Empty reports whether there is no reader.
-func (a *Audience) Empty() bool {
+func (a *ReaderTracker) Idle() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.count == 0
 }
 
-func (a *Audience) start() {
+func (a *ReaderTracker) start() {
 	if a.count > 0 || a.idle == nil {
 		return
 	}
@@ -60,7 +60,7 @@
 	a.timer = time.AfterFunc(a.grace(), func() { a.expire(round) })
 }
 
-func (a *Audience) stop() {
+func (a *ReaderTracker) stop() {
 	a.round++
 	if a.timer != nil {
 		a.timer.Stop()
@@ -68,13 +68,13 @@
 	}
 }
 
-func (a *Audience) expire(round uint64) {
+func (a *ReaderTracker) expire(round uint64) {
 	if idle := a.take(round); idle != nil {
 		idle()
 	}
 }
 
-func (a *Audience) take(round uint64) func() {
+func (a *ReaderTracker) take(round uint64) func() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if round != a.round {
--- a/answer/registry.go
+++ b/answer/registry.go
@@ -31,11 +31,11 @@
 // Finish moves an answer that has ended to the cache.
 func (r *Registry) Finish(key domain.RequestKey, buffer *Buffer) {
 	r.cache.Add(key, buffer, time.Now())
-	r.Forget(key, buffer)
+	r.Remove(key, buffer)
 }
 
 // Forget removes a buffer that is not worth keeping: its request was not run.
-func (r *Registry) Forget(key domain.RequestKey, buffer *Buffer) {
+func (r *Registry) Remove(key domain.RequestKey, buffer *Buffer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.open[key] == buffer {
--- a/answer/relay.go
+++ b/answer/relay.go
@@ -12,8 +12,8 @@
 // MethodRead reads a batch of another node's answer.
 const MethodRead peer.Method = "answer.read"
 
-// MaxWait bounds how long a node holds a read that finds nothing new.
-const MaxWait = 10 * time.Second
+// MaxReadWait bounds how long a node holds a read that finds nothing new.
+const MaxReadWait = 10 * time.Second
 
 // replyMargin is the time a reply may take beyond the wait.
 const replyMargin = 5 * time.Second
@@ -59,15 +59,15 @@
 
 // Read returns the next batch of the answer that holder has under the key. It
 // returns an empty batch when nothing came for a while, ErrNotHeld or
-// ErrTruncated when holder can't give it, and an error that wraps ErrHolder when
+// ErrTruncated when holder can't give it, and an error that wraps ErrHolderUnavailable when
 // holder can't be asked.
 func (r *Relay) Read(ctx context.Context, holder domain.Member, key domain.RequestKey, position Position) (Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, MaxWait+replyMargin)
+	ctx, cancel := context.WithTimeout(ctx, MaxReadWait+replyMargin)
 	defer cancel()
-	request := readRequest{Key: key, Position: position, Wait: MaxWait}
+	request := readRequest{Key: key, Position: position, Wait: MaxReadWait}
 	reply, err := peer.Call[readRequest, readReply](ctx, r.transport, holder, MethodRead, request)
 	if err != nil {
-		return Batch{}, fmt.Errorf("%w: %s: %w", ErrHolder, holder, err)
+		return Batch{}, fmt.Errorf("%w: %s: %w", ErrHolderUnavailable, holder, err)
 	}
 	switch reply.Status {
 	case readNotHeld:
@@ -85,7 +85,7 @@
 func checkOrder(batch Batch, position Position) error {
 	for i, chunk := range batch.Chunks {
 		if want := position.From + uint64(i); chunk.Sequence != want {
-			return fmt.Errorf("%w: %w: got %d, want %d", ErrHolder, ErrGap, chunk.Sequence, want)
+			return fmt.Errorf("%w: %w: got %d, want %d", ErrHolderUnavailable, ErrGap, chunk.Sequence, want)
 		}
 	}
 	return nil
@@ -96,9 +96,9 @@
 	if !ok {
 		return readReply{Status: readNotHeld}, nil
 	}
-	buffer.Audience.Enter()
-	defer buffer.Audience.Leave()
-	ctx, cancel := context.WithTimeout(ctx, min(request.Wait, MaxWait))
+	buffer.Readers.Attach()
+	defer buffer.Readers.Detach()
+	ctx, cancel := context.WithTimeout(ctx, min(request.Wait, MaxReadWait))
 	defer cancel()
 	batch, err := buffer.Read(ctx, request.Position)
 	switch {
--- a/answer/relay_test.go
+++ b/answer/relay_test.go
@@ -32,7 +32,7 @@
 		registry.Open(key, buffer)
 		go func() {
 			// Longer than one read is held by the holder.
-			time.Sleep(3 * answer.MaxWait / 2)
+			time.Sleep(3 * answer.MaxReadWait / 2)
 			buffer.SetHead(answer.Head{Status: 200})
 			for i := range uint64(5) {
 				assert.Check(t, buffer.Append(t.Context(), i, make([]byte, 40<<10)))
@@ -60,9 +60,9 @@
 		_, err := reader.Read(t.Context(), member("holder"), other, answer.Position{})
 		assert.ErrorIs(t, err, answer.ErrNotHeld)
 		_, err = reader.Read(t.Context(), member("nonsense"), key, answer.Position{})
-		assert.ErrorIs(t, err, answer.ErrHolder)
+		assert.ErrorIs(t, err, answer.ErrHolderUnavailable)
 		network.Cut("reader", "holder")
 		_, err = reader.Read(t.Context(), member("holder"), key, answer.Position{})
-		assert.ErrorIs(t, err, answer.ErrHolder)
+		assert.ErrorIs(t, err, answer.ErrHolderUnavailable)
 	})
 }
--- a/cmd/hawthornrill-entry/main.go
+++ b/cmd/hawthornrill-entry/main.go
@@ -67,7 +67,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	go reload(ctx, path, level, log)
-	client := platform.NewClient(settings.Store, onesend.New(onesend.Options{DialTimeout: storeDial, SilentTimeout: storeSilence}))
+	client := platform.NewClient(settings.Store, onesend.New(onesend.Options{DialTimeout: storeDial, DeadPeerTimeout: storeSilence}))
 	node, err := entrynode.New(settings, entrynode.Adapters{Protocol: platform.Heads{}, Source: client, Registry: client}, log)
 	if err != nil {
 		log.Error().Err(err).Msg("node can't start")
--- a/cmd/hawthornrill-entry/main_test.go
+++ b/cmd/hawthornrill-entry/main_test.go
@@ -91,7 +91,7 @@
 		Limit:  entrynode.Limit{WindowS: 8},
 		Notice: entrynode.Notice{GraceS: 20},
 	}
-	client := platform.NewClient(settings.Store, onesend.New(onesend.Options{DialTimeout: storeDial, SilentTimeout: storeSilence}))
+	client := platform.NewClient(settings.Store, onesend.New(onesend.Options{DialTimeout: storeDial, DeadPeerTimeout: storeSilence}))
 	node, err := entrynode.New(settings, entrynode.Adapters{Protocol: platform.Heads{}, Source: client, Registry: client}, zerolog.Nop())
 	assert.NilError(s.t, err)
 	ctx, leave := context.WithCancel(context.Background())
--- a/coordinator/give.go
+++ b/coordinator/give.go
@@ -83,7 +83,7 @@
 	switch {
 	case err == nil:
 		t.meters.result(order.Kind, resultAccepted)
-	case errors.Is(err, endpoint.ErrOldFence):
+	case errors.Is(err, endpoint.ErrStaleFence):
 		t.meters.result(order.Kind, resultOldFence)
 		return fmt.Errorf("%w: %s: %w", ErrOvertaken, id, err)
 	case errors.Is(err, endpoint.ErrRefused):
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -43,7 +43,7 @@
 		spent := 0
 		for range cap(results) {
 			if result := <-results; result.NotSent != nil {
-				assert.ErrorIs(t, result.NotSent, dispatch.ErrSpent)
+				assert.ErrorIs(t, result.NotSent, dispatch.ErrPermitUsed)
 				spent++
 			}
 		}
@@ -92,12 +92,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				engine := schedulertest.NewEngine(test.script)
-				d, permit := authorised(t, engine, dispatch.Options{ResumeWindow: 10 * time.Second, Stall: 20 * time.Second})
+				d, permit := authorised(t, engine, dispatch.Options{ResumeWindow: 10 * time.Second, StallTimeout: 20 * time.Second})
 				result := d.RunEngine(t.Context(), permit, dispatch.EngineRun{Buffer: answer.NewBuffer(0)})
 				assert.NilError(t, result.NotSent)
-				assert.Equal(t, result.Use.Complete, test.complete)
-				assert.Equal(t, result.Use.Crashed, !test.complete)
-				assert.Assert(t, result.Use.Total >= test.atLeast && result.Use.Total <= test.atMost, result.Use.Total)
+				assert.Equal(t, result.Usage.Complete, test.complete)
+				assert.Equal(t, result.Usage.Crashed, !test.complete)
+				assert.Assert(t, result.Usage.Total >= test.atLeast && result.Usage.Total <= test.atMost, result.Usage.Total)
 			})
 		})
 	}
@@ -132,9 +132,9 @@
 	engine := usageEngine{schedulertest.NewEngine(schedulertest.Script{})}
 	d, permit := authorised(t, engine, dispatch.Options{})
 	result := d.RunEngine(t.Context(), permit, dispatch.EngineRun{Buffer: answer.NewBuffer(0)})
-	assert.Equal(t, result.Use.PromptTokens, 70)
-	assert.Equal(t, result.Use.AnswerTokens, 5)
-	assert.Equal(t, result.Use.CachedTokens, 64)
+	assert.Equal(t, result.Usage.PromptTokens, 70)
+	assert.Equal(t, result.Usage.AnswerTokens, 5)
+	assert.Equal(t, result.Usage.CachedTokens, 64)
 }
 
 type usageEngine struct{ *schedulertest.Engine }
--- a/dispatch/engine.go
+++ b/dispatch/engine.go
@@ -34,7 +34,7 @@
 		return notSent(err, false)
 	}
 	if !permit.spend() {
-		return notSent(ErrSpent, false)
+		return notSent(ErrPermitUsed, false)
 	}
 	key := permit.key.String()
 	c := newEngineCopy(engine, key, run, d.options)
@@ -73,14 +73,14 @@
 	if err == nil {
 		c.use.Complete = true
 		c.readUsage()
-		return Result{Use: c.use}
+		return Result{Usage: c.use}
 	}
 	if !errors.Is(err, endpoint.ErrRefused) && !errors.Is(err, ErrOvertaken) {
 		c.cancel(ctx)
 	}
 	end := endOf(err)
 	c.use.Crashed = end.Code == answer.CodeBroken
-	return Result{End: end, Use: c.use}
+	return Result{End: end, Usage: c.use}
 }
 
 // cancel tells the engine to stop, also when ctx has ended. A lost order costs
--- a/dispatch/enginecopy.go
+++ b/dispatch/enginecopy.go
@@ -38,8 +38,8 @@
 
 func newEngineCopy(engine endpoint.Engine, key string, run EngineRun, options Options) *engineCopy {
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = options.ResumeFirst
-	pauses.MaxInterval = options.ResumeMax
+	pauses.InitialInterval = options.ResumeInitialDelay
+	pauses.MaxInterval = options.ResumeMaxDelay
 	return &engineCopy{
 		engine:   engine,
 		key:      key,
@@ -106,7 +106,7 @@
 func (c *engineCopy) attempt(ctx context.Context, open func(context.Context) (endpoint.Stream, error)) error {
 	streamCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := newWatchdog(c.options.Stall, func() { cancel(errStalled) })
+	watch := newWatchdog(c.options.StallTimeout, func() { cancel(errStalled) })
 	defer watch.stop()
 	stream, err := open(streamCtx)
 	if err != nil {
--- a/dispatch/errors.go
+++ b/dispatch/errors.go
@@ -8,8 +8,8 @@
 import "errors"
 
 var (
-	// ErrSpent means that a permit was used a second time; nothing was sent.
-	ErrSpent = errors.New("dispatch: permit already spent")
+	// ErrPermitUsed means that a permit was used a second time; nothing was sent.
+	ErrPermitUsed = errors.New("dispatch: permit already spent")
 	// ErrNoAdapter means that the endpoint is not known here; nothing was sent.
 	ErrNoAdapter = errors.New("dispatch: no adapter for endpoint")
 
@@ -26,8 +26,8 @@
 	ErrOvertaken = errors.New("dispatch: taken over by another node")
 	// ErrStopped: the node stops without a drain.
 	ErrStopped = errors.New("dispatch: node stopped")
-	// ErrTooLong: the request has run for longer than any may.
-	ErrTooLong = errors.New("dispatch: request ran too long")
+	// ErrRunTimeout: the request has run for longer than any may.
+	ErrRunTimeout = errors.New("dispatch: request ran too long")
 
 	errStalled = errors.New("dispatch: endpoint stalled")
 )
--- a/dispatch/result.go
+++ b/dispatch/result.go
@@ -18,11 +18,11 @@
 	// End is how the answer ended. It has no meaning when NotSent is set.
 	End answer.End
 	// Use is for the capacity owner.
-	Use capacity.Result
+	Usage capacity.Result
 }
 
 func notSent(err error, unreachable bool) Result {
-	return Result{NotSent: err, Use: capacity.Result{Unreachable: unreachable}}
+	return Result{NotSent: err, Usage: capacity.Result{Unreachable: unreachable}}
 }
 
 // endOf translates what ended a run before its answer was complete. Something
@@ -45,7 +45,7 @@
 		return answer.CodeCallerGone
 	case errors.Is(err, ErrStopped):
 		return answer.CodeStopped
-	case errors.Is(err, ErrTooLong):
+	case errors.Is(err, ErrRunTimeout):
 		return answer.CodeDeadline
 	case errors.Is(err, errRefused):
 		return answer.CodeRefused
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -35,12 +35,12 @@
 		return notSent(err, false)
 	}
 	if !permit.spend() {
-		return notSent(ErrSpent, false)
+		return notSent(ErrPermitUsed, false)
 	}
 	run.Request.Key = permit.key.String()
 	callCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := newWatchdog(d.options.ServiceStall, func() { cancel(errStalled) })
+	watch := newWatchdog(d.options.ServiceStallTimeout, func() { cancel(errStalled) })
 	defer watch.stop()
 	if run.Request.Length != 0 && run.Request.Body != nil {
 		run.Request.Body = watchedReader{reader: run.Request.Body, watch: watch}
@@ -61,14 +61,14 @@
 func serviceResult(ctx context.Context, use capacity.Result, err error) Result {
 	if err == nil {
 		use.Complete = true
-		return Result{Use: use}
+		return Result{Usage: use}
 	}
 	if cause := cancelled(ctx); cause != nil {
 		err = cause
 	}
 	end := endOf(err)
 	use.Crashed = end.Code == answer.CodeBroken
-	return Result{End: end, Use: use}
+	return Result{End: end, Usage: use}
 }
 
 func copyResponse(ctx context.Context, response endpoint.ServiceResponse, buffer *answer.Buffer, watch *watchdog) error {
--- a/endpoint/exchange/client.go
+++ b/endpoint/exchange/client.go
@@ -60,7 +60,7 @@
 	Header http.Header
 	Body   []byte
 	// Answers reports whether the head of an answer belongs to this request; nil takes any.
-	Answers func(http.Header) bool
+	Matches func(http.Header) bool
 }
 
 // Client keeps connections to endpoints. It is safe for concurrent use.
@@ -79,15 +79,15 @@
 // Options bound a Client.
 type Options struct {
 	// Connections bounds the open connections to all endpoints; 0 is no bound.
-	Connections int
+	MaxConnections int
 	// Idle bounds the idle ones kept to an endpoint; nil means maxIdle.
-	Idle func(domain.EndpointID) int
+	MaxIdle func(domain.EndpointID) int
 }
 
 // New returns a client without connections.
 func New(options Options, set *metrics.Set) *Client {
-	if options.Idle == nil {
-		options.Idle = func(domain.EndpointID) int { return maxIdle }
+	if options.MaxIdle == nil {
+		options.MaxIdle = func(domain.EndpointID) int { return maxIdle }
 	}
 	c := &Client{
 		dialer:  netdial.New(dialTimeout, silentTimeout),
@@ -105,7 +105,7 @@
 
 // Send sends the request and returns the answer, whose Close must be called. The context bounds the answer's body too:
 // when it ends, the connection is closed, which tells the endpoint to stop.
-func (c *Client) Send(ctx context.Context, r *Request) (*Answer, error) {
+func (c *Client) Send(ctx context.Context, r *Request) (*Response, error) {
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("%w: %w", endpoint.ErrNotDispatched, context.Cause(ctx))
 	}
@@ -123,7 +123,7 @@
 		stop()
 		return nil, c.abandon(conn, fmt.Errorf("%w: %w", endpoint.ErrBroken, err))
 	}
-	return &Answer{Response: response, client: c, conn: conn, endpoint: r.Endpoint, stop: stop}, nil
+	return &Response{Response: response, client: c, conn: conn, endpoint: r.Endpoint, stop: stop}, nil
 }
 
 // abandon closes a connection whose request has no answer, and adds to the error what was not acknowledged of it.
@@ -157,7 +157,7 @@
 
 // dial opens a connection. At the bound on open ones an idle one to another endpoint makes room.
 func (c *Client) dial(ctx context.Context, address string) (*conn, error) {
-	most := int64(c.options.Connections)
+	most := int64(c.options.MaxConnections)
 	for c.open.Add(1) > most && most > 0 {
 		c.open.Add(-1)
 		if !c.closeIdle() {
@@ -205,7 +205,7 @@
 	conn.idleUntil = time.Now().Add(idle)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[id]) >= c.options.Idle(id) {
+	if len(c.idle[id]) >= c.options.MaxIdle(id) {
 		conn.close()
 		return
 	}
@@ -213,7 +213,7 @@
 }
 
 // Forget closes the idle connections to an endpoint that is gone, and those that have been idle too long.
-func (c *Client) Forget(listed func(domain.EndpointID) bool) {
+func (c *Client) PruneIdle(listed func(domain.EndpointID) bool) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -249,7 +249,7 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Answers == nil || r.Answers(response.Header) {
+		if r.Matches == nil || r.Matches(response.Header) {
 			return response, nil
 		}
 		skipped++
--- a/endpoint/exchange/client_test.go
+++ b/endpoint/exchange/client_test.go
@@ -66,7 +66,7 @@
 	return &Request{
 		Endpoint: domain.EndpointID("e"), Address: s.address, Method: http.MethodPost, Target: "/a%2Fb?x=%20y", Host: "h.example",
 		Header: http.Header{"X-Id": {id}}, Body: []byte("body"),
-		Answers: func(h http.Header) bool { return h.Get("X-Id") == id },
+		Matches: func(h http.Header) bool { return h.Get("X-Id") == id },
 	}
 }
 
@@ -116,7 +116,7 @@
 			r := s.request("2")
 			if test.connections > 1 {
 				// The second connection begins with the first text again.
-				r.Answers = nil
+				r.Matches = nil
 			}
 			_, err = send(t, c, r)
 			assert.NilError(t, err)
@@ -198,9 +198,9 @@
 	c := New(Options{}, metrics.NewSet())
 	_, err := send(t, c, s.request("1"))
 	assert.NilError(t, err)
-	c.Forget(func(domain.EndpointID) bool { return true })
+	c.PruneIdle(func(domain.EndpointID) bool { return true })
 	assert.Equal(t, len(c.idle), 1)
-	c.Forget(func(domain.EndpointID) bool { return false })
+	c.PruneIdle(func(domain.EndpointID) bool { return false })
 	assert.Equal(t, len(c.idle), 0)
 }
 
@@ -216,7 +216,7 @@
 }
 
 func TestBoundOnOpenConnections(t *testing.T) {
-	c := New(Options{Connections: 1}, metrics.NewSet())
+	c := New(Options{MaxConnections: 1}, metrics.NewSet())
 	ok := answerTo("1", "Content-Length: 2\r\n", "ok")
 	first, second := serve(t, ok, ok), serve(t, ok, ok)
 	toFirst, toSecond := first.request("1"), second.request("1")
@@ -238,7 +238,7 @@
 }
 
 func TestBoundOnIdleConnections(t *testing.T) {
-	c := New(Options{Idle: func(domain.EndpointID) int { return 0 }}, metrics.NewSet())
+	c := New(Options{MaxIdle: func(domain.EndpointID) int { return 0 }}, metrics.NewSet())
 	ok := answerTo("1", "Content-Length: 2\r\n", "ok")
 	s := serve(t, ok)
 	for range 2 {
--- a/endpoint/exchange/answer.go
+++ b/endpoint/exchange/response.go
@@ -13,8 +13,8 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Answer is an endpoint's answer; its head has been read.
-type Answer struct {
+// Response is an endpoint's answer; its head has been read.
+type Response struct {
 	*http.Response
 
 	client   *Client
@@ -27,7 +27,7 @@
 
 // Read reads the body. It returns io.EOF only at the body's proper end; a body that breaks off returns an error that
 // wraps endpoint.ErrBroken.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	n, err := a.Body.Read(p)
 	switch {
 	case err == nil:
@@ -41,7 +41,7 @@
 }
 
 // Close gives the connection back if it can be used again, and closes it otherwise, which tells the endpoint to stop.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	running := a.stop()
 	idle := a.idle()
 	if running && a.ended && idle > 0 && a.conn.reader.Buffered() == 0 {
@@ -52,7 +52,7 @@
 }
 
 // idle returns how long the connection may be idle; zero if it must not be used again.
-func (a *Answer) idle() time.Duration {
+func (a *Response) idle() time.Duration {
 	if lastOfItsConnection(a.Response) {
 		return 0
 	}
--- a/endpoint/httpengine/client_test.go
+++ b/endpoint/httpengine/client_test.go
@@ -91,7 +91,7 @@
 		Fence: 7, Role: endpoint.RoleDecode, Models: []endpoint.ModelState{{Model: "m", Ready: true}},
 	})
 	err = client.Order(ctx, endpoint.Order{Fence: 6, Kind: endpoint.OrderUnload, Model: "m"})
-	assert.ErrorIs(t, err, endpoint.ErrOldFence)
+	assert.ErrorIs(t, err, endpoint.ErrStaleFence)
 	assert.ErrorIs(t, err, endpoint.ErrRefused)
 
 	long := strings.Replace(body, "hob", strings.Repeat("very ", 200)+"hob", 1)
--- a/endpoint/httpengine/status.go
+++ b/endpoint/httpengine/status.go
@@ -11,7 +11,7 @@
 
 // StatusError is an answer with a status other than success. It wraps
 // endpoint.ErrRefused where the status means that the request does not run,
-// endpoint.ErrOldFence beside it for an order so refused,
+// endpoint.ErrStaleFence beside it for an order so refused,
 // endpoint.ErrStreamNotFound for a missing stream, else endpoint.ErrBroken.
 type StatusError struct {
 	Status int
@@ -29,7 +29,7 @@
 func (e *StatusError) Unwrap() error { return e.kind }
 
 // errConflict is the refusal of an order with an old fencing number.
-var errConflict = fmt.Errorf("%w: %w", endpoint.ErrRefused, endpoint.ErrOldFence)
+var errConflict = fmt.Errorf("%w: %w", endpoint.ErrRefused, endpoint.ErrStaleFence)
 
 const maxMessageBytes = 512
 
--- a/endpoint/onesend/options.go
+++ b/endpoint/onesend/options.go
@@ -17,9 +17,9 @@
 	IdleTimeout time.Duration
 	// IdlePerHost is the number of unused connections kept to one endpoint. Default 64.
 	IdlePerHost int
-	// SilentTimeout is how long a connection may be silent at the level of TCP before it is taken for dead. Zero leaves it
+	// DeadPeerTimeout is how long a connection may be silent at the level of TCP before it is taken for dead. Zero leaves it
 	// to the kernel.
-	SilentTimeout time.Duration
+	DeadPeerTimeout time.Duration
 	// TLS is used for https addresses; nil for the defaults.
 	TLS *tls.Config
 }
@@ -33,8 +33,8 @@
 
 // dialer returns the dialer of the options.
 func (o Options) dialer() *dialer {
-	if o.SilentTimeout > 0 {
-		return &dialer{*netdial.New(o.DialTimeout, o.SilentTimeout)}
+	if o.DeadPeerTimeout > 0 {
+		return &dialer{*netdial.New(o.DialTimeout, o.DeadPeerTimeout)}
 	}
 	return &dialer{netdial.Dialer{Dialer: net.Dialer{Timeout: o.DialTimeout, KeepAlive: keepAlivePeriod}}}
 }
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -5,9 +5,9 @@
 	"errors"
 )
 
-// ErrOldFence means that the engine refused an order because it has seen a
+// ErrStaleFence means that the engine refused an order because it has seen a
 // greater fencing number. Not every engine checks.
-var ErrOldFence = errors.New("endpoint: old fencing number")
+var ErrStaleFence = errors.New("endpoint: old fencing number")
 
 // OrderKind says what an order is about.
 type OrderKind string
--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -93,7 +93,7 @@
 		Node: s.Node, DataCentre: s.DataCentre, CacheTokens: n.cacheTokens, Limits: n.endpointLimits, Log: log,
 	}, n.directory, n.mesh.Fleet, n.metrics)
 	n.suspects = quarantine.NewTracker(log)
-	n.endpoints = exchange.New(exchange.Options{Connections: s.Host.endpointConnections(), Idle: n.idleAt}, n.metrics)
+	n.endpoints = exchange.New(exchange.Options{MaxConnections: s.Host.endpointConnections(), MaxIdle: n.idleAt}, n.metrics)
 	n.gateway = gateway.New(gateway.Dependencies{
 		Protocol:           adapters.Protocol,
 		Config:             n.follower,
@@ -321,6 +321,6 @@
 func (n *Node) tidy(ctx context.Context) error {
 	return pacing.Every(ctx, tidyEvery, func() {
 		snapshot := n.directory.Current()
-		n.endpoints.Forget(func(id endpointID) bool { return snapshot.Endpoint(id) != nil })
+		n.endpoints.PruneIdle(func(id endpointID) bool { return snapshot.Endpoint(id) != nil })
 	})
 }
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -108,7 +108,7 @@
 		Host:     t.request.Host,
 		Header:   head,
 		Body:     t.body,
-		Answers: func(h http.Header) bool {
+		Matches: func(h http.Header) bool {
 			id := protocol.ReadAnswer(http.StatusOK, h).ID
 			return id == "" || id == t.call.ID
 		},
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -18,7 +18,7 @@
 
 // forwardStream forwards complete events as they arrive. The header is sent with the first event, so that a stream that
 // breaks off before it can be requested again from the beginning.
-func (a *attempt) forwardStream(response *exchange.Answer) attemptResult {
+func (a *attempt) forwardStream(response *exchange.Response) attemptResult {
 	t := a.task
 	events := newEventReader(response)
 	for {
@@ -41,7 +41,7 @@
 	}
 }
 
-func (a *attempt) forwardEvent(response *exchange.Answer, event event) error {
+func (a *attempt) forwardEvent(response *exchange.Response, event event) error {
 	t := a.task
 	if !t.headSent {
 		a.forwardHead(response)
@@ -52,7 +52,7 @@
 	return http.NewResponseController(t.writer).Flush()
 }
 
-func (a *attempt) forwardHead(response *exchange.Answer) {
+func (a *attempt) forwardHead(response *exchange.Response) {
 	t := a.task
 	h := t.writer.Header()
 	copyEndToEndHeader(h, response.Header)
@@ -62,7 +62,7 @@
 }
 
 // streamEnded completes a stream that ended properly.
-func (a *attempt) streamEnded(response *exchange.Answer) attemptResult {
+func (a *attempt) streamEnded(response *exchange.Response) attemptResult {
 	t := a.task
 	if !t.headSent {
 		a.forwardHead(response)
--- a/gateway/whole.go
+++ b/gateway/whole.go
@@ -12,7 +12,7 @@
 
 // forwardBuffered reads the whole response before forwarding any of it, so that a truncated one can be retried or reported
 // and never looks complete. Only a response longer than maxBufferedBytes is forwarded as it arrives.
-func (a *attempt) forwardBuffered(response *exchange.Answer, head AnswerHead) attemptResult {
+func (a *attempt) forwardBuffered(response *exchange.Response, head AnswerHead) attemptResult {
 	t := a.task
 	body, err := io.ReadAll(io.LimitReader(response, maxBufferedBytes+1))
 	if err != nil {
@@ -48,7 +48,7 @@
 func (a *attempt) failureBlamesEndpoint() bool { return a.task.route.Kind == routetable.Stream }
 
 // writeBuffered writes the response's header and buffered body to the caller.
-func (a *attempt) writeBuffered(response *exchange.Answer, body []byte) {
+func (a *attempt) writeBuffered(response *exchange.Response, body []byte) {
 	t := a.task
 	h := t.writer.Header()
 	copyEndToEndHeader(h, response.Header)
--- a/node/node.go
+++ b/node/node.go
@@ -210,7 +210,7 @@
 
 func (n *Node) buildScheduler() error {
 	n.answers = answer.NewRegistry(answer.NewCache(answer.CacheOptions{
-		Bytes:     n.options.AnswerBytes,
+		MaxBytes:  n.options.AnswerBytes,
 		Retention: n.options.Retention,
 	}))
 	n.scheduler = scheduler.New(scheduler.Dependencies{
--- a/scheduler/attach.go
+++ b/scheduler/attach.go
@@ -112,7 +112,7 @@
 	if t.request.Call != nil {
 		return t.finish(claim, ranEnd(answer.CodeBroken, "the request was dispatched by a node that is gone, and its response with it"))
 	}
-	ctx, cancel := context.WithTimeoutCause(t.ctx, t.scheduler.options.RunTimeout, dispatch.ErrTooLong)
+	ctx, cancel := context.WithTimeoutCause(t.ctx, t.scheduler.options.RunTimeout, dispatch.ErrRunTimeout)
 	defer cancel()
 	result := t.scheduler.deps.Dispatcher.ResumeEngine(ctx, claim.Endpoint, t.request.Key, dispatch.EngineRun{Buffer: t.buffer})
 	return t.finish(claim, result.End)
--- a/scheduler/handle.go
+++ b/scheduler/handle.go
@@ -23,8 +23,8 @@
 }
 
 func newHandle(buffer *answer.Buffer) *Handle {
-	buffer.Audience.Enter()
-	return &Handle{source: buffer, detach: buffer.Audience.Leave}
+	buffer.Readers.Attach()
+	return &Handle{source: buffer, detach: buffer.Readers.Detach}
 }
 
 // Read returns the part of the answer available from the position on and blocks while
--- a/scheduler/options.go
+++ b/scheduler/options.go
@@ -48,7 +48,7 @@
 		HolderTimeout:       15 * time.Second,
 		MaxAttempts:         3,
 		MaxTasks:            20_000,
-		AnswerBufferBytes:   answer.DefaultBound,
+		AnswerBufferBytes:   answer.DefaultBufferBytes,
 		ResponseBufferBytes: 1 << 20,
 	}
 }
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -16,7 +16,7 @@
 // runClaimed runs a request whose claim was granted to this attempt.
 func (t *task) runClaimed(claim ledger.Claim) step {
 	t.claimID.Store(uint64(claim.ID))
-	if t.buffer.Audience.Empty() {
+	if t.buffer.Readers.Idle() {
 		// A later attempt may have reported not_run to the caller before this claim
 		// was granted.
 		return t.releaseAndEnd(claim, causeEnd(dispatch.ErrCallerGone))
@@ -100,14 +100,14 @@
 func (t *task) runWithGrant(claim ledger.Claim, permit LimitPermit, grant capacity.Grant) step {
 	waited := time.Since(t.started)
 	result := t.commitAndRun(claim, grant)
-	grant.Release(result.Use)
+	grant.Release(result.Usage)
 	if result.NotSent != nil {
 		permit.Release(0, 0)
 		return t.handleNotSent(claim, result)
 	}
-	permit.Release(t.tokensUsed(result.Use))
-	t.observeLength(result.Use)
-	t.scheduler.metrics.recordDispatch(&t.request, waited+result.Use.FirstToken, t.deadline(), result.Use)
+	permit.Release(t.tokensUsed(result.Usage))
+	t.observeLength(result.Usage)
+	t.scheduler.metrics.recordDispatch(&t.request, waited+result.Usage.FirstToken, t.deadline(), result.Usage)
 	return t.finish(claim, result.End)
 }
 
@@ -144,7 +144,7 @@
 // after RunTimeout.
 func (t *task) runContext(grant capacity.Grant) (context.Context, func()) {
 	ctx, stop := context.WithCancelCause(t.ctx)
-	ctx, cancel := context.WithTimeoutCause(ctx, t.scheduler.options.RunTimeout, dispatch.ErrTooLong)
+	ctx, cancel := context.WithTimeoutCause(ctx, t.scheduler.options.RunTimeout, dispatch.ErrRunTimeout)
 	go func() {
 		select {
 		case <-grant.Revoked():
@@ -167,7 +167,7 @@
 		return t.retryClaim(unknownEnd(answer.CodeHistoryUnknown, "another attempt took the key over", shortRetryDelay))
 	}
 	end := causeEnd(result.NotSent)
-	slotLost := result.Use.Unreachable || errors.Is(result.NotSent, dispatch.ErrPreempted)
+	slotLost := result.Usage.Unreachable || errors.Is(result.NotSent, dispatch.ErrPreempted)
 	if !slotLost || t.ctx.Err() != nil {
 		return t.releaseAndEnd(claim, end)
 	}
--- a/scheduler/task.go
+++ b/scheduler/task.go
@@ -93,7 +93,7 @@
 	t.watchReaders(t.onDisconnect)
 	for t.attempt() == stepRetry {
 	}
-	t.buffer.Audience.Watch(nil, nil)
+	t.buffer.Readers.OnIdle(nil, nil)
 	t.awaitDelivery()
 	t.scheduler.remove(t)
 }
@@ -106,7 +106,7 @@
 // read the whole answer, or if it can't reconnect.
 func (t *task) grace() time.Duration {
 	switch {
-	case t.request.CancelOnDisconnect, t.buffer.EndRead():
+	case t.request.CancelOnDisconnect, t.buffer.EndDelivered():
 		return 0
 	case t.following.Load():
 		return min(followGrace, t.scheduler.options.DisconnectGrace)
@@ -125,7 +125,7 @@
 	}
 	_, claim, err := t.scheduler.lookup(t.ctx, t.request.Key)
 	switch {
-	case !t.buffer.Audience.Empty():
+	case !t.buffer.Readers.Idle():
 		t.watchReaders(t.onDisconnect)
 	case err == nil && claim.ID == id:
 		t.cancel(dispatch.ErrCallerGone)
@@ -136,7 +136,7 @@
 	}
 }
 
-func (t *task) watchReaders(onEmpty func()) { t.buffer.Audience.Watch(t.grace, onEmpty) }
+func (t *task) watchReaders(onEmpty func()) { t.buffer.Readers.OnIdle(t.grace, onEmpty) }
 
 // awaitDelivery keeps an ended answer available until its caller has read it or has
 // been disconnected for the grace period, and then passes it to the cache.
@@ -151,13 +151,13 @@
 	select {
 	case <-delivered:
 	case <-t.scheduler.ctx.Done():
-		t.buffer.Audience.Watch(nil, nil)
+		t.buffer.Readers.OnIdle(nil, nil)
 	}
 	if end.Complete() {
 		answers.Finish(t.request.Key, t.buffer)
 		return
 	}
-	answers.Forget(t.request.Key, t.buffer)
+	answers.Remove(t.request.Key, t.buffer)
 }
 
 // retainable reports whether later attempts may receive this end. After not_run or an
@@ -172,7 +172,7 @@
 func (t *task) end(end answer.End) step {
 	if !t.retainable(end) {
 		t.scheduler.remove(t)
-		t.scheduler.deps.Answers.Forget(t.request.Key, t.buffer)
+		t.scheduler.deps.Answers.Remove(t.request.Key, t.buffer)
 	}
 	t.setPhase(PhaseEnded)
 	t.buffer.End(end)
--- a/standin/engine/httperror.go
+++ b/standin/engine/httperror.go
@@ -18,7 +18,7 @@
 		return http.StatusBadRequest, true
 	case errors.Is(err, ErrModel), errors.Is(err, endpoint.ErrStreamNotFound):
 		return http.StatusNotFound, true
-	case errors.Is(err, endpoint.ErrOldFence):
+	case errors.Is(err, endpoint.ErrStaleFence):
 		return http.StatusConflict, true
 	case errors.Is(err, ErrFull):
 		return http.StatusTooManyRequests, true
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -59,7 +59,7 @@
 	obey := !old || e.options.IgnoreFencing
 	e.orders = append(e.orders, OrderRecord{Order: order, At: time.Now(), Obeyed: obey, Old: old})
 	if !obey {
-		return refused(fmt.Errorf("%w: %d is less than %d", endpoint.ErrOldFence, order.Fence, e.models.fence))
+		return refused(fmt.Errorf("%w: %d is less than %d", endpoint.ErrStaleFence, order.Fence, e.models.fence))
 	}
 	e.models.fence = max(e.models.fence, order.Fence)
 	return e.obey(order)
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -21,7 +21,7 @@
 			stale := endpoint.Order{Fence: 4, Kind: endpoint.OrderSetRole, Role: endpoint.RolePrefill}
 			assert.NilError(t, e.Order(t.Context(), decode))
 			err := e.Order(t.Context(), stale)
-			assert.Equal(t, errors.Is(err, endpoint.ErrOldFence), !ignore)
+			assert.Equal(t, errors.Is(err, endpoint.ErrStaleFence), !ignore)
 			state, err := e.State(t.Context())
 			assert.NilError(t, err)
 			assert.Equal(t, state.Role == endpoint.RolePrefill, ignore)
