--- a/answer/batch.go
+++ b/answer/batch.go
@@ -1,20 +1,21 @@
 package answer
 
-// MaxBatchBytes bounds the data of one batch, unless a single chunk is larger.
+// MaxBatchBytes is the maximum size of a batch's data. A single larger chunk forms a batch of its
+// own.
 const MaxBatchBytes = 64 << 10
 
-// Position is how far a reader has come.
+// Position is a reader's progress through an answer.
 type Position struct {
-	// From is the sequence of the next chunk wanted.
+	// From is the sequence number of the next chunk to read.
 	From uint64 `cbor:"1,keyasint"`
-	// NeedHead asks for the head, as soon as there is one.
+	// NeedHead requests the head as soon as it is available.
 	NeedHead bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Batch is what a reader gets at once: chunks that were there already, so that
-// a reader that falls behind catches up in few steps.
+// Batch is the result of one read: all the chunks available at the time, up to MaxBatchBytes, so
+// that a slow reader catches up in few reads.
 type Batch struct {
-	// Head is set if the position asked for it and there is one.
+	// Head is set if the position requested it and it is available.
 	Head   *Head   `cbor:"1,keyasint,omitempty"`
 	Chunks []Chunk `cbor:"2,keyasint,omitempty"`
 	// End is set when Chunks reach the end of the answer.
--- a/answer/bench_test.go
+++ b/answer/bench_test.go
@@ -14,7 +14,7 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// event returns one event of a model's stream, of a usual size.
+// event returns one event of a model's stream, of typical size.
 func event(random *rand.Rand, i int) []byte {
 	word := fmt.Sprintf(" w%d", random.IntN(4000))
 	return fmt.Appendf(nil, `{"id":"chatcmpl-%d","object":"chat.completion.chunk","created":1760000000,"model":"quote-1","choices":[{"index":0,"delta":{"content":%q},"finish_reason":null}]}`, i/1000000, word)
@@ -37,8 +37,7 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkSlopeOpenAnswer measures the memory of an answer that is being
-// produced, by its tokens.
+// BenchmarkSlopeOpenAnswer measures the memory of an answer in progress, by number of tokens.
 func BenchmarkSlopeOpenAnswer(b *testing.B) {
 	for _, tokens := range []int{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
@@ -58,8 +57,8 @@
 	}
 }
 
-// BenchmarkSlopeFinishedAnswer measures the memory of a finished answer in the
-// cache, by its tokens, and the time to put it there and to read it back.
+// BenchmarkSlopeFinishedAnswer measures the memory of a finished answer in the cache, by number of
+// tokens, and the time taken to add it and to read it back.
 func BenchmarkSlopeFinishedAnswer(b *testing.B) {
 	for _, tokens := range []int{100, 300, 1000, 3000} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
@@ -90,8 +89,8 @@
 	}
 }
 
-// BenchmarkHandOver measures a chunk's way from the writer to a waiting reader.
-func BenchmarkHandOver(b *testing.B) {
+// BenchmarkAppendToWaitingReader measures passing a chunk from the writer to a blocked reader.
+func BenchmarkAppendToWaitingReader(b *testing.B) {
 	buffer := answer.NewBuffer(1 << 20)
 	data := event(rand.New(rand.NewPCG(1, 2)), 1)
 	read := make(chan struct{})
--- a/answer/buffer.go
+++ b/answer/buffer.go
@@ -6,47 +6,45 @@
 	"sync"
 )
 
-// DefaultBufferBytes is how many bytes of an answer a buffer holds by default.
+// DefaultBufferBytes is the default limit on the size of a Buffer.
 const DefaultBufferBytes = 4 << 20
 
-// chunkOverhead is the memory a held chunk costs besides its data, in bytes.
-const chunkOverhead = 48
+// chunkOverheadBytes is the memory that a buffered chunk takes in addition to its data.
+const chunkOverheadBytes = 48
 
-// Buffer is one answer. It has one writer and any number of readers, each of
-// which sees every chunk from its position on, in order, and then the end.
+// Buffer holds one answer. It has one writer and any number of readers, each of which receives
+// every chunk from its position on, in order, followed by the end.
 //
-// A buffer holds at most its bound in bytes. Beyond it the front is dropped, but
-// only what some reader has already got; as long as there is nothing such, the
-// writer waits. A reader that asks for a dropped chunk gets ErrTruncated, so
-// that nobody takes a part for the whole.
+// A buffer holds at most maxBytes. When it is full, Append discards chunks from the front that some
+// reader has already received; while there are none, it blocks. A reader that asks for a discarded
+// chunk gets ErrTruncated, so that a partial answer is never mistaken for a complete one.
 type Buffer struct {
-	// ReaderTracker counts the readers.
+	// Readers tracks the attached readers.
 	Readers ReaderTracker
 
-	bound int
+	maxBytes int
 
-	mu        sync.Mutex
-	chunks    []Chunk
-	next      uint64
-	bytes     int
-	delivered uint64
-	head      *Head
-	end       *End
-	endRead   bool
-	grown     chan struct{}
-	room      chan struct{}
+	mu             sync.Mutex
+	chunks         []Chunk
+	next           uint64
+	bytes          int
+	deliveredUpTo  uint64
+	head           *Head
+	end            *End
+	endDelivered   bool
+	dataAvailable  chan struct{}
+	spaceAvailable chan struct{}
 }
 
-// NewBuffer returns an empty buffer that holds at most bound bytes; zero means
-// DefaultBufferBytes.
-func NewBuffer(bound int) *Buffer {
-	if bound <= 0 {
-		bound = DefaultBufferBytes
+// NewBuffer returns an empty buffer of at most maxBytes; zero means DefaultBufferBytes.
+func NewBuffer(maxBytes int) *Buffer {
+	if maxBytes <= 0 {
+		maxBytes = DefaultBufferBytes
 	}
-	return &Buffer{bound: bound}
+	return &Buffer{maxBytes: maxBytes}
 }
 
-// SetHead sets the head of a plain response. Only the first call counts.
+// SetHead sets the head of a plain response. Only the first call has an effect.
 func (b *Buffer) SetHead(head Head) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,34 +52,34 @@
 		return
 	}
 	b.head = &head
-	b.signal(&b.grown)
+	b.notify(&b.dataAvailable)
 }
 
-// Append adds the next chunk and keeps data. It waits while the buffer is full
-// of what nobody has read, until ctx ends. It returns ErrGap if sequence is not
-// Next, and ErrEnded after the end.
+// Append adds the next chunk and takes ownership of data. While the buffer is full of chunks that
+// no reader has received, it blocks until there is space or ctx ends. It returns ErrGap if sequence
+// is not Next, and ErrEnded after the end.
 func (b *Buffer) Append(ctx context.Context, sequence uint64, data []byte) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for {
-		if err := b.admissible(sequence); err != nil {
+		if err := b.checkAppend(sequence); err != nil {
 			return err
 		}
-		if b.makeRoom(len(data) + chunkOverhead) {
+		if b.makeRoom(len(data) + chunkOverheadBytes) {
 			break
 		}
-		if err := b.wait(ctx, &b.room); err != nil {
+		if err := b.wait(ctx, &b.spaceAvailable); err != nil {
 			return err
 		}
 	}
 	b.chunks = append(b.chunks, Chunk{Sequence: sequence, Data: data})
-	b.bytes += len(data) + chunkOverhead
+	b.bytes += len(data) + chunkOverheadBytes
 	b.next++
-	b.signal(&b.grown)
+	b.notify(&b.dataAvailable)
 	return nil
 }
 
-// End ends the answer. Only the first call counts; it returns false otherwise.
+// End ends the answer. Only the first call has an effect; later calls return false.
 func (b *Buffer) End(end End) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,52 +87,51 @@
 		return false
 	}
 	b.end = &end
-	b.signal(&b.grown)
-	b.signal(&b.room)
+	b.notify(&b.dataAvailable)
+	b.notify(&b.spaceAvailable)
 	return true
 }
 
-// Read returns what there is from the position on, and waits when there is
-// nothing, until ctx ends. It returns ErrTruncated if the position lies before
-// what is held. Asking for a position says that all before it has been
-// delivered to this reader.
+// Read returns the data available from the position on, and blocks while there is none, until ctx
+// ends. It returns ErrTruncated if the position lies before the first chunk held. Reading from a
+// position acknowledges the delivery of everything before it.
 func (b *Buffer) Read(ctx context.Context, position Position) (Batch, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.noteDelivered(position.From)
+	b.markDelivered(position.From)
 	for {
-		batch, ready, err := b.take(position)
+		batch, ready, err := b.collect(position)
 		if ready || err != nil {
 			return batch, err
 		}
-		if err := b.wait(ctx, &b.grown); err != nil {
+		if err := b.wait(ctx, &b.dataAvailable); err != nil {
 			return Batch{}, err
 		}
 	}
 }
 
-// Next returns the sequence of the next chunk to be appended.
+// Next returns the sequence number of the next chunk to be appended.
 func (b *Buffer) Next() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.next
 }
 
-// Bytes returns the memory held, in bytes.
+// Bytes returns the size of the buffered chunks, overhead included.
 func (b *Buffer) Bytes() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.bytes
 }
 
-// Whole reports whether the answer can still be read from its start.
+// Untruncated reports whether the answer can still be read from its start.
 func (b *Buffer) Untruncated() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.first() == 0
 }
 
-// Ended returns the end, or false while there is none.
+// Ended returns the end, or false if the answer has not ended.
 func (b *Buffer) Ended() (End, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,16 +141,16 @@
 	return *b.end, true
 }
 
-// EndDelivered reports whether some reader has got the end.
+// EndDelivered reports whether at least one reader has received the end.
 func (b *Buffer) EndDelivered() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.endRead
+	return b.endDelivered
 }
 
 func (b *Buffer) first() uint64 { return b.next - uint64(len(b.chunks)) }
 
-func (b *Buffer) admissible(sequence uint64) error {
+func (b *Buffer) checkAppend(sequence uint64) error {
 	if b.end != nil {
 		return ErrEnded
 	}
@@ -163,37 +160,37 @@
 	return nil
 }
 
-// makeRoom drops delivered chunks from the front until need bytes fit, and
-// reports whether they do. A chunk always fits into an empty buffer.
+// makeRoom discards delivered chunks from the front until need bytes fit, and reports whether they
+// do. A chunk always fits into an empty buffer.
 func (b *Buffer) makeRoom(need int) bool {
-	if b.bytes+need <= b.bound || len(b.chunks) == 0 {
+	if b.bytes+need <= b.maxBytes || len(b.chunks) == 0 {
 		return true
 	}
 	drop := 0
 	freed := 0
-	// Half the bound is freed at once, so that the copy below is rare.
-	for drop < len(b.chunks) && b.chunks[drop].Sequence < b.delivered && freed < max(need, b.bound/2) {
-		freed += len(b.chunks[drop].Data) + chunkOverhead
+	// At least half the limit is freed at a time, so that the copy below is rare.
+	for drop < len(b.chunks) && b.chunks[drop].Sequence < b.deliveredUpTo && freed < max(need, b.maxBytes/2) {
+		freed += len(b.chunks[drop].Data) + chunkOverheadBytes
 		drop++
 	}
 	if drop == 0 {
 		return false
 	}
-	// Readers may still hold the old array: it is left as it is.
+	// Readers may still hold slices of the old array, so it is not modified.
 	b.chunks = append([]Chunk(nil), b.chunks[drop:]...)
 	b.bytes -= freed
-	return b.bytes+need <= b.bound || len(b.chunks) == 0
+	return b.bytes+need <= b.maxBytes || len(b.chunks) == 0
 }
 
-func (b *Buffer) noteDelivered(from uint64) {
-	if from <= b.delivered || from > b.next {
+func (b *Buffer) markDelivered(from uint64) {
+	if from <= b.deliveredUpTo || from > b.next {
 		return
 	}
-	b.delivered = from
-	b.signal(&b.room)
+	b.deliveredUpTo = from
+	b.notify(&b.spaceAvailable)
 }
 
-func (b *Buffer) take(position Position) (Batch, bool, error) {
+func (b *Buffer) collect(position Position) (Batch, bool, error) {
 	var batch Batch
 	if position.From < b.first() {
 		return batch, false, ErrTruncated
@@ -201,19 +198,19 @@
 	if position.NeedHead {
 		batch.Head = b.head
 	}
-	batch.Chunks = b.held(position.From)
+	batch.Chunks = b.chunksFrom(position.From)
 	last := position.From + uint64(len(batch.Chunks))
 	if b.end != nil && last >= b.next {
 		batch.End = b.end
-		b.endRead = true
+		b.endDelivered = true
 	}
 	ready := batch.Head != nil || len(batch.Chunks) > 0 || batch.End != nil
 	return batch, ready, nil
 }
 
-// held returns the chunks from a sequence on, up to a batch. The result shares
-// the array, whose filled part never changes.
-func (b *Buffer) held(from uint64) []Chunk {
+// chunksFrom returns the chunks from a sequence number on, up to MaxBatchBytes. The result shares
+// the underlying array, whose filled part never changes.
+func (b *Buffer) chunksFrom(from uint64) []Chunk {
 	if from >= b.next {
 		return nil
 	}
@@ -228,7 +225,7 @@
 	return b.chunks[start:stop:stop]
 }
 
-// wait releases the lock until the signal is given or ctx ends.
+// wait releases the lock until signal is closed or ctx ends.
 func (b *Buffer) wait(ctx context.Context, signal *chan struct{}) error {
 	if *signal == nil {
 		*signal = make(chan struct{})
@@ -244,8 +241,8 @@
 	}
 }
 
-// signal wakes those who wait; it costs nothing when there are none.
-func (b *Buffer) signal(signal *chan struct{}) {
+// notify wakes the goroutines that wait for signal. It allocates nothing if there are none.
+func (b *Buffer) notify(signal *chan struct{}) {
 	if *signal == nil {
 		return
 	}
--- a/answer/buffer_test.go
+++ b/answer/buffer_test.go
@@ -16,14 +16,14 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Whatever the bound and the pace of writer and readers, a reader gets either
-// every chunk from its position on, in order, or an error.
+// A reader receives either every chunk from its position on, in order, or an error, whatever the
+// buffer's limit and the speed of the writer and the readers.
 func TestReadersGetAllOrAnError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sizes := rapid.SliceOfN(rapid.IntRange(0, 400), 1, 40).Draw(t, "sizes")
-		bound := rapid.IntRange(1, 2000).Draw(t, "bound")
+		limit := rapid.IntRange(1, 2000).Draw(t, "limit")
 		late := rapid.IntRange(0, 40).Draw(t, "late")
-		buffer := answer.NewBuffer(bound)
+		buffer := answer.NewBuffer(limit)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		done := make(chan struct{})
@@ -40,7 +40,7 @@
 		for want := uint64(0); ; {
 			batch, err := buffer.Read(ctx, position)
 			if err != nil {
-				t.Fatalf("the first reader must get everything: %v", err)
+				t.Fatalf("the first reader must receive every chunk: %v", err)
 			}
 			for _, chunk := range batch.Chunks {
 				if chunk.Sequence != want || len(chunk.Data) != sizes[want] {
@@ -57,8 +57,8 @@
 			position = position.Advance(batch)
 		}
 		<-done
-		if buffer.Bytes() > max(bound, 400+48) {
-			t.Fatalf("%d bytes held, bound %d", buffer.Bytes(), bound)
+		if buffer.Bytes() > max(limit, 400+48) {
+			t.Fatalf("%d bytes held, limit %d", buffer.Bytes(), limit)
 		}
 		readLate(t, buffer, uint64(min(late, len(sizes))), sizes)
 	})
@@ -81,7 +81,7 @@
 		}
 	}
 	if position.From != uint64(len(sizes)) {
-		t.Fatalf("a late reader stopped at %d of %d", position.From, len(sizes))
+		t.Fatalf("late reader stopped at %d of %d", position.From, len(sizes))
 	}
 }
 
@@ -115,27 +115,27 @@
 
 func TestCache(t *testing.T) {
 	key := func(client string) domain.RequestKey { return domain.RequestKey{Organisation: "o", Client: client} }
-	// Noise does not get shorter by compression.
-	noise := rand.NewChaCha8([32]byte{})
+	// Random data is not compressible.
+	randomData := rand.NewChaCha8([32]byte{})
 	finished := func(size int) *answer.Buffer {
 		data := make([]byte, size)
-		_, _ = noise.Read(data)
+		_, _ = randomData.Read(data)
 		buffer := answer.NewBuffer(0)
 		buffer.SetHead(answer.Head{Status: 200})
 		assert.NilError(t, buffer.Append(t.Context(), 0, data))
 		buffer.End(answer.End{})
 		return buffer
 	}
-	var dropped []string
+	var evicted []string
 	cache := answer.NewCache(answer.CacheOptions{MaxBytes: 4000, Retention: time.Minute, OnEvict: func(key domain.RequestKey) {
-		dropped = append(dropped, key.Client)
+		evicted = append(evicted, key.Client)
 	}})
 	start := time.Now()
 	for i, client := range []string{"a", "b", "c"} {
 		cache.Add(key(client), finished(1000), start.Add(time.Duration(i)*time.Second))
 	}
-	// The third does not fit beside the first two.
-	assert.DeepEqual(t, dropped, []string{"a"})
+	// The limit has room for two of the three answers.
+	assert.DeepEqual(t, evicted, []string{"a"})
 	last := finished(10)
 	cache.Add(key("b"), last, start.Add(3*time.Second))
 	got, _ := cache.Get(key("b"), start.Add(3*time.Second))
@@ -153,27 +153,27 @@
 	_, held = cache.Get(domain.RequestKey{Organisation: "other", Client: "b"}, start)
 	assert.Assert(t, !held)
 	cache.Expire(start.Add(time.Hour))
-	assert.DeepEqual(t, dropped, []string{"a", "c", "b"})
+	assert.DeepEqual(t, evicted, []string{"a", "c", "b"})
 	answers, bytes := cache.Size()
 	assert.Equal(t, answers+bytes, 0)
 }
 
-func TestAudience(t *testing.T) {
+func TestReaderTracker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var audience answer.ReaderTracker
+		var readers answer.ReaderTracker
 		start := time.Now()
 		var idle []time.Duration
-		audience.OnIdle(func() time.Duration { return 10 * time.Second }, func() { idle = append(idle, time.Since(start)) })
+		readers.OnIdle(func() time.Duration { return 10 * time.Second }, func() { idle = append(idle, time.Since(start)) })
 		time.Sleep(9 * time.Second)
-		audience.Attach()
-		audience.Attach()
+		readers.Attach()
+		readers.Attach()
 		time.Sleep(20 * time.Second)
-		audience.Detach()
+		readers.Detach()
 		time.Sleep(20 * time.Second)
-		audience.Detach()
+		readers.Detach()
 		time.Sleep(9 * time.Second)
-		audience.Attach()
-		audience.Detach()
+		readers.Attach()
+		readers.Detach()
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		assert.DeepEqual(t, idle, []time.Duration{68 * time.Second})
--- a/answer/cache.go
+++ b/answer/cache.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// DefaultRetention is how long a finished answer is held by default.
+	// DefaultRetention is the default retention period of finished answers.
 	DefaultRetention = 10 * time.Minute
-	// DefaultMaxCacheBytes is how much memory finished answers take by default.
+	// DefaultMaxCacheBytes is the default limit on the memory of finished answers.
 	DefaultMaxCacheBytes = 64 << 20
 )
 
-// entryOverhead is the memory a finished answer costs besides its data, in bytes.
-const entryOverhead = 512
+// entryOverheadBytes is the memory that a cached answer takes in addition to its data.
+const entryOverheadBytes = 512
 
-// CacheOptions bounds a cache.
+// CacheOptions configures a Cache. Zero values mean defaults.
 type CacheOptions struct {
-	// Bytes is the most memory that finished answers may take.
+	// MaxBytes limits the memory of the cached answers.
 	MaxBytes int
-	// Retention is how long they are held at most.
+	// Retention is the maximum age of a cached answer.
 	Retention time.Duration
-	// OnEvict, if set, is called after an answer was dropped, without locks held.
+	// OnEvict, if set, is called after an answer has been evicted, without locks held.
 	OnEvict func(key domain.RequestKey)
 }
 
@@ -38,8 +38,8 @@
 	return o
 }
 
-// Cache holds finished answers, the oldest dropped first when they are too many
-// or too old. It is safe for concurrent use.
+// Cache holds finished answers. The oldest are evicted first when the cache exceeds its size limit
+// or they exceed the retention period. It is safe for concurrent use.
 type Cache struct {
 	options CacheOptions
 
@@ -51,7 +51,7 @@
 
 type cacheEntry struct {
 	key    domain.RequestKey
-	answer *packed
+	answer *compressedAnswer
 	added  time.Time
 }
 
@@ -64,10 +64,9 @@
 	}
 }
 
-// Add puts a finished answer into the cache, compressed. One that is no longer
-// whole is not held.
+// Add compresses a finished answer and caches it. A truncated answer is not cached.
 func (c *Cache) Add(key domain.RequestKey, buffer *Buffer, now time.Time) {
-	answer, err := pack(buffer)
+	answer, err := compress(buffer)
 	if err != nil {
 		return
 	}
@@ -75,18 +74,18 @@
 	c.remove(key)
 	c.index[key] = c.order.PushBack(&cacheEntry{key: key, answer: answer, added: now})
 	c.bytes += answer.bytes()
-	dropped := c.trim(now)
+	evicted := c.evict(now)
 	c.mu.Unlock()
-	c.report(dropped)
+	c.notifyEvicted(evicted)
 }
 
-// Get returns a finished answer that is still held.
+// Get returns a cached answer.
 func (c *Cache) Get(key domain.RequestKey, now time.Time) (*Buffer, bool) {
 	c.mu.Lock()
-	dropped := c.trim(now)
+	evicted := c.evict(now)
 	element, ok := c.index[key]
 	c.mu.Unlock()
-	c.report(dropped)
+	c.notifyEvicted(evicted)
 	if !ok {
 		return nil, false
 	}
@@ -94,33 +93,33 @@
 	return buffer, err == nil
 }
 
-// Expire drops what is too old.
+// Expire evicts the answers that have exceeded the retention period.
 func (c *Cache) Expire(now time.Time) {
 	c.mu.Lock()
-	dropped := c.trim(now)
+	evicted := c.evict(now)
 	c.mu.Unlock()
-	c.report(dropped)
+	c.notifyEvicted(evicted)
 }
 
-// Size returns the number of answers held and the bytes they take.
+// Size returns the number of cached answers and their size in bytes.
 func (c *Cache) Size() (answers, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.order.Len(), c.bytes
 }
 
-// trim drops the oldest until the bounds hold, and returns their keys.
-func (c *Cache) trim(now time.Time) []domain.RequestKey {
-	var dropped []domain.RequestKey
+// evict removes the oldest entries until the limits hold, and returns their keys.
+func (c *Cache) evict(now time.Time) []domain.RequestKey {
+	var evicted []domain.RequestKey
 	for element := c.order.Front(); element != nil; element = c.order.Front() {
 		entry := element.Value.(*cacheEntry)
 		if c.bytes <= c.options.MaxBytes && now.Sub(entry.added) < c.options.Retention {
 			break
 		}
 		c.remove(entry.key)
-		dropped = append(dropped, entry.key)
+		evicted = append(evicted, entry.key)
 	}
-	return dropped
+	return evicted
 }
 
 func (c *Cache) remove(key domain.RequestKey) {
@@ -133,11 +132,11 @@
 	c.bytes -= element.Value.(*cacheEntry).answer.bytes()
 }
 
-func (c *Cache) report(dropped []domain.RequestKey) {
+func (c *Cache) notifyEvicted(evicted []domain.RequestKey) {
 	if c.options.OnEvict == nil {
 		return
 	}
-	for _, key := range dropped {
+	for _, key := range evicted {
 		c.options.OnEvict(key)
 	}
 }
--- a/answer/end.go
+++ b/answer/end.go
@@ -6,15 +6,15 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// End tells how an answer ended. A complete answer has an empty Outcome.
+// End describes how an answer ended.
 type End struct {
-	// Outcome is empty when the answer is complete.
+	// Outcome is empty if the answer is complete.
 	Outcome domain.Outcome `cbor:"1,keyasint,omitempty"`
-	// Reason is a short text for the caller when it is not.
+	// Reason is a short explanation for the caller if the answer is not complete.
 	Reason string `cbor:"2,keyasint,omitempty"`
-	// Code names the reason for programs.
+	// Code is the machine-readable reason.
 	Code Code `cbor:"3,keyasint,omitempty"`
-	// RetryAfter is when another attempt may fare better; zero for no advice.
+	// RetryAfter is the recommended delay before another attempt; zero means none is given.
 	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
--- a/answer/readertracker.go
+++ b/answer/readertracker.go
@@ -5,82 +5,83 @@
 	"time"
 )
 
-// ReaderTracker counts the readers of an answer and tells when there has been none
-// for a grace time.
+// ReaderTracker counts the readers of an answer and reports when there have been none for a grace
+// period.
 type ReaderTracker struct {
-	mu    sync.Mutex
-	count int
-	grace func() time.Duration
-	idle  func()
-	timer *time.Timer
-	// round tells a timer that was stopped too late from the one that counts.
-	round uint64
+	mu          sync.Mutex
+	count       int
+	gracePeriod func() time.Duration
+	onIdle      func()
+	timer       *time.Timer
+	// generation identifies the current timer; a timer of an earlier one that fires while it is
+	// being stopped is ignored.
+	generation uint64
 }
 
-// Watch calls idle, once, when there has been no reader for the grace time,
-// counted from now on. The grace time is asked for whenever the last reader
-// leaves. Watch replaces an earlier watch; a nil idle ends it.
-func (a *ReaderTracker) OnIdle(grace func() time.Duration, idle func()) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.stop()
-	a.grace = grace
-	a.idle = idle
-	a.start()
+// OnIdle registers a callback that is called, once, when there have been no readers for the grace
+// period, counted from now. gracePeriod is evaluated each time the last reader detaches. OnIdle
+// replaces an earlier callback; a nil callback removes it.
+func (r *ReaderTracker) OnIdle(gracePeriod func() time.Duration, onIdle func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.stopTimer()
+	r.gracePeriod = gracePeriod
+	r.onIdle = onIdle
+	r.startTimer()
 }
 
-// Enter counts a reader in.
-func (a *ReaderTracker) Attach() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.count++
-	a.stop()
+// Attach adds a reader.
+func (r *ReaderTracker) Attach() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.count++
+	r.stopTimer()
 }
 
-// Leave counts a reader out.
-func (a *ReaderTracker) Detach() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.count--
-	a.start()
+// Detach removes a reader.
+func (r *ReaderTracker) Detach() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.count--
+	r.startTimer()
 }
 
-// Empty reports whether there is no reader.
-func (a *ReaderTracker) Idle() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.count == 0
+// Idle reports whether there are no readers.
+func (r *ReaderTracker) Idle() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.count == 0
 }
 
-func (a *ReaderTracker) start() {
-	if a.count > 0 || a.idle == nil {
+func (r *ReaderTracker) startTimer() {
+	if r.count > 0 || r.onIdle == nil {
 		return
 	}
-	round := a.round
-	a.timer = time.AfterFunc(a.grace(), func() { a.expire(round) })
+	generation := r.generation
+	r.timer = time.AfterFunc(r.gracePeriod(), func() { r.timerFired(generation) })
 }
 
-func (a *ReaderTracker) stop() {
-	a.round++
-	if a.timer != nil {
-		a.timer.Stop()
-		a.timer = nil
+func (r *ReaderTracker) stopTimer() {
+	r.generation++
+	if r.timer != nil {
+		r.timer.Stop()
+		r.timer = nil
 	}
 }
 
-func (a *ReaderTracker) expire(round uint64) {
-	if idle := a.take(round); idle != nil {
-		idle()
+func (r *ReaderTracker) timerFired(generation uint64) {
+	if onIdle := r.takeOnIdle(generation); onIdle != nil {
+		onIdle()
 	}
 }
 
-func (a *ReaderTracker) take(round uint64) func() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if round != a.round {
+func (r *ReaderTracker) takeOnIdle(generation uint64) func() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if generation != r.generation {
 		return nil
 	}
-	idle := a.idle
-	a.idle = nil
-	return idle
+	onIdle := r.onIdle
+	r.onIdle = nil
+	return onIdle
 }
--- a/answer/registry.go
+++ b/answer/registry.go
@@ -7,8 +7,8 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Registry finds the answers that this node holds: those being produced, and
-// the finished ones of the cache. It is safe for concurrent use.
+// Registry indexes the answers that this node holds: those in progress, and the finished ones in
+// the cache. It is safe for concurrent use.
 type Registry struct {
 	cache *Cache
 
@@ -16,12 +16,12 @@
 	open map[domain.RequestKey]*Buffer
 }
 
-// NewRegistry returns a registry without answers.
+// NewRegistry returns an empty registry that moves finished answers to cache.
 func NewRegistry(cache *Cache) *Registry {
 	return &Registry{cache: cache, open: make(map[domain.RequestKey]*Buffer)}
 }
 
-// Open makes a buffer known under the key while its answer is produced.
+// Open registers the buffer of an answer in progress.
 func (r *Registry) Open(key domain.RequestKey, buffer *Buffer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,7 +34,7 @@
 	r.Remove(key, buffer)
 }
 
-// Forget removes a buffer that is not worth keeping: its request was not run.
+// Remove unregisters a buffer that is not retained because its request was not run.
 func (r *Registry) Remove(key domain.RequestKey, buffer *Buffer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// Get returns the answer under the key.
+// Get returns the answer under the key, in progress or cached.
 func (r *Registry) Get(key domain.RequestKey) (*Buffer, bool) {
 	r.mu.RLock()
 	buffer, ok := r.open[key]
@@ -54,10 +54,10 @@
 	return r.cache.Get(key, time.Now())
 }
 
-// Expire drops finished answers that are too old.
+// Expire evicts the finished answers that have exceeded the retention period.
 func (r *Registry) Expire() { r.cache.Expire(time.Now()) }
 
-// RegistrySize is how much a registry holds.
+// RegistrySize is the number and size of the answers in a registry.
 type RegistrySize struct {
 	Open          int `json:"open"`
 	OpenBytes     int `json:"open_bytes"`
@@ -65,7 +65,7 @@
 	FinishedBytes int `json:"finished_bytes"`
 }
 
-// Size returns what is held now.
+// Size returns the current number and size of the answers.
 func (r *Registry) Size() RegistrySize {
 	r.mu.RLock()
 	size := RegistrySize{Open: len(r.open)}
--- a/answer/relay.go
+++ b/answer/relay.go
@@ -9,25 +9,25 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// MethodRead reads a batch of another node's answer.
+// MethodRead reads a batch of an answer that another node holds.
 const MethodRead peer.Method = "answer.read"
 
-// MaxReadWait bounds how long a node holds a read that finds nothing new.
+// MaxReadWait limits how long a node blocks a read that finds no new data.
 const MaxReadWait = 10 * time.Second
 
-// replyMargin is the time a reply may take beyond the wait.
-const replyMargin = 5 * time.Second
+// replyTimeMargin is the time allowed for a reply in addition to the wait.
+const replyTimeMargin = 5 * time.Second
 
-// readRequest asks for a batch. The key contains the organisation, which the
-// asking node took from the caller's API key: another organisation's answer has
-// another key and is not found.
+// readRequest requests a batch. The key contains the organisation, which the requesting node
+// derived from the caller's API key: another organisation's answer has a different key and is not
+// found.
 type readRequest struct {
 	Key      domain.RequestKey `cbor:"1,keyasint"`
 	Position Position          `cbor:"2,keyasint"`
 	Wait     time.Duration     `cbor:"3,keyasint"`
 }
 
-// readStatus tells how a read went.
+// readStatus is the result of a read.
 type readStatus uint8
 
 const (
@@ -36,15 +36,15 @@
 	readTruncated
 )
 
-// readReply carries a batch, empty when nothing came within the wait.
+// readReply carries a batch, which is empty if no data arrived within the wait.
 type readReply struct {
 	Status readStatus `cbor:"1,keyasint,omitempty"`
 	Batch  Batch      `cbor:"2,keyasint"`
 }
 
-// Relay reads answers that other nodes hold and serves this node's to them. A
-// read is answered as soon as there is something; the next one is sent when the
-// reader has taken that, which is all the flow control there is.
+// Relay reads answers that other nodes hold and serves this node's answers to them. It uses long
+// polling: a read returns as soon as there is data, and the next one is sent once the reader has
+// consumed it, which is the only flow control.
 type Relay struct {
 	transport peer.Transport
 	registry  *Registry
@@ -57,12 +57,12 @@
 	return r
 }
 
-// Read returns the next batch of the answer that holder has under the key. It
-// returns an empty batch when nothing came for a while, ErrNotHeld or
-// ErrTruncated when holder can't give it, and an error that wraps ErrHolderUnavailable when
-// holder can't be asked.
+// Read returns the next batch of the answer that holder has under the key. It returns an empty
+// batch if no data arrived within MaxReadWait, ErrNotHeld or ErrTruncated if holder can't provide
+// the data, and an error that wraps ErrHolderUnavailable if holder can't be reached or sends an
+// invalid reply.
 func (r *Relay) Read(ctx context.Context, holder domain.Member, key domain.RequestKey, position Position) (Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, MaxReadWait+replyMargin)
+	ctx, cancel := context.WithTimeout(ctx, MaxReadWait+replyTimeMargin)
 	defer cancel()
 	request := readRequest{Key: key, Position: position, Wait: MaxReadWait}
 	reply, err := peer.Call[readRequest, readReply](ctx, r.transport, holder, MethodRead, request)
@@ -81,7 +81,8 @@
 	return reply.Batch, nil
 }
 
-// checkOrder makes sure that a faulty peer can't tear an answer.
+// checkOrder rejects a batch with missing or repeated chunks, so that a faulty peer can't corrupt
+// the answer.
 func checkOrder(batch Batch, position Position) error {
 	for i, chunk := range batch.Chunks {
 		if want := position.From + uint64(i); chunk.Sequence != want {
--- a/answer/relay_test.go
+++ b/answer/relay_test.go
@@ -22,8 +22,8 @@
 		registry := answer.NewRegistry(answer.NewCache(answer.CacheOptions{}))
 		answer.NewRelay(network.Node(member("holder")), registry)
 		reader := answer.NewRelay(network.Node(member("reader")), answer.NewRegistry(answer.NewCache(answer.CacheOptions{})))
-		nonsense := network.Node(member("nonsense"))
-		nonsense.Handle(answer.MethodRead, func(context.Context, domain.Member, []byte) ([]byte, error) {
+		faulty := network.Node(member("faulty"))
+		faulty.Handle(answer.MethodRead, func(context.Context, domain.Member, []byte) ([]byte, error) {
 			chunk := map[int]any{1: 5, 2: []byte("x")}
 			return cbor.Marshal(map[int]any{2: map[int]any{2: []any{chunk}}})
 		})
@@ -31,7 +31,7 @@
 		buffer := answer.NewBuffer(0)
 		registry.Open(key, buffer)
 		go func() {
-			// Longer than one read is held by the holder.
+			// Longer than the holder blocks one read.
 			time.Sleep(3 * answer.MaxReadWait / 2)
 			buffer.SetHead(answer.Head{Status: 200})
 			for i := range uint64(5) {
@@ -52,14 +52,14 @@
 		}
 		assert.Equal(t, position.From, uint64(5))
 		assert.Equal(t, heads, 1)
-		// One empty read and five of one chunk each: two would be more than a batch.
+		// One empty read and five of one chunk each: two chunks exceed the size of a batch.
 		assert.Assert(t, reads >= 6, reads)
 
 		other := key
 		other.Organisation = "other"
 		_, err := reader.Read(t.Context(), member("holder"), other, answer.Position{})
 		assert.ErrorIs(t, err, answer.ErrNotHeld)
-		_, err = reader.Read(t.Context(), member("nonsense"), key, answer.Position{})
+		_, err = reader.Read(t.Context(), member("faulty"), key, answer.Position{})
 		assert.ErrorIs(t, err, answer.ErrHolderUnavailable)
 		network.Cut("reader", "holder")
 		_, err = reader.Read(t.Context(), member("holder"), key, answer.Position{})
