--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -18,7 +18,7 @@
 
 var key = domain.RequestKey{Scope: domain.Scope{DataCentre: "palermo"}, Organisation: "o", Client: "k"}
 
-// authorised returns a dispatcher before one engine, and a permit for it.
+// authorised returns a dispatcher with one engine, and a permit for that engine.
 func authorised(t *testing.T, engine endpoint.Engine, options dispatch.Options) (*dispatch.Dispatcher, *dispatch.Permit) {
 	t.Helper()
 	l := schedulertest.NewHome().LedgerFor(schedulertest.NewMember("a"))
@@ -30,7 +30,7 @@
 	return dispatch.New(endpoints, options), permit
 }
 
-func TestPermitIsSpentOnce(t *testing.T) {
+func TestPermitIsUsedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := schedulertest.NewEngine(schedulertest.Script{Tokens: 1})
 		d, permit := authorised(t, engine, dispatch.Options{})
@@ -40,14 +40,14 @@
 				results <- d.RunEngine(t.Context(), permit, dispatch.EngineRun{Buffer: answer.NewBuffer(0)})
 			}()
 		}
-		spent := 0
+		rejected := 0
 		for range cap(results) {
 			if result := <-results; result.NotSent != nil {
 				assert.ErrorIs(t, result.NotSent, dispatch.ErrPermitUsed)
-				spent++
+				rejected++
 			}
 		}
-		assert.Equal(t, spent, cap(results)-1)
+		assert.Equal(t, rejected, cap(results)-1)
 		assert.Equal(t, len(engine.Started()), 1)
 	})
 }
@@ -73,20 +73,20 @@
 	assert.Equal(t, len(engine.Started()), 0)
 }
 
-// For how long a broken stream is tried again, and that a silent engine which
-// still answers is given more time.
-func TestPatience(t *testing.T) {
+// Checks how long a broken stream is resumed, and that an engine that stalls but still responds is
+// given more time.
+func TestResumeAndStallTimeouts(t *testing.T) {
 	tests := map[string]struct {
 		script   schedulertest.Script
 		atLeast  time.Duration
 		atMost   time.Duration
 		complete bool
 	}{
-		"engine away":        {schedulertest.Script{Tokens: 9, DisconnectAt: []uint64{4}, ResumeErr: endpoint.ErrBroken, ResumeFailures: 1000}, 10 * time.Second, 13 * time.Second, false},
-		"back in time":       {schedulertest.Script{Tokens: 9, DisconnectAt: []uint64{4}, ResumeErr: endpoint.ErrBroken, ResumeFailures: 3}, 0, 10 * time.Second, true},
-		"stream forgotten":   {schedulertest.Script{Tokens: 9, DisconnectAt: []uint64{4}, ForgetOnDisconnect: true}, 0, time.Second, false},
-		"never arrived":      {schedulertest.Script{StartErr: endpoint.ErrBroken}, 2 * time.Second, 4 * time.Second, false},
-		"silent, then alive": {schedulertest.Script{Tokens: 9, StallAt: 4}, 20 * time.Second, 22 * time.Second, true},
+		"unreachable":        {schedulertest.Script{Tokens: 9, DisconnectAt: []uint64{4}, ResumeErr: endpoint.ErrBroken, ResumeFailures: 1000}, 10 * time.Second, 13 * time.Second, false},
+		"recovered":          {schedulertest.Script{Tokens: 9, DisconnectAt: []uint64{4}, ResumeErr: endpoint.ErrBroken, ResumeFailures: 3}, 0, 10 * time.Second, true},
+		"stream not found":   {schedulertest.Script{Tokens: 9, DisconnectAt: []uint64{4}, ForgetOnDisconnect: true}, 0, time.Second, false},
+		"start failed":       {schedulertest.Script{StartErr: endpoint.ErrBroken}, 2 * time.Second, 4 * time.Second, false},
+		"stall, then resume": {schedulertest.Script{Tokens: 9, StallAt: 4}, 20 * time.Second, 22 * time.Second, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -103,10 +103,11 @@
 	}
 }
 
-// What a stream says after Start went well can't take the dispatch back.
+// Guards against a stream error that wraps ErrNotDispatched after Start has succeeded: the request
+// must still count as dispatched.
 func TestNotDispatchedAfterStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine := lyingEngine{schedulertest.NewEngine(schedulertest.Script{})}
+		engine := notDispatchedEngine{schedulertest.NewEngine(schedulertest.Script{})}
 		d, permit := authorised(t, engine, dispatch.Options{})
 		result := d.RunEngine(t.Context(), permit, dispatch.EngineRun{Buffer: answer.NewBuffer(0)})
 		assert.NilError(t, result.NotSent)
@@ -114,19 +115,19 @@
 	})
 }
 
-type lyingEngine struct{ *schedulertest.Engine }
+type notDispatchedEngine struct{ *schedulertest.Engine }
 
-func (lyingEngine) Start(context.Context, endpoint.EngineRequest) (endpoint.Stream, error) {
-	return lyingStream{}, nil
+func (notDispatchedEngine) Start(context.Context, endpoint.EngineRequest) (endpoint.Stream, error) {
+	return notDispatchedStream{}, nil
 }
 
-type lyingStream struct{}
+type notDispatchedStream struct{}
 
-func (lyingStream) Next(context.Context) (endpoint.Event, error) {
+func (notDispatchedStream) Next(context.Context) (endpoint.Event, error) {
 	return endpoint.Event{}, endpoint.ErrNotDispatched
 }
 
-func (lyingStream) Close() error { return nil }
+func (notDispatchedStream) Close() error { return nil }
 
 func TestUsageIsReadFromTheLastEvent(t *testing.T) {
 	engine := usageEngine{schedulertest.NewEngine(schedulertest.Script{})}
@@ -140,19 +141,19 @@
 type usageEngine struct{ *schedulertest.Engine }
 
 func (usageEngine) Start(context.Context, endpoint.EngineRequest) (endpoint.Stream, error) {
-	return &oneEvent{data: `{"choices":[],"usage":{"prompt_tokens":70,"completion_tokens":5,"prompt_tokens_details":{"cached_tokens":64}}}`}, nil
+	return &oneEventStream{data: `{"choices":[],"usage":{"prompt_tokens":70,"completion_tokens":5,"prompt_tokens_details":{"cached_tokens":64}}}`}, nil
 }
 
-type oneEvent struct {
+type oneEventStream struct {
 	data string
 	next uint64
 }
 
-func (s *oneEvent) Next(context.Context) (endpoint.Event, error) {
+func (s *oneEventStream) Next(context.Context) (endpoint.Event, error) {
 	event := endpoint.Event{Offset: s.next, Data: []byte(s.data)}
 	s.next++
 	s.data = "[DONE]"
 	return event, nil
 }
 
-func (s *oneEvent) Close() error { return nil }
+func (s *oneEventStream) Close() error { return nil }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -7,7 +7,7 @@
 
 var errRefused = endpoint.ErrRefused
 
-// Endpoints finds the adapter of an endpoint.
+// Endpoints looks up the adapter of an endpoint.
 type Endpoints interface {
 	Engine(id domain.EndpointID) (endpoint.Engine, bool)
 	Service(id domain.EndpointID) (endpoint.Service, bool)
--- a/dispatch/engine.go
+++ b/dispatch/engine.go
@@ -10,42 +10,43 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// EngineRun is what a model's run needs.
+// EngineRun holds the parameters of a request to a model engine.
 type EngineRun struct {
 	// Body is the caller's JSON body with "stream" set to true.
 	Body []byte
-	// Buffer gets the answer. It is not ended by the run.
+	// Buffer receives the answer. The run does not end it.
 	Buffer *answer.Buffer
-	// Progress, if set, is called with the number of answer tokens now and then.
+	// Progress, if set, is called with the number of answer tokens at intervals of
+	// Options.ProgressEvery.
 	Progress func(answerTokens int)
 }
 
-// RunEngine spends the permit, dispatches the request and copies the answer into
-// the buffer, resuming at the same engine when the stream breaks. It returns
-// when the answer is complete, can't be completed, or ctx ends; then the engine
-// is told to cancel. Events the engine repeats are dropped; chunks have the
-// engine's offsets as their sequence, without a gap.
+// RunEngine uses up the permit, dispatches the request and copies the answer into the buffer,
+// resuming at the same engine when the stream breaks. It returns when the answer is complete or
+// can't be completed, or when ctx ends; in the last two cases the engine is told to cancel, unless
+// it refused the request or another node has taken over the stream. Events that the engine repeats
+// are discarded. Chunks have the engine's offsets as their sequence numbers, without gaps.
 func (d *Dispatcher) RunEngine(ctx context.Context, permit *Permit, run EngineRun) Result {
 	engine, ok := d.endpoints.Engine(permit.endpoint)
 	if !ok {
 		return notSent(ErrNoAdapter, true)
 	}
-	if err := cancelled(ctx); err != nil {
+	if err := cancelCause(ctx); err != nil {
 		return notSent(err, false)
 	}
-	if !permit.spend() {
+	if !permit.use() {
 		return notSent(ErrPermitUsed, false)
 	}
 	key := permit.key.String()
-	c := newEngineCopy(engine, key, run, d.options)
+	c := newStreamCopier(engine, key, run, d.options)
 	var startErr error
 	err := c.attempt(ctx, func(ctx context.Context) (stream endpoint.Stream, err error) {
 		stream, startErr = engine.Start(ctx, endpoint.EngineRequest{Key: key, Body: run.Body})
 		return stream, startErr
 	})
-	// Only Start itself can say this; a later error means nothing of the kind.
+	// Only Start can report that nothing was sent; a later error does not mean that.
 	if errors.Is(startErr, endpoint.ErrNotDispatched) {
-		return notSent(startErr, cancelled(ctx) == nil)
+		return notSent(startErr, cancelCause(ctx) == nil)
 	}
 	if err != nil {
 		err = c.resume(ctx, err)
@@ -53,39 +54,39 @@
 	return c.finish(ctx, err)
 }
 
-// ResumeEngine reads the rest of the answer to a request that another life had
-// dispatched to the engine, from the buffer's next sequence on. It dispatches
-// nothing.
+// ResumeEngine reads the rest of the answer to a request that another incarnation dispatched to the
+// engine, from the buffer's next sequence number on. It dispatches nothing.
 func (d *Dispatcher) ResumeEngine(ctx context.Context, id domain.EndpointID, key domain.RequestKey, run EngineRun) Result {
 	engine, ok := d.endpoints.Engine(id)
 	if !ok {
 		return Result{End: endOf(ErrNoAdapter)}
 	}
-	c := newEngineCopy(engine, key.String(), run, d.options)
+	c := newStreamCopier(engine, key.String(), run, d.options)
 	return c.finish(ctx, c.resume(ctx, endpoint.ErrBroken))
 }
 
-// finish makes the result and frees the engine's place if the answer is not complete.
-func (c *engineCopy) finish(ctx context.Context, err error) Result {
-	c.use.Dispatched = true
-	c.use.Total = time.Since(c.started)
-	c.use.AnswerTokens = c.tokens
+// finish returns the result, and cancels the stream to free the engine's slot if the answer is not
+// complete.
+func (c *streamCopier) finish(ctx context.Context, err error) Result {
+	c.usage.Dispatched = true
+	c.usage.Total = time.Since(c.started)
+	c.usage.AnswerTokens = c.tokens
 	if err == nil {
-		c.use.Complete = true
+		c.usage.Complete = true
 		c.readUsage()
-		return Result{Usage: c.use}
+		return Result{Usage: c.usage}
 	}
 	if !errors.Is(err, endpoint.ErrRefused) && !errors.Is(err, ErrOvertaken) {
 		c.cancel(ctx)
 	}
 	end := endOf(err)
-	c.use.Crashed = end.Code == answer.CodeBroken
-	return Result{End: end, Usage: c.use}
+	c.usage.Crashed = end.Code == answer.CodeBroken
+	return Result{End: end, Usage: c.usage}
 }
 
-// cancel tells the engine to stop, also when ctx has ended. A lost order costs
-// the engine's time, nothing else.
-func (c *engineCopy) cancel(ctx context.Context) {
+// cancel tells the engine to stop, even if ctx has ended. If the call is lost, the engine's time is
+// wasted, with no other effect.
+func (c *streamCopier) cancel(ctx context.Context) {
 	ctx, done := context.WithTimeout(context.WithoutCancel(ctx), c.options.CancelTimeout)
 	defer done()
 	_ = c.engine.Cancel(ctx, c.key)
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -6,27 +6,28 @@
 	"hawthornrill.example/hawthornrill/defaults"
 )
 
-// Options bounds what the dispatcher does about faulty endpoints.
+// Options configures the handling of faulty endpoints. Zero values mean defaults.
 type Options struct {
-	// ResumeWindow is for how long a broken stream is tried again.
+	// ResumeWindow limits how long resuming a broken stream is attempted.
 	ResumeWindow time.Duration
-	// ResumeInitialDelay and ResumeMaxDelay bound the pause between two tries.
+	// ResumeInitialDelay and ResumeMaxDelay bound the exponential backoff between two attempts.
 	ResumeInitialDelay time.Duration
 	ResumeMaxDelay     time.Duration
-	// NotFoundWindow is for how long an engine may not know a stream of which
-	// nothing has been received: the request may still be on its way.
+	// NotFoundWindow limits how long an engine may report an unknown stream if nothing of it has
+	// been received: the request may still be in transit.
 	NotFoundWindow time.Duration
-	// Stall is how long a stream may be silent before it is taken as broken.
+	// StallTimeout is how long a stream may send nothing before it counts as broken.
 	StallTimeout time.Duration
-	// ServiceStallTimeout is how long a plain call may neither send nor answer anything.
+	// ServiceStallTimeout is how long a call to a plain service may make no progress in either
+	// direction.
 	ServiceStallTimeout time.Duration
-	// CancelTimeout bounds the order to cancel a stream.
+	// CancelTimeout limits the call that cancels a stream.
 	CancelTimeout time.Duration
 	// ProgressEvery is the number of answer tokens between two progress reports.
 	ProgressEvery int
 }
 
-// DefaultOptions returns what a node uses unless its settings say otherwise.
+// DefaultOptions returns the default options of a node.
 func DefaultOptions() Options {
 	return Options{
 		ResumeWindow:        15 * time.Second,
--- a/dispatch/result.go
+++ b/dispatch/result.go
@@ -10,14 +10,14 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Result tells how a run went.
+// Result describes the outcome of a run.
 type Result struct {
-	// NotSent is set if not one byte was sent, and says why. The request was not
+	// NotSent is set if not a single byte was sent, and holds the reason. The request was not
 	// dispatched, and the permit can't be used again.
 	NotSent error
-	// End is how the answer ended. It has no meaning when NotSent is set.
+	// End describes how the answer ended. It has no meaning if NotSent is set.
 	End answer.End
-	// Use is for the capacity owner.
+	// Usage is reported to the capacity owner.
 	Usage capacity.Result
 }
 
@@ -25,11 +25,11 @@
 	return Result{NotSent: err, Usage: capacity.Result{Unreachable: unreachable}}
 }
 
-// endOf translates what ended a run before its answer was complete. Something
-// was sent: the outcome is ran, unless the run goes on at another node.
+// endOf converts the error that ended a run before its answer was complete. As data was sent, the
+// outcome is ran, unless the run continues at another node.
 func endOf(err error) answer.End {
 	if errors.Is(err, ErrOvertaken) {
-		// The answer goes on elsewhere: a retry finds it there.
+		// The answer continues at another node, where a retry finds it.
 		return answer.End{Outcome: domain.OutcomeUnknown, Reason: "another node has taken the request over", Code: answer.CodeOvertaken, RetryAfter: time.Second}
 	}
 	return answer.End{Outcome: domain.OutcomeRan, Reason: reason(err), Code: codeOf(err)}
@@ -54,8 +54,8 @@
 	}
 }
 
-// reason is the text for the caller. Errors of endpoints may contain addresses
-// and stay inside.
+// reason returns the explanation for the caller. The text of endpoint errors is not passed on, as
+// it may contain addresses.
 func reason(err error) string {
 	switch codeOf(err) {
 	case answer.CodePreempted:
@@ -75,8 +75,8 @@
 	}
 }
 
-// cancelled returns the cause if the run's context has ended.
-func cancelled(ctx context.Context) error {
+// cancelCause returns the cause of cancellation if the run's context has ended, or nil.
+func cancelCause(ctx context.Context) error {
 	if ctx.Err() == nil {
 		return nil
 	}
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -11,30 +11,29 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// bodyChunk is how much of a plain response's body makes a chunk, in bytes.
-const bodyChunk = 32 << 10
+// bodyChunkBytes is the maximum size of a chunk of a plain response's body.
+const bodyChunkBytes = 32 << 10
 
-// ServiceRun is what a plain call needs.
+// ServiceRun holds the parameters of a call to a plain service.
 type ServiceRun struct {
-	// Request is the call; its Key is set by the run. The body is read once, while
-	// it is being sent.
+	// Request is the call; RunService sets its Key. The body is read once, while it is sent.
 	Request endpoint.ServiceRequest
-	// Buffer gets the head and the body. It is not ended by the run.
+	// Buffer receives the head and the body. The run does not end it.
 	Buffer *answer.Buffer
 }
 
-// RunService spends the permit, sends the call and copies the response into the
-// buffer. A call is never sent twice, whether it may be repeated or not. The
-// response is read as fast as the buffer takes it.
+// RunService uses up the permit, sends the call and copies the response into the buffer. A call is
+// never sent twice, whether or not it is idempotent. The response is read at the speed at which the
+// buffer accepts it.
 func (d *Dispatcher) RunService(ctx context.Context, permit *Permit, run ServiceRun) Result {
 	service, ok := d.endpoints.Service(permit.endpoint)
 	if !ok {
 		return notSent(ErrNoAdapter, true)
 	}
-	if err := cancelled(ctx); err != nil {
+	if err := cancelCause(ctx); err != nil {
 		return notSent(err, false)
 	}
-	if !permit.spend() {
+	if !permit.use() {
 		return notSent(ErrPermitUsed, false)
 	}
 	run.Request.Key = permit.key.String()
@@ -43,44 +42,44 @@
 	watch := newWatchdog(d.options.ServiceStallTimeout, func() { cancel(errStalled) })
 	defer watch.stop()
 	if run.Request.Length != 0 && run.Request.Body != nil {
-		run.Request.Body = watchedReader{reader: run.Request.Body, watch: watch}
+		run.Request.Body = monitoredReader{reader: run.Request.Body, watchdog: watch}
 	}
 	started := time.Now()
 	response, err := service.Call(callCtx, run.Request)
 	if errors.Is(err, endpoint.ErrNotDispatched) {
-		return notSent(err, cancelled(ctx) == nil)
+		return notSent(err, cancelCause(ctx) == nil)
 	}
-	use := capacity.Result{Dispatched: true, FirstToken: time.Since(started)}
+	usage := capacity.Result{Dispatched: true, FirstToken: time.Since(started)}
 	if err == nil {
 		err = copyResponse(ctx, response, run.Buffer, watch)
 	}
-	use.Total = time.Since(started)
-	return serviceResult(ctx, use, err)
+	usage.Total = time.Since(started)
+	return serviceResult(ctx, usage, err)
 }
 
-func serviceResult(ctx context.Context, use capacity.Result, err error) Result {
+func serviceResult(ctx context.Context, usage capacity.Result, err error) Result {
 	if err == nil {
-		use.Complete = true
-		return Result{Usage: use}
+		usage.Complete = true
+		return Result{Usage: usage}
 	}
-	if cause := cancelled(ctx); cause != nil {
+	if cause := cancelCause(ctx); cause != nil {
 		err = cause
 	}
 	end := endOf(err)
-	use.Crashed = end.Code == answer.CodeBroken
-	return Result{End: end, Usage: use}
+	usage.Crashed = end.Code == answer.CodeBroken
+	return Result{End: end, Usage: usage}
 }
 
 func copyResponse(ctx context.Context, response endpoint.ServiceResponse, buffer *answer.Buffer, watch *watchdog) error {
 	defer response.Body.Close()
 	buffer.SetHead(answer.Head{Status: response.Status, Header: response.Header})
 	for {
-		data := make([]byte, bodyChunk)
+		data := make([]byte, bodyChunkBytes)
 		watch.start()
 		n, err := response.Body.Read(data)
 		watch.stop()
 		if n > 0 {
-			if err := buffer.Append(ctx, buffer.Next(), trimmed(data, n)); err != nil {
+			if err := buffer.Append(ctx, buffer.Next(), trimBuffer(data, n)); err != nil {
 				return err
 			}
 		}
@@ -93,9 +92,9 @@
 	}
 }
 
-// trimmed returns the first n bytes, copied when most of the array would be
-// held for nothing.
-func trimmed(data []byte, n int) []byte {
+// trimBuffer returns the first n bytes of data, copied if more than half of the array would be
+// wasted.
+func trimBuffer(data []byte, n int) []byte {
 	if n >= len(data)/2 {
 		return data[:n]
 	}
--- a/dispatch/streamcopier.go
+++ b/dispatch/streamcopier.go
@@ -14,49 +14,49 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// doneMarker is the data of the event with which model streams end. It is not
-// part of the answer: entry writes it when the answer is complete.
+// doneMarker is the data of the last event of a model's stream. It is not part of the answer: entry
+// writes it when the answer is complete.
 var doneMarker = []byte("[DONE]")
 
-// engineCopy copies one engine's stream into one buffer.
-type engineCopy struct {
+// streamCopier copies the stream of one engine into one buffer.
+type streamCopier struct {
 	engine  endpoint.Engine
 	key     string
 	buffer  *answer.Buffer
 	options Options
 
-	next     uint64
-	progress func(int)
-	started  time.Time
-	tokens   int
-	last     []byte
-	use      capacity.Result
+	next      uint64
+	progress  func(int)
+	started   time.Time
+	tokens    int
+	lastEvent []byte
+	usage     capacity.Result
 
 	brokenSince time.Time
-	pauses      *backoff.ExponentialBackOff
+	retryDelays *backoff.ExponentialBackOff
 }
 
-func newEngineCopy(engine endpoint.Engine, key string, run EngineRun, options Options) *engineCopy {
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = options.ResumeInitialDelay
-	pauses.MaxInterval = options.ResumeMaxDelay
-	return &engineCopy{
-		engine:   engine,
-		key:      key,
-		buffer:   run.Buffer,
-		next:     run.Buffer.Next(),
-		options:  options,
-		progress: run.Progress,
-		started:  time.Now(),
-		pauses:   pauses,
+func newStreamCopier(engine endpoint.Engine, key string, run EngineRun, options Options) *streamCopier {
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = options.ResumeInitialDelay
+	delays.MaxInterval = options.ResumeMaxDelay
+	return &streamCopier{
+		engine:      engine,
+		key:         key,
+		buffer:      run.Buffer,
+		next:        run.Buffer.Next(),
+		options:     options,
+		progress:    run.Progress,
+		started:     time.Now(),
+		retryDelays: delays,
 	}
 }
 
-// resume continues after the stream broke with err, until the answer is
-// complete (nil) or can't be.
-func (c *engineCopy) resume(ctx context.Context, err error) error {
+// resume continues after the stream broke with err, until the answer is complete (nil) or can't be
+// completed.
+func (c *streamCopier) resume(ctx context.Context, err error) error {
 	for err != nil {
-		if err := c.pause(ctx, err); err != nil {
+		if err := c.waitBeforeResume(ctx, err); err != nil {
 			return err
 		}
 		err = c.attempt(ctx, func(ctx context.Context) (endpoint.Stream, error) {
@@ -66,18 +66,19 @@
 	return nil
 }
 
-// pause waits before the next try, or returns why there will be none.
-func (c *engineCopy) pause(ctx context.Context, err error) error {
-	if cause := cancelled(ctx); cause != nil {
+// waitBeforeResume waits for the backoff delay before the next attempt, or returns the reason not
+// to make one.
+func (c *streamCopier) waitBeforeResume(ctx context.Context, err error) error {
+	if cause := cancelCause(ctx); cause != nil {
 		return cause
 	}
 	if c.brokenSince.IsZero() {
 		c.brokenSince = time.Now()
 	}
-	if c.hopeless(err, time.Since(c.brokenSince)) {
+	if c.isFinal(err, time.Since(c.brokenSince)) {
 		return err
 	}
-	timer := time.NewTimer(c.pauses.NextBackOff())
+	timer := time.NewTimer(c.retryDelays.NextBackOff())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -87,53 +88,53 @@
 	}
 }
 
-// hopeless tells whether another try can't help.
-func (c *engineCopy) hopeless(err error, broken time.Duration) bool {
+// isFinal reports whether another attempt is pointless.
+func (c *streamCopier) isFinal(err error, brokenFor time.Duration) bool {
 	switch {
 	case errors.Is(err, endpoint.ErrRefused):
 		return true
 	case errors.Is(err, answer.ErrEnded):
 		return true
 	case errors.Is(err, endpoint.ErrStreamNotFound):
-		return c.next > 0 || broken >= c.options.NotFoundWindow
+		return c.next > 0 || brokenFor >= c.options.NotFoundWindow
 	default:
-		return broken >= c.options.ResumeWindow
+		return brokenFor >= c.options.ResumeWindow
 	}
 }
 
-// attempt opens a stream and appends its events until it ends. It returns nil
-// after the last event of the answer.
-func (c *engineCopy) attempt(ctx context.Context, open func(context.Context) (endpoint.Stream, error)) error {
+// attempt opens a stream and appends its events until it ends. It returns nil after the last event
+// of the answer.
+func (c *streamCopier) attempt(ctx context.Context, open func(context.Context) (endpoint.Stream, error)) error {
 	streamCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	watch := newWatchdog(c.options.StallTimeout, func() { cancel(errStalled) })
 	defer watch.stop()
 	stream, err := open(streamCtx)
 	if err != nil {
-		return brokenBy(ctx, streamCtx, err)
+		return streamError(ctx, streamCtx, err)
 	}
 	defer stream.Close()
-	err = c.copy(ctx, streamCtx, stream, watch)
+	err = c.copyEvents(ctx, streamCtx, stream, watch)
 	if errors.Is(err, errStalled) {
-		// The engine had answered before it fell silent: it may be slow, not gone.
+		// The engine responded before it stalled, so it may be slow rather than unreachable.
 		c.brokenSince = time.Time{}
 	}
 	return err
 }
 
-// copy appends events. The watchdog runs only while the engine is waited for,
-// not while a slow reader is.
-func (c *engineCopy) copy(ctx, streamCtx context.Context, stream endpoint.Stream, watch *watchdog) error {
+// copyEvents appends events to the buffer. The watchdog runs only while waiting for the engine, not
+// while a slow reader blocks the buffer.
+func (c *streamCopier) copyEvents(ctx, streamCtx context.Context, stream endpoint.Stream, watch *watchdog) error {
 	for {
 		event, err := stream.Next(streamCtx)
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
-			return brokenBy(ctx, streamCtx, err)
+			return streamError(ctx, streamCtx, err)
 		}
 		watch.stop()
-		done, err := c.accept(ctx, event)
+		done, err := c.appendEvent(ctx, event)
 		if done || err != nil {
 			return err
 		}
@@ -141,9 +142,9 @@
 	}
 }
 
-// brokenBy returns why a stream ended: the run's end, a stall, or its own error.
-func brokenBy(ctx, streamCtx context.Context, err error) error {
-	if cause := cancelled(ctx); cause != nil {
+// streamError returns the reason why a stream ended: cancellation of the run, a stall, or err.
+func streamError(ctx, streamCtx context.Context, err error) error {
+	if cause := cancelCause(ctx); cause != nil {
 		return cause
 	}
 	if context.Cause(streamCtx) == errStalled {
@@ -152,32 +153,32 @@
 	return err
 }
 
-// accept appends one event; done is true for the end marker.
-func (c *engineCopy) accept(ctx context.Context, event endpoint.Event) (done bool, err error) {
+// appendEvent appends one event; done is true for the end marker.
+func (c *streamCopier) appendEvent(ctx context.Context, event endpoint.Event) (done bool, err error) {
 	if event.Offset < c.next {
 		return false, nil
 	}
 	if event.Offset == c.next && bytes.Equal(event.Data, doneMarker) {
 		return true, nil
 	}
-	// The buffer refuses a gap.
+	// Append returns ErrGap if events are missing.
 	if err := c.buffer.Append(ctx, event.Offset, event.Data); err != nil {
 		return false, err
 	}
 	c.next++
-	c.count(event.Data)
+	c.recordEvent(event.Data)
 	return false, nil
 }
 
-func (c *engineCopy) count(data []byte) {
-	c.last = data
+func (c *streamCopier) recordEvent(data []byte) {
+	c.lastEvent = data
 	c.tokens++
 	if c.tokens == 1 {
-		c.use.FirstToken = time.Since(c.started)
+		c.usage.FirstToken = time.Since(c.started)
 	}
 	if !c.brokenSince.IsZero() {
 		c.brokenSince = time.Time{}
-		c.pauses.Reset()
+		c.retryDelays.Reset()
 	}
 	if c.progress != nil && c.tokens%c.options.ProgressEvery == 0 {
 		c.progress(c.tokens)
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// usage is what engines report with the last event of a stream.
-type usage struct {
+// usageEvent is the token usage that engines report in the last event of a stream.
+type usageEvent struct {
 	Usage *struct {
 		PromptTokens     int `json:"prompt_tokens"`
 		CompletionTokens int `json:"completion_tokens"`
@@ -13,14 +13,14 @@
 	} `json:"usage"`
 }
 
-// readUsage takes the token counts from the last event, if it has any. Only the
-// last event is looked at, so that no other costs a parse.
-func (c *engineCopy) readUsage() {
-	var u usage
-	if json.Unmarshal(c.last, &u) != nil || u.Usage == nil {
+// readUsage takes the token counts from the last event, if it has any. Only the last event is
+// examined, to avoid parsing every event.
+func (c *streamCopier) readUsage() {
+	var event usageEvent
+	if json.Unmarshal(c.lastEvent, &event) != nil || event.Usage == nil {
 		return
 	}
-	c.use.PromptTokens = u.Usage.PromptTokens
-	c.use.AnswerTokens = u.Usage.CompletionTokens
-	c.use.CachedTokens = u.Usage.Details.CachedTokens
+	c.usage.PromptTokens = event.Usage.PromptTokens
+	c.usage.AnswerTokens = event.Usage.CompletionTokens
+	c.usage.CachedTokens = event.Usage.Details.CachedTokens
 }
--- a/dispatch/watchdog.go
+++ b/dispatch/watchdog.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// watchdog calls a function when nothing has happened for a time.
+// watchdog calls a function if it is not restarted or stopped within a timeout.
 type watchdog struct {
 	timer   *time.Timer
-	silence time.Duration
+	timeout time.Duration
 }
 
-// newWatchdog returns a watchdog that runs.
-func newWatchdog(silence time.Duration, bark func()) *watchdog {
-	return &watchdog{timer: time.AfterFunc(silence, bark), silence: silence}
+// newWatchdog returns a running watchdog.
+func newWatchdog(timeout time.Duration, onTimeout func()) *watchdog {
+	return &watchdog{timer: time.AfterFunc(timeout, onTimeout), timeout: timeout}
 }
 
-func (w *watchdog) start() { w.timer.Reset(w.silence) }
+func (w *watchdog) start() { w.timer.Reset(w.timeout) }
 
 func (w *watchdog) stop() { w.timer.Stop() }
 
-// watchedReader tells a watchdog that the body of a call is being sent.
-type watchedReader struct {
-	reader io.Reader
-	watch  *watchdog
+// monitoredReader restarts a watchdog while the body of a call is sent.
+type monitoredReader struct {
+	reader   io.Reader
+	watchdog *watchdog
 }
 
-// Read reads from the body. The watchdog sleeps while the caller is waited for.
-func (r watchedReader) Read(p []byte) (int, error) {
-	r.watch.stop()
-	defer r.watch.start()
+// Read reads from the body. The watchdog is stopped while Read waits for the caller's data.
+func (r monitoredReader) Read(p []byte) (int, error) {
+	r.watchdog.stop()
+	defer r.watchdog.start()
 	return r.reader.Read(p)
 }
