--- a/endpoint/exchange/abandon_test.go
+++ b/endpoint/exchange/abandon_test.go
@@ -14,7 +14,8 @@
 	"hawthornrill.example/hawthornrill/netdial/netdialtest"
 )
 
-// abandoned sends a request to an endpoint that does not read, and gives it up once the kernel has taken all of it.
+// abandoned sends a request to an endpoint that does not read, and abandons it once the kernel has
+// accepted all of it.
 func abandoned(t *testing.T, c *Client, l net.Listener) error {
 	t.Helper()
 	r := (&server{address: l.Addr().String()}).request("1")
@@ -26,7 +27,7 @@
 	return c.abandon(conn, endpoint.ErrBroken)
 }
 
-func TestUnacknowledgedRequestIsTold(t *testing.T) {
+func TestUnacknowledgedRequestIsReported(t *testing.T) {
 	l := netdialtest.HeldUp(t)
 	set := metrics.NewSet()
 	c := New(Options{}, set)
@@ -36,7 +37,7 @@
 	assert.Equal(t, c.unacknowledged.Get(), uint64(1))
 }
 
-func TestAcknowledgedRequestIsNotToldAsUnacknowledged(t *testing.T) {
+func TestAcknowledgedRequestIsNotReportedAsUnacknowledged(t *testing.T) {
 	s := serve(t, "")
 	c := New(Options{}, metrics.NewSet())
 	_, err := send(t, c, s.request("1"))
@@ -44,7 +45,8 @@
 	assert.Assert(t, !errors.Is(err, endpoint.ErrUnacknowledged))
 }
 
-// Guards against requests that reach an endpoint after they were given up on, when a link that was cut is back.
+// Guards against a request that was abandoned while the link was cut reaching the endpoint once the
+// link is restored.
 func TestRequestGivenUpOnIsNotDeliveredLater(t *testing.T) {
 	l := netdialtest.HeldUp(t)
 	err := abandoned(t, New(Options{}, metrics.NewSet()), l)
--- a/endpoint/exchange/client.go
+++ b/endpoint/exchange/client.go
@@ -1,14 +1,16 @@
-// Package exchange sends HTTP/1.1 requests to endpoints, each at most once, over kept connections.
+// Package exchange sends HTTP/1.1 requests to endpoints, each at most once, over persistent
+// connections.
 //
-// The library's own transport is not used, because it repeats requests by itself, does not keep to the idle time that
-// an endpoint states, and can't tell an answer to an earlier request from the one that is waited for. Requests and
-// answers are written and parsed by net/http.
+// It does not use http.Transport, which retries requests by itself, does not respect the idle
+// timeout that an endpoint announces, and can't distinguish the response to an earlier request from
+// the expected one. Requests and responses are written and parsed by net/http.
 //
-// Guarantees. An error that wraps endpoint.ErrNotDispatched means that not one byte was sent. Any other error means
-// that the request may have run. An answer that names another request is skipped. A connection is used again only if
-// its last answer was read to its end, nothing else has come in since, and it has been idle for less than the endpoint
-// allows. A connection that is closed before the endpoint's host has acknowledged the whole request is reset, so that the rest
-// of it is never delivered.
+// Guarantees: An error that wraps endpoint.ErrNotDispatched means that not a single byte was sent.
+// After any other error the request may have been run. A response that belongs to another request
+// is skipped. A connection is reused only if its last response was read to the end, no other data
+// has arrived since, and it has been idle for less than the endpoint allows. A connection that is
+// closed before the endpoint's host has acknowledged the whole request is reset, so that the rest
+// of the request is never delivered.
 package exchange
 
 import (
@@ -31,43 +33,47 @@
 )
 
 const (
-	// dialTimeout bounds a new connection. Data centres are a few milliseconds apart; an endpoint that is gone answers
-	// nothing, and another one can be tried as long as nothing was sent.
+	// dialTimeout limits the time to open a connection. Data centres are a few milliseconds apart;
+	// an endpoint that is gone does not respond at all, and as nothing has been sent, another
+	// endpoint can be tried.
 	dialTimeout = 250 * time.Millisecond
-	// silentTimeout is how long sent bytes may stay unacknowledged before the connection is taken for dead.
-	silentTimeout = 1500 * time.Millisecond
-	// defaultIdle is how long a connection may be idle if the endpoint states nothing.
-	defaultIdle = 4 * time.Second
-	// idleMargin is what is left of the stated time for the request to arrive.
-	idleMargin = 500 * time.Millisecond
-	// maxIdle bounds the idle connections kept to one endpoint if the options do not: more than a node has there at a time.
-	maxIdle = 32
-	// maxHeadBytes bounds the head of an answer.
+	// deadPeerTimeout is how long sent data may stay unacknowledged before the connection counts as
+	// dead.
+	deadPeerTimeout = 1500 * time.Millisecond
+	// defaultIdleTimeout applies if the endpoint announces no idle timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutMargin is subtracted from the announced idle timeout, for the request to arrive in
+	// time.
+	idleTimeoutMargin = 500 * time.Millisecond
+	// defaultMaxIdle is the default limit on idle connections to one endpoint. It exceeds the
+	// number of concurrent requests from a node to an endpoint.
+	defaultMaxIdle = 32
+	// maxHeadBytes limits the size of a response's status line and header.
 	maxHeadBytes = 64 << 10
-	// maxStale is the number of answers to other requests that are skipped.
-	maxStale = 2
+	// maxStaleResponses limits the number of skipped responses to other requests.
+	maxStaleResponses = 2
 )
 
 // Request is a request to an endpoint.
 type Request struct {
-	// Endpoint and Address name the life and where it is reached, "IP:port".
+	// Endpoint identifies the endpoint's incarnation, and Address is its "IP:port".
 	Endpoint domain.EndpointID
 	Address  string
 	Method   string
-	// Target is the path and query exactly as they are to be sent.
+	// Target is the path and query, sent unchanged.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Answers reports whether the head of an answer belongs to this request; nil takes any.
+	// Matches reports whether a response header belongs to this request; nil accepts any.
 	Matches func(http.Header) bool
 }
 
-// Client keeps connections to endpoints. It is safe for concurrent use.
+// Client sends requests and pools connections to endpoints. It is safe for concurrent use.
 type Client struct {
 	dialer  *netdial.Dialer
 	options Options
-	// open counts the connections, those being dialled included.
+	// open is the number of connections, including those being dialled.
 	open atomic.Int64
 
 	mu   sync.Mutex
@@ -76,21 +82,21 @@
 	dials, reused, stale, unacknowledged *metrics.Counter
 }
 
-// Options bound a Client.
+// Options configures a Client.
 type Options struct {
-	// Connections bounds the open connections to all endpoints; 0 is no bound.
+	// MaxConnections limits the open connections to all endpoints; 0 means no limit.
 	MaxConnections int
-	// Idle bounds the idle ones kept to an endpoint; nil means maxIdle.
+	// MaxIdle limits the idle connections to one endpoint; nil means defaultMaxIdle.
 	MaxIdle func(domain.EndpointID) int
 }
 
-// New returns a client without connections.
+// New returns a client that registers its metrics with set.
 func New(options Options, set *metrics.Set) *Client {
 	if options.MaxIdle == nil {
-		options.MaxIdle = func(domain.EndpointID) int { return maxIdle }
+		options.MaxIdle = func(domain.EndpointID) int { return defaultMaxIdle }
 	}
 	c := &Client{
-		dialer:  netdial.New(dialTimeout, silentTimeout),
+		dialer:  netdial.New(dialTimeout, deadPeerTimeout),
 		options: options,
 		idle:    make(map[domain.EndpointID][]*conn),
 		dials:   set.NewCounter("hawthornrill_endpoint_dials_total"),
@@ -103,8 +109,8 @@
 	return c
 }
 
-// Send sends the request and returns the answer, whose Close must be called. The context bounds the answer's body too:
-// when it ends, the connection is closed, which tells the endpoint to stop.
+// Send sends the request and returns the response, which must be closed. The context also covers
+// the response body: when it ends, the connection is closed, which tells the endpoint to stop.
 func (c *Client) Send(ctx context.Context, r *Request) (*Response, error) {
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("%w: %w", endpoint.ErrNotDispatched, context.Cause(ctx))
@@ -118,15 +124,16 @@
 		stop()
 		return nil, c.abandon(conn, err)
 	}
-	response, err := c.read(conn, r)
+	response, err := c.readResponse(conn, r)
 	if err != nil {
 		stop()
 		return nil, c.abandon(conn, fmt.Errorf("%w: %w", endpoint.ErrBroken, err))
 	}
-	return &Response{Response: response, client: c, conn: conn, endpoint: r.Endpoint, stop: stop}, nil
+	return &Response{Response: response, client: c, conn: conn, endpoint: r.Endpoint, stopAfterFunc: stop}, nil
 }
 
-// abandon closes a connection whose request has no answer, and adds to the error what was not acknowledged of it.
+// abandon closes a connection whose request got no response, and adds endpoint.ErrUnacknowledged to
+// the error if part of the request was not acknowledged.
 func (c *Client) abandon(conn *conn, err error) error {
 	conn.close()
 	if errors.Is(err, endpoint.ErrNotDispatched) || !conn.Pending() {
@@ -136,14 +143,14 @@
 	return fmt.Errorf("%w: %w", err, endpoint.ErrUnacknowledged)
 }
 
-// connection takes an idle one or dials.
+// connection returns a reusable idle connection, or dials.
 func (c *Client) connection(ctx context.Context, r *Request) (*conn, error) {
 	for {
-		conn := c.take(r.Endpoint)
+		conn := c.takeIdle(r.Endpoint)
 		if conn == nil {
 			break
 		}
-		if time.Now().Before(conn.idleUntil) && conn.quiet() {
+		if time.Now().Before(conn.idleUntil) && conn.reusable() {
 			c.reused.Inc()
 			return conn, nil
 		}
@@ -152,16 +159,16 @@
 	return c.dial(ctx, r.Address)
 }
 
-// errTooMany means that no connection more may be opened and none is idle.
-var errTooMany = errors.New("exchange: too many connections are open")
+// errTooManyConnections means that the limit on open connections is reached and none is idle.
+var errTooManyConnections = errors.New("exchange: too many open connections")
 
-// dial opens a connection. At the bound on open ones an idle one to another endpoint makes room.
+// dial opens a connection. At the limit on open connections, it closes an idle one to any endpoint.
 func (c *Client) dial(ctx context.Context, address string) (*conn, error) {
-	most := int64(c.options.MaxConnections)
-	for c.open.Add(1) > most && most > 0 {
+	limit := int64(c.options.MaxConnections)
+	for c.open.Add(1) > limit && limit > 0 {
 		c.open.Add(-1)
 		if !c.closeIdle() {
-			return nil, errTooMany
+			return nil, errTooManyConnections
 		}
 	}
 	c.dials.Inc()
@@ -173,8 +180,8 @@
 	return newConn(raw, func() { c.open.Add(-1) }), nil
 }
 
-// closeIdle closes an idle connection, the one that was used longest ago of some endpoint, and reports whether there was
-// one.
+// closeIdle closes the least recently used idle connection of an arbitrary endpoint, and reports
+// whether there was one.
 func (c *Client) closeIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +196,7 @@
 	return false
 }
 
-func (c *Client) take(id domain.EndpointID) *conn {
+func (c *Client) takeIdle(id domain.EndpointID) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[id]
@@ -201,7 +208,7 @@
 	return last
 }
 
-func (c *Client) keep(id domain.EndpointID, conn *conn, idle time.Duration) {
+func (c *Client) putIdle(id domain.EndpointID, conn *conn, idle time.Duration) {
 	conn.idleUntil = time.Now().Add(idle)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,7 +219,8 @@
 	c.idle[id] = append(c.idle[id], conn)
 }
 
-// Forget closes the idle connections to an endpoint that is gone, and those that have been idle too long.
+// PruneIdle closes the idle connections to endpoints that are not listed, and those that have
+// exceeded their idle timeout.
 func (c *Client) PruneIdle(listed func(domain.EndpointID) bool) {
 	now := time.Now()
 	c.mu.Lock()
@@ -234,15 +242,16 @@
 	}
 }
 
-// errStale means that only answers to other requests came.
-var errStale = errors.New("exchange: the answers belong to other requests")
+// errStale means that only responses to other requests were received.
+var errStale = errors.New("exchange: received only responses to other requests")
 
-// read reads the head of the request's answer, and skips interim answers and those to other requests.
-func (c *Client) read(conn *conn, r *Request) (*http.Response, error) {
-	for skipped := 0; skipped <= maxStale; {
-		conn.limit = maxHeadBytes
+// readResponse reads the head of the response, skipping interim responses and those to other
+// requests.
+func (c *Client) readResponse(conn *conn, r *Request) (*http.Response, error) {
+	for skipped := 0; skipped <= maxStaleResponses; {
+		conn.readLimit = maxHeadBytes
 		response, err := http.ReadResponse(conn.reader, &http.Request{Method: r.Method})
-		conn.limit = math.MaxInt64
+		conn.readLimit = math.MaxInt64
 		if err != nil {
 			return nil, err
 		}
@@ -261,13 +270,13 @@
 	return nil, errStale
 }
 
-// bytes encodes the request. Its body always has a length, whatever the caller used, so that nothing in it can be
-// taken for another request.
-func (r *Request) bytes() []byte {
+// encode returns the request in wire format. Its body always has a Content-Length, whichever
+// framing the caller used, so that no part of it can be parsed as another request.
+func (r *Request) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(len(r.Body) + 1024)
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	_ = r.Header.Write(&b) // a bytes.Buffer does not fail
+	_ = r.Header.Write(&b) // writing to a bytes.Buffer never fails
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
--- a/endpoint/exchange/client_test.go
+++ b/endpoint/exchange/client_test.go
@@ -19,15 +19,15 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// server answers each request on a connection with the next of the texts.
+// server answers the requests on each connection with fixed texts.
 type server struct {
 	address     string
 	connections atomic.Int64
 	received    chan string
 }
 
-// serve starts a server whose connections answer their requests with these texts in turn and then close. Each request's
-// head is sent to received.
+// serve starts a server that answers the requests on each connection with these texts in turn and
+// then closes it. Each request's line, host and body are sent to received.
 func serve(t *testing.T, texts ...string) *server {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -85,7 +85,7 @@
 	return string(body), err
 }
 
-func TestRequestIsSentAsItIs(t *testing.T) {
+func TestRequestIsSentUnchanged(t *testing.T) {
 	s := serve(t, answerTo("1", "Content-Length: 2\r\n", "ok"))
 	body, err := send(t, New(Options{}, metrics.NewSet()), s.request("1"))
 	assert.NilError(t, err)
@@ -93,18 +93,18 @@
 	assert.Equal(t, <-s.received, "POST /a%2Fb?x=%20y h.example body")
 }
 
-func TestReuseOfConnections(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	ok := func(id string) string { return answerTo(id, "Content-Length: 2\r\n", "ok") }
 	tests := []struct {
 		name        string
 		first       string
 		connections int64
 	}{
-		{"whole answer", ok("1"), 1},
-		{"the endpoint says that it closes", answerTo("1", "Connection: close\r\nContent-Length: 2\r\n", "ok"), 2},
-		{"no time to be idle", answerTo("1", "Keep-Alive: timeout=0\r\nContent-Length: 2\r\n", "ok"), 2},
-		{"bytes after the answer", answerTo("1", "Content-Length: 2\r\n", "okmore"), 2},
-		{"chunks", answerTo("1", "Transfer-Encoding: chunked\r\n", "2\r\nok\r\n0\r\n\r\n"), 1},
+		{"complete", ok("1"), 1},
+		{"connection close", answerTo("1", "Connection: close\r\nContent-Length: 2\r\n", "ok"), 2},
+		{"zero idle timeout", answerTo("1", "Keep-Alive: timeout=0\r\nContent-Length: 2\r\n", "ok"), 2},
+		{"trailing data", answerTo("1", "Content-Length: 2\r\n", "okmore"), 2},
+		{"chunked", answerTo("1", "Transfer-Encoding: chunked\r\n", "2\r\nok\r\n0\r\n\r\n"), 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 			assert.Equal(t, body, "ok")
 			r := s.request("2")
 			if test.connections > 1 {
-				// The second connection begins with the first text again.
+				// On the second connection the server starts with the first text again.
 				r.Matches = nil
 			}
 			_, err = send(t, c, r)
@@ -133,15 +133,15 @@
 	assert.Equal(t, body, "ok")
 }
 
-func TestAnswersThatCantBeUsed(t *testing.T) {
+func TestUnusableResponses(t *testing.T) {
 	tests := []struct{ name, text string }{
-		{"rubbish", "rubbish\r\n\r\n"},
-		{"nothing", ""},
-		{"a head without an end", "HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", 2*maxHeadBytes) + "\r\n\r\n"},
-		{"only others' answers", strings.Repeat(answerTo("0", "Content-Length: 0\r\n", ""), maxStale+2)},
-		{"another's answer without an end mark", answerTo("0", "", "late")},
-		{"too short a body", answerTo("1", "Content-Length: 100\r\n", "part")},
-		{"a chunk that breaks off", answerTo("1", "Transfer-Encoding: chunked\r\n", "5\r\npar")},
+		{"malformed", "rubbish\r\n\r\n"},
+		{"empty", ""},
+		{"header too long", "HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", 2*maxHeadBytes) + "\r\n\r\n"},
+		{"only stale responses", strings.Repeat(answerTo("0", "Content-Length: 0\r\n", ""), maxStaleResponses+2)},
+		{"stale response of unknown length", answerTo("0", "", "late")},
+		{"truncated body", answerTo("1", "Content-Length: 100\r\n", "part")},
+		{"truncated chunk", answerTo("1", "Transfer-Encoding: chunked\r\n", "5\r\npar")},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestNothingSentIsSaid(t *testing.T) {
+func TestNotDispatchedIsReported(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := l.Addr().String()
@@ -167,7 +167,7 @@
 }
 
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	s := serve(t, answerTo("1", "Content-Length: 2\r\n", "ok")) // closes after each answer
+	s := serve(t, answerTo("1", "Content-Length: 2\r\n", "ok")) // closes the connection after each response
 	c := New(Options{}, metrics.NewSet())
 	for range 3 {
 		_, err := send(t, c, s.request("1"))
@@ -177,23 +177,23 @@
 	assert.Equal(t, s.connections.Load(), int64(3))
 }
 
-// waitClosed returns once the idle connection has seen the other side's end.
+// waitClosed returns once the idle connection has received the peer's close.
 func waitClosed(c *Client) {
 	for {
-		conn := c.take("e")
+		conn := c.takeIdle("e")
 		if conn == nil {
 			return
 		}
-		quiet := conn.quiet()
-		c.keep("e", conn, time.Minute)
-		if !quiet {
+		reusable := conn.reusable()
+		c.putIdle("e", conn, time.Minute)
+		if !reusable {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func TestForgottenEndpointsHaveNoConnections(t *testing.T) {
+func TestPruneIdleClosesConnectionsOfUnlistedEndpoints(t *testing.T) {
 	s := serve(t, answerTo("1", "Content-Length: 2\r\n", "ok"), answerTo("1", "Content-Length: 2\r\n", "ok"))
 	c := New(Options{}, metrics.NewSet())
 	_, err := send(t, c, s.request("1"))
@@ -204,7 +204,7 @@
 	assert.Equal(t, len(c.idle), 0)
 }
 
-func TestEndOfTheContextClosesTheConnection(t *testing.T) {
+func TestContextEndClosesConnection(t *testing.T) {
 	s := serve(t, answerTo("1", "Content-Length: 100\r\n", "part"), "")
 	ctx, cancel := context.WithCancel(context.Background())
 	answer, err := New(Options{}, metrics.NewSet()).Send(ctx, s.request("1"))
@@ -226,12 +226,12 @@
 	assert.NilError(t, err)
 	_, err = c.Send(context.Background(), toSecond)
 	assert.ErrorIs(t, err, endpoint.ErrNotDispatched)
-	assert.ErrorIs(t, err, errTooMany)
+	assert.ErrorIs(t, err, errTooManyConnections)
 	_, err = io.ReadAll(held)
 	assert.NilError(t, err)
 	held.Close()
 
-	// The connection that is idle now makes room.
+	// The connection is idle now and is closed to make room.
 	_, err = send(t, c, toSecond)
 	assert.NilError(t, err)
 	assert.Equal(t, c.open.Load(), int64(1))
--- a/endpoint/exchange/conn.go
+++ b/endpoint/exchange/conn.go
@@ -18,43 +18,44 @@
 	*netdial.Conn
 	reader    *bufio.Reader
 	idleUntil time.Time
-	// limit is the number of bytes that may still be read.
-	limit int64
-	// closed is called once, when the connection is closed.
-	closed func()
-	once   sync.Once
+	// readLimit is the number of bytes that may still be read.
+	readLimit int64
+	// onClose is called once, when the connection is closed.
+	onClose   func()
+	closeOnce sync.Once
 }
 
-// readBuffer is the size of a connection's buffer, enough for an answer's head and an event.
-const readBuffer = 4 << 10
+// readBufferBytes is the size of a connection's read buffer, enough for a response's head and an
+// event.
+const readBufferBytes = 4 << 10
 
-func newConn(raw *netdial.Conn, closed func()) *conn {
-	c := &conn{Conn: raw, closed: closed}
-	c.reader = bufio.NewReaderSize(c, readBuffer)
+func newConn(raw *netdial.Conn, onClose func()) *conn {
+	c := &conn{Conn: raw, onClose: onClose}
+	c.reader = bufio.NewReaderSize(c, readBufferBytes)
 	return c
 }
 
-var errTooLong = errors.New("exchange: the head of the answer is too long")
+var errHeaderTooLong = errors.New("exchange: response header too long")
 
-// Read counts against the limit.
+// Read enforces readLimit.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.limit <= 0 {
-		return 0, errTooLong
+	if c.readLimit <= 0 {
+		return 0, errHeaderTooLong
 	}
 	n, err := c.Conn.Read(p)
-	c.limit -= int64(n)
+	c.readLimit -= int64(n)
 	return n, err
 }
 
 func (c *conn) close() {
-	c.once.Do(func() {
-		_ = c.Conn.Close() // nothing is written any more that could be lost
-		c.closed()
+	c.closeOnce.Do(func() {
+		_ = c.Conn.Close() // nothing more is written, so no data can be lost
+		c.onClose()
 	})
 }
 
-// quiet reports whether the idle connection is open and nothing has come in.
-func (c *conn) quiet() bool {
+// reusable reports whether the idle connection is open and has received no data.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -62,18 +63,19 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = e == unix.EAGAIN //nolint:errorlint // a system call's own error
+		idle = e == unix.EAGAIN //nolint:errorlint // a bare errno, never wrapped
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// write sends the whole request. Its error wraps endpoint.ErrNotDispatched if no byte was taken.
+// write sends the whole request. Its error wraps endpoint.ErrNotDispatched if not a single byte was
+// written.
 func (c *conn) write(r *Request) error {
-	n, err := c.Conn.Write(r.bytes())
+	n, err := c.Conn.Write(r.encode())
 	switch {
 	case err == nil:
 		return nil
--- a/endpoint/exchange/response.go
+++ b/endpoint/exchange/response.go
@@ -13,50 +13,51 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Response is an endpoint's answer; its head has been read.
+// Response is the response of an endpoint whose head has been read.
 type Response struct {
 	*http.Response
 
-	client   *Client
-	conn     *conn
-	endpoint domain.EndpointID
-	stop     func() bool
-	// ended is true once the body was read to its end.
-	ended bool
+	client        *Client
+	conn          *conn
+	endpoint      domain.EndpointID
+	stopAfterFunc func() bool
+	// complete is true once the body has been read to its end.
+	complete bool
 }
 
-// Read reads the body. It returns io.EOF only at the body's proper end; a body that breaks off returns an error that
-// wraps endpoint.ErrBroken.
-func (a *Response) Read(p []byte) (int, error) {
-	n, err := a.Body.Read(p)
+// Read reads the body. It returns io.EOF only at the end that the body's framing defines; if the
+// body is cut short, the error wraps endpoint.ErrBroken.
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.Body.Read(p)
 	switch {
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF):
-		a.ended = true
+		r.complete = true
 		return n, io.EOF
 	default:
 		return n, fmt.Errorf("%w: %w", endpoint.ErrBroken, err)
 	}
 }
 
-// Close gives the connection back if it can be used again, and closes it otherwise, which tells the endpoint to stop.
-func (a *Response) Close() {
-	running := a.stop()
-	idle := a.idle()
-	if running && a.ended && idle > 0 && a.conn.reader.Buffered() == 0 {
-		a.client.keep(a.endpoint, a.conn, idle)
+// Close returns the connection to the pool if it is reusable. Otherwise it closes the connection,
+// which tells the endpoint to stop.
+func (r *Response) Close() {
+	contextActive := r.stopAfterFunc()
+	idle := r.idleTimeout()
+	if contextActive && r.complete && idle > 0 && r.conn.reader.Buffered() == 0 {
+		r.client.putIdle(r.endpoint, r.conn, idle)
 		return
 	}
-	a.conn.close()
+	r.conn.close()
 }
 
-// idle returns how long the connection may be idle; zero if it must not be used again.
-func (a *Response) idle() time.Duration {
-	if lastOfItsConnection(a.Response) {
+// idleTimeout returns how long the connection may be idle, or zero if it must not be reused.
+func (r *Response) idleTimeout() time.Duration {
+	if closesConnection(r.Response) {
 		return 0
 	}
-	for _, part := range strings.Split(a.Header.Get("Keep-Alive"), ",") {
+	for _, part := range strings.Split(r.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
@@ -65,31 +66,31 @@
 		if err != nil {
 			return 0
 		}
-		return time.Duration(seconds)*time.Second - idleMargin
+		return time.Duration(seconds)*time.Second - idleTimeoutMargin
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
-// lastOfItsConnection reports whether nothing can follow the answer: it says so, or only the connection's end marks the
-// end of its body.
-func lastOfItsConnection(r *http.Response) bool {
-	marked := r.ContentLength >= 0 || len(r.TransferEncoding) > 0
-	return r.Close || !marked
+// closesConnection reports whether the connection can't be used after the response: the response
+// says so, or its body is delimited only by the end of the connection.
+func closesConnection(r *http.Response) bool {
+	delimited := r.ContentLength >= 0 || len(r.TransferEncoding) > 0
+	return r.Close || !delimited
 }
 
-// maxDiscard bounds the body of an answer that is skipped.
-const maxDiscard = 256 << 10
+// maxDiscardBytes limits the body of a skipped response.
+const maxDiscardBytes = 256 << 10
 
-var errUnmarkedEnd = errors.New("exchange: the end of an answer to another request is not marked")
+var errNotDiscardable = errors.New("exchange: stale response is too long or of unknown length")
 
-// discard reads the body of an answer to another request, so that the next one can be read.
+// discard reads the body of a response to another request, so that the next response can be read.
 func discard(response *http.Response) error {
-	if lastOfItsConnection(response) {
-		return errUnmarkedEnd
+	if closesConnection(response) {
+		return errNotDiscardable
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscard))
-	if err == nil && n == maxDiscard {
-		err = errUnmarkedEnd
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardBytes))
+	if err == nil && n == maxDiscardBytes {
+		err = errNotDiscardable
 	}
 	return err
 }
--- a/endpoint/httpengine/bench_test.go
+++ b/endpoint/httpengine/bench_test.go
@@ -23,8 +23,8 @@
 
 const benchTokens = 200
 
-// BenchmarkStreams measures the time per token of the stand-in and the adapter
-// together, with the given number of streams at a time, as fast as they can.
+// BenchmarkStreams measures the time per token of the stand-in and the adapter together, for the
+// given number of concurrent streams at full speed.
 func BenchmarkStreams(b *testing.B) {
 	request := []byte(strings.Replace(body, "20", fmt.Sprint(benchTokens), 1))
 	for _, streams := range []int{1, 50, 500} {
@@ -49,7 +49,7 @@
 	}
 }
 
-// readAll returns the number of events of a whole answer.
+// readAll reads a whole answer and returns its number of events.
 func readAll(ctx context.Context, client *httpengine.Client, request endpoint.EngineRequest) (int64, error) {
 	s, err := client.Start(ctx, request)
 	if err != nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// BenchmarkPacedStreams reports, for 500 streams at a token each 20 ms, how late
-// tokens come and what processor time one costs, stand-in and adapter together.
+// BenchmarkPacedStreams reports, for 500 streams at one token per 20 ms, the delay of tokens and
+// the CPU time per token, of the stand-in and the adapter together.
 func BenchmarkPacedStreams(b *testing.B) {
 	const (
 		streams  = 500
@@ -103,7 +103,7 @@
 	b.ReportMetric(float64(late.ValueAtQuantile(99))/1e3, "late-p99-us")
 }
 
-// readGaps returns the times between the tokens of an answer.
+// readGaps returns the intervals between the tokens of an answer.
 func readGaps(ctx context.Context, client *httpengine.Client, request endpoint.EngineRequest) ([]time.Duration, error) {
 	s, err := client.Start(ctx, request)
 	if err != nil {
@@ -128,7 +128,7 @@
 	}
 }
 
-// processorTime is what the process has used so far.
+// processorTime returns the CPU time used by the process.
 func processorTime(b *testing.B) time.Duration {
 	b.Helper()
 	var usage syscall.Rusage
--- a/endpoint/httpengine/client.go
+++ b/endpoint/httpengine/client.go
@@ -15,7 +15,7 @@
 	"hawthornrill.example/hawthornrill/endpoint/onesend"
 )
 
-// HeaderRequestKey names the stream of a request.
+// HeaderRequestKey carries the request's key, which identifies its stream.
 const HeaderRequestKey = "X-Request-Key"
 
 const (
@@ -25,10 +25,10 @@
 	pathCacheEvents = "/v1/cache/events"
 )
 
-// maxReportBytes bounds what is read of an answer that is not a stream.
-const maxReportBytes = 4 << 20
+// maxResponseBytes limits the size of a response that is not a stream.
+const maxResponseBytes = 4 << 20
 
-// Client is an engine at an address. It implements endpoint.Engine.
+// Client is the client of one engine. It implements endpoint.Engine.
 type Client struct {
 	base      string
 	transport *onesend.Transport
@@ -36,14 +36,14 @@
 
 var _ endpoint.Engine = (*Client)(nil)
 
-// New returns the engine at an address such as "http://10.0.0.7:8000".
-// Transports are best shared by all endpoints of a process.
+// New returns a client of the engine at a base URL such as "http://10.0.0.7:8000". One transport
+// should be shared by all endpoints of a process.
 func New(address string, transport *onesend.Transport) *Client {
 	return &Client{base: strings.TrimSuffix(address, "/"), transport: transport}
 }
 
-// Start implements endpoint.Engine. The context bounds the time until the
-// engine has accepted the request, not the stream.
+// Start implements endpoint.Engine. The context covers the time until the engine has accepted the
+// request, not the stream.
 func (c *Client) Start(ctx context.Context, request endpoint.EngineRequest) (endpoint.Stream, error) {
 	header := http.Header{
 		"Content-Type":   {"application/json"},
@@ -84,7 +84,7 @@
 	return events, err
 }
 
-// call sends body as JSON, if any, and decodes the answer into result, if any.
+// call sends body as JSON, if any, and decodes the response into result, if any.
 func (c *Client) call(ctx context.Context, method, path string, body, result any) error {
 	var data []byte
 	if body != nil {
@@ -103,9 +103,9 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode/100 != 2 {
-		return readStatus(response)
+		return newStatusError(response)
 	}
-	data, err = io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
+	data, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("%w: %w", endpoint.ErrBroken, err)
 	}
@@ -127,7 +127,7 @@
 	return request, nil
 }
 
-// open sends a request whose answer is a stream that begins at an offset.
+// open sends a request whose response is a stream that begins at an offset.
 func (c *Client) open(ctx context.Context, method, path string, header http.Header, body []byte, from uint64) (endpoint.Stream, error) {
 	streamContext, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, cancel)
@@ -144,7 +144,7 @@
 	if response.StatusCode != http.StatusOK {
 		defer cancel()
 		defer response.Body.Close()
-		return nil, readStatus(response)
+		return nil, newStatusError(response)
 	}
 	if !stop() {
 		_ = response.Body.Close()
--- a/endpoint/httpengine/client_test.go
+++ b/endpoint/httpengine/client_test.go
@@ -29,7 +29,7 @@
 	return httpengine.New(server.URL, transport), e
 }
 
-// text reads the stream to its end.
+// text reads the stream to its end and returns the text of the answer.
 func text(t *testing.T, s endpoint.Stream) string {
 	t.Helper()
 	defer s.Close()
--- a/endpoint/httpengine/status.go
+++ b/endpoint/httpengine/status.go
@@ -9,13 +9,13 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// StatusError is an answer with a status other than success. It wraps
-// endpoint.ErrRefused where the status means that the request does not run,
-// endpoint.ErrStaleFence beside it for an order so refused,
-// endpoint.ErrStreamNotFound for a missing stream, else endpoint.ErrBroken.
+// StatusError is a response with an error status. It wraps endpoint.ErrRefused if the status means
+// that the request is not run, together with endpoint.ErrStaleFence for an order rejected for its
+// fencing number; endpoint.ErrStreamNotFound for a missing stream; and endpoint.ErrBroken
+// otherwise.
 type StatusError struct {
 	Status int
-	// Message is the beginning of the answer's body.
+	// Message is the beginning of the response body.
 	Message string
 	kind    error
 }
@@ -25,32 +25,32 @@
 	return fmt.Sprintf("%v: status %d: %s", e.kind, e.Status, e.Message)
 }
 
-// Unwrap returns the kind of error.
+// Unwrap returns the error that classifies the status.
 func (e *StatusError) Unwrap() error { return e.kind }
 
-// errConflict is the refusal of an order with an old fencing number.
-var errConflict = fmt.Errorf("%w: %w", endpoint.ErrRefused, endpoint.ErrStaleFence)
+// errStaleFence is the rejection of an order with a stale fencing number.
+var errStaleFence = fmt.Errorf("%w: %w", endpoint.ErrRefused, endpoint.ErrStaleFence)
 
 const maxMessageBytes = 512
 
-func readStatus(response *http.Response) error {
+func newStatusError(response *http.Response) error {
 	message, _ := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
 	e := &StatusError{Status: response.StatusCode, Message: string(message)}
-	e.kind = statusKind(response.StatusCode)
+	e.kind = classifyStatus(response.StatusCode)
 	if e.Status == http.StatusNotFound && response.Request.Method != http.MethodPost {
 		e.kind = endpoint.ErrStreamNotFound
 	}
 	return e
 }
 
-// statusKind tells a certain refusal from an answer that leaves it open whether
-// the request runs: timeouts and errors of the server or of something between.
-func statusKind(status int) error {
+// classifyStatus distinguishes a definite rejection from a response after which the request may
+// still be run: timeouts, and errors of the server or of an intermediary.
+func classifyStatus(status int) error {
 	switch {
 	case status == http.StatusRequestTimeout:
 		return endpoint.ErrBroken
 	case status == http.StatusConflict:
-		return errConflict
+		return errStaleFence
 	case status >= 400 && status < 500:
 		return endpoint.ErrRefused
 	case status == http.StatusServiceUnavailable:
--- a/endpoint/httpengine/stream.go
+++ b/endpoint/httpengine/stream.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// readAhead is the number of events read before they are asked for.
-	readAhead = 16
-	// maxEventBytes bounds one event.
+	// readAheadEvents is the number of events read in advance of Next.
+	readAheadEvents = 16
+	// maxEventBytes limits the size of one event.
 	maxEventBytes = 1 << 20
-	// drainTime is how long a stream that is complete may take to end its
-	// connection's response, so that the connection can be used again.
-	drainTime = time.Second
-	// lastData is the data of the last event of a complete answer.
-	lastData = "[DONE]"
+	// drainTimeout limits the time to read the rest of the response after the last event, so that
+	// the connection can be reused.
+	drainTimeout = time.Second
+	// doneMarker is the data of the last event of a complete answer.
+	doneMarker = "[DONE]"
 )
 
-var errGap = errors.New("httpengine: gap in the stream")
+var errGap = errors.New("httpengine: missing event")
 
-// stream reads the events of an answer. Events come in order without gaps:
-// repeated ones are dropped, and one that is missing breaks the stream.
+// stream reads the events of an answer. Events are delivered in order without gaps: repeated ones
+// are discarded, and a missing one breaks the stream.
 type stream struct {
-	body   io.ReadCloser
-	cancel context.CancelFunc
-	events chan endpoint.Event
-	closed chan struct{}
-	once   sync.Once
-	// complete is set when the last event has been read.
+	body      io.ReadCloser
+	cancel    context.CancelFunc
+	events    chan endpoint.Event
+	closed    chan struct{}
+	closeOnce sync.Once
+	// complete is true once the last event has been read.
 	complete atomic.Bool
 	// err is set before events is closed.
 	err error
@@ -47,10 +47,10 @@
 	s := &stream{
 		body:   body,
 		cancel: cancel,
-		events: make(chan endpoint.Event, readAhead),
+		events: make(chan endpoint.Event, readAheadEvents),
 		closed: make(chan struct{}),
 	}
-	go s.run(from)
+	go s.readLoop(from)
 	return s
 }
 
@@ -69,7 +69,7 @@
 
 // Close implements endpoint.Stream.
 func (s *stream) Close() error {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.closed)
 		if !s.complete.Load() {
 			s.cancel()
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func (s *stream) run(from uint64) {
+func (s *stream) readLoop(from uint64) {
 	defer s.cancel()
 	defer s.body.Close()
 	s.err = s.read(from)
@@ -88,7 +88,7 @@
 	}
 }
 
-// read hands on the events; it returns io.EOF after the last one.
+// read sends the events to the channel. It returns io.EOF after the last one.
 func (s *stream) read(next uint64) error {
 	for event, err := range sse.Read(s.body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
@@ -99,15 +99,15 @@
 			continue
 		}
 		if offset > next {
-			return fmt.Errorf("%w: %w: event %d in place of %d", endpoint.ErrBroken, errGap, offset, next)
+			return fmt.Errorf("%w: %w: got event %d, want %d", endpoint.ErrBroken, errGap, offset, next)
 		}
 		next++
-		last := event.Data == lastData
+		last := event.Data == doneMarker
 		s.complete.Store(last)
 		select {
 		case s.events <- endpoint.Event{Offset: offset, Data: []byte(event.Data)}:
 		case <-s.closed:
-			return fmt.Errorf("%w: closed", endpoint.ErrBroken)
+			return fmt.Errorf("%w: stream closed by the reader", endpoint.ErrBroken)
 		}
 		if last {
 			return io.EOF
@@ -116,12 +116,12 @@
 	return fmt.Errorf("%w: %w", endpoint.ErrBroken, io.ErrUnexpectedEOF)
 }
 
-// offsetOf reads the event's offset from its id; without one it is the next. An
-// event without an id has that of the one before it; the last event of an answer,
-// which comes once, is then taken for the next.
+// offsetOf returns the offset in the event's id, or next if there is none. An event without an id
+// inherits the id of the previous event; the last event of an answer, which is sent only once, then
+// gets offset next.
 func offsetOf(event sse.Event, next uint64) uint64 {
 	offset, err := strconv.ParseUint(event.LastEventID, 10, 64)
-	inherited := event.Data == lastData && offset+1 == next
+	inherited := event.Data == doneMarker && offset+1 == next
 	if err != nil || inherited {
 		return next
 	}
@@ -129,7 +129,7 @@
 }
 
 func (s *stream) drain() {
-	timer := time.AfterFunc(drainTime, s.cancel)
+	timer := time.AfterFunc(drainTimeout, s.cancel)
 	defer timer.Stop()
 	_, _ = io.Copy(io.Discard, io.LimitReader(s.body, maxEventBytes))
 }
--- a/endpoint/httpengine/stream_test.go
+++ b/endpoint/httpengine/stream_test.go
@@ -16,7 +16,7 @@
 	"hawthornrill.example/hawthornrill/endpoint/onesend"
 )
 
-// serve returns a client of a server that sends the given text as the stream.
+// serve returns a client of a server that responds with the given status and stream text.
 func serve(t *testing.T, status int, text string) *httpengine.Client {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -42,16 +42,16 @@
 		want string
 		err  error
 	}{
-		"whole":        {events(2, 3, 4) + last, "2 3 4 5", io.EOF},
-		"twice":        {events(2, 3, 3, 2, 4) + last, "2 3 4 5", io.EOF},
-		"from earlier": {events(0, 1, 2, 3, 4) + last, "2 3 4 5", io.EOF},
-		"out of order": {events(2, 4, 3) + last, "2", endpoint.ErrBroken},
-		"cut":          {events(2, 3), "2 3", endpoint.ErrBroken},
-		"cut in event": {events(2) + "id: 3\nda", "2", endpoint.ErrBroken},
-		"too long":     {events(2) + "data: " + strings.Repeat("x", 2<<20) + "\n\n", "2", endpoint.ErrBroken},
-		"last without": {events(2, 3, 4) + "data: [DONE]\n\n", "2 3 4 5", io.EOF},
-		"without ids":  {"data: a\n\ndata: [DONE]\n\n", "2 3", io.EOF},
-		"rubbish":      {"\x00\xff{}\n\n\n", "", endpoint.ErrBroken},
+		"complete":        {events(2, 3, 4) + last, "2 3 4 5", io.EOF},
+		"repeated":        {events(2, 3, 3, 2, 4) + last, "2 3 4 5", io.EOF},
+		"from earlier":    {events(0, 1, 2, 3, 4) + last, "2 3 4 5", io.EOF},
+		"out of order":    {events(2, 4, 3) + last, "2", endpoint.ErrBroken},
+		"truncated":       {events(2, 3), "2 3", endpoint.ErrBroken},
+		"truncated event": {events(2) + "id: 3\nda", "2", endpoint.ErrBroken},
+		"too long":        {events(2) + "data: " + strings.Repeat("x", 2<<20) + "\n\n", "2", endpoint.ErrBroken},
+		"last without id": {events(2, 3, 4) + "data: [DONE]\n\n", "2 3 4 5", io.EOF},
+		"without ids":     {"data: a\n\ndata: [DONE]\n\n", "2 3", io.EOF},
+		"malformed":       {"\x00\xff{}\n\n\n", "", endpoint.ErrBroken},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestStatusTellsWhetherItRuns(t *testing.T) {
+func TestStatusClassification(t *testing.T) {
 	tests := map[int]error{
 		302: endpoint.ErrBroken,
 		400: endpoint.ErrRefused,
@@ -87,18 +87,18 @@
 	}
 }
 
-func TestStartContextEndsTheWaitNotTheStream(t *testing.T) {
+func TestStartContextDoesNotBoundStream(t *testing.T) {
 	const rounds = 100
-	ask := make(chan int)
+	offsets := make(chan int)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.(http.Flusher).Flush()
-		for offset := range ask {
+		for offset := range offsets {
 			_, _ = io.WriteString(w, events(offset))
 			w.(http.Flusher).Flush()
 		}
 	}))
 	defer server.Close()
-	defer close(ask)
+	defer close(offsets)
 	client := httpengine.New(server.URL, onesend.New(onesend.Options{}))
 	ctx, cancel := context.WithCancel(t.Context())
 	s, err := client.Start(ctx, endpoint.EngineRequest{Key: "k"})
@@ -108,7 +108,7 @@
 	_, err = s.Next(ctx)
 	assert.ErrorIs(t, err, context.Canceled)
 	for i := range rounds {
-		ask <- i
+		offsets <- i
 		event, err := s.Next(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, event.Offset, uint64(i))
--- a/endpoint/httpservice/client.go
+++ b/endpoint/httpservice/client.go
@@ -1,5 +1,5 @@
-// Package httpservice is the adapter to plain services over HTTP: any method,
-// path and body, streamed both ways, sent at most once.
+// Package httpservice is the HTTP adapter to plain services: any method, path and body, streamed in
+// both directions, sent at most once.
 package httpservice
 
 import (
@@ -16,8 +16,7 @@
 // HeaderRequestKey carries the request's key to the service.
 const HeaderRequestKey = "X-Request-Key"
 
-// Client is an instance of a service at an address. It implements
-// endpoint.Service.
+// Client is the client of one service instance. It implements endpoint.Service.
 type Client struct {
 	base      string
 	transport *onesend.Transport
@@ -25,16 +24,15 @@
 
 var _ endpoint.Service = (*Client)(nil)
 
-// New returns the service at an address such as "http://10.0.0.9:8000".
-// Transports are best shared by all endpoints of a process.
+// New returns a client of the service at a base URL such as "http://10.0.0.9:8000". One transport
+// should be shared by all endpoints of a process.
 func New(address string, transport *onesend.Transport) *Client {
 	return &Client{base: strings.TrimSuffix(address, "/"), transport: transport}
 }
 
-// Call implements endpoint.Service. The context bounds the whole call, the
-// reading of the response's body included; a body that breaks off returns an
-// error that wraps endpoint.ErrBroken. Any status is a response, redirects and
-// errors of the service included.
+// Call implements endpoint.Service. The context covers the whole call, including reading the
+// response body; if the body is cut short, its error wraps endpoint.ErrBroken. Any status is a
+// response, including redirects and errors of the service.
 func (c *Client) Call(ctx context.Context, call endpoint.ServiceRequest) (endpoint.ServiceResponse, error) {
 	request, err := c.request(ctx, call)
 	if err != nil {
@@ -47,7 +45,7 @@
 	return endpoint.ServiceResponse{
 		Status: response.StatusCode,
 		Header: endToEnd(response.Header),
-		Body:   brokenBody{response.Body},
+		Body:   responseBody{response.Body},
 	}, nil
 }
 
@@ -63,16 +61,16 @@
 	request.Header = endToEnd(call.Header)
 	request.Header.Set(HeaderRequestKey, call.Key)
 	if _, ok := request.Header[headerUserAgent]; !ok {
-		// An empty one keeps the library's own name out.
+		// An empty value suppresses Go's default User-Agent.
 		request.Header[headerUserAgent] = []string{""}
 	}
 	return request, nil
 }
 
-// brokenBody marks a body that ends early.
-type brokenBody struct{ io.ReadCloser }
+// responseBody wraps read errors with endpoint.ErrBroken.
+type responseBody struct{ io.ReadCloser }
 
-func (b brokenBody) Read(p []byte) (int, error) {
+func (b responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil && err != io.EOF {
 		err = fmt.Errorf("%w: %w", endpoint.ErrBroken, err)
--- a/endpoint/httpservice/client_test.go
+++ b/endpoint/httpservice/client_test.go
@@ -110,7 +110,7 @@
 	assert.ErrorIs(t, err, endpoint.ErrBroken)
 }
 
-func TestErrorsOfDispatch(t *testing.T) {
+func TestDispatchErrors(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
--- a/endpoint/httpservice/header.go
+++ b/endpoint/httpservice/header.go
@@ -7,7 +7,7 @@
 
 const headerUserAgent = "User-Agent"
 
-// hopByHop lists the headers that belong to one connection (RFC 9110, 7.6.1).
+// hopByHop lists the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection",
 	"Keep-Alive",
@@ -20,8 +20,8 @@
 	"Upgrade",
 }
 
-// endToEnd returns a copy of the header without those of one connection,
-// whether well known or named by Connection.
+// endToEnd returns a copy of the header without hop-by-hop fields, both the standard ones and those
+// named by Connection.
 func endToEnd(header http.Header) http.Header {
 	result := header.Clone()
 	if result == nil {
--- a/endpoint/onesend/abandon_test.go
+++ b/endpoint/onesend/abandon_test.go
@@ -15,7 +15,8 @@
 	"hawthornrill.example/hawthornrill/netdial/netdialtest"
 )
 
-// Guards against calls that reach a store or an endpoint after they were given up on, when a link that was cut is back.
+// Guards against a call that was abandoned while the link was cut reaching a store or an endpoint
+// once the link is restored.
 func TestCallGivenUpOnIsNotDeliveredLater(t *testing.T) {
 	l := netdialtest.HeldUp(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -32,7 +33,7 @@
 	netdialtest.AssertDiscarded(t, c)
 }
 
-// lastRead calls end once all has been read.
+// lastRead calls end once everything has been read.
 type lastRead struct {
 	io.Reader
 	end func()
--- a/endpoint/onesend/conn.go
+++ b/endpoint/onesend/conn.go
@@ -8,20 +8,20 @@
 	"hawthornrill.example/hawthornrill/netdial"
 )
 
-// conn counts the attempts to write, before they are made.
+// conn counts write attempts before they are made.
 type conn struct {
 	*netdial.Conn
-	attempts atomic.Uint64
+	writeAttempts atomic.Uint64
 }
 
-// Write counts first: once the connection is closed, an unchanged count proves
-// that nothing was written.
+// Write counts before it writes: once the connection is closed, an unchanged count proves that
+// nothing was written.
 func (c *conn) Write(p []byte) (int, error) {
-	c.attempts.Add(1)
+	c.writeAttempts.Add(1)
 	return c.Conn.Write(p)
 }
 
-// dialer makes counting connections.
+// dialer opens connections that count write attempts.
 type dialer struct{ netdial.Dialer }
 
 func (d *dialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
--- a/endpoint/onesend/doc.go
+++ b/endpoint/onesend/doc.go
@@ -1,6 +1,5 @@
-// Package onesend sends an HTTP request at most once and tells for certain
-// whether any of it was sent. It wraps http.Transport, which by itself repeats
-// some requests on a new connection when a pooled one turns out to be dead, and
-// whose errors don't say whether anything was written. What the other side has
-// not acknowledged of a request that is given up on is never delivered.
+// Package onesend sends an HTTP request at most once and reports reliably whether any of it was
+// sent. It wraps http.Transport, which by itself retries some requests on a new connection if a
+// pooled one turns out to be dead, and whose errors do not tell whether anything was written. The
+// unacknowledged part of an abandoned request is never delivered.
 package onesend
--- a/endpoint/onesend/options.go
+++ b/endpoint/onesend/options.go
@@ -8,19 +8,19 @@
 	"hawthornrill.example/hawthornrill/netdial"
 )
 
-// Options are the settings of a Transport. New fills in the defaults.
+// Options configures a Transport. Zero values mean defaults.
 type Options struct {
-	// DialTimeout bounds the making of a connection. Default 2 s.
+	// DialTimeout limits the time to open a connection. Default 2 s.
 	DialTimeout time.Duration
-	// IdleTimeout is for how long an unused connection is kept. It should be shorter
-	// than the endpoints' own. Default 30 s.
+	// IdleTimeout is how long an idle connection is kept. It should be shorter than the endpoints'
+	// own idle timeout. Default 30 s.
 	IdleTimeout time.Duration
-	// IdlePerHost is the number of unused connections kept to one endpoint. Default 64.
+	// IdlePerHost is the maximum number of idle connections to one endpoint. Default 64.
 	IdlePerHost int
-	// DeadPeerTimeout is how long a connection may be silent at the level of TCP before it is taken for dead. Zero leaves it
-	// to the kernel.
+	// DeadPeerTimeout is how long the peer may be silent at the TCP level before the connection counts
+	// as dead. Zero leaves this to the kernel.
 	DeadPeerTimeout time.Duration
-	// TLS is used for https addresses; nil for the defaults.
+	// TLS configures https connections; nil means defaults.
 	TLS *tls.Config
 }
 
@@ -31,7 +31,6 @@
 	keepAlivePeriod    = 15 * time.Second
 )
 
-// dialer returns the dialer of the options.
 func (o Options) dialer() *dialer {
 	if o.DeadPeerTimeout > 0 {
 		return &dialer{*netdial.New(o.DialTimeout, o.DeadPeerTimeout)}
--- a/endpoint/onesend/transport.go
+++ b/endpoint/onesend/transport.go
@@ -11,13 +11,13 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Transport keeps pooled connections to endpoints. It speaks HTTP/1.1, follows
-// no redirects, uses no proxy and leaves bodies as they are.
+// Transport pools connections to endpoints. It speaks HTTP/1.1, does not follow redirects or use a
+// proxy, and does not modify bodies.
 type Transport struct {
 	pool http.Transport
 }
 
-// New returns a Transport.
+// New returns a Transport with the given options.
 func New(options Options) *Transport {
 	options = options.withDefaults()
 	d := options.dialer()
@@ -32,19 +32,18 @@
 	return t
 }
 
-// Send sends the request at most once. If it fails before a byte of it was
-// written, the error wraps endpoint.ErrNotDispatched; otherwise it wraps
-// endpoint.ErrBroken and the endpoint may have got the request. The response's
-// body must be closed.
+// Send sends the request at most once. If it fails before any byte was written, the error wraps
+// endpoint.ErrNotDispatched; otherwise it wraps endpoint.ErrBroken, and the endpoint may have
+// received the request. The response body must be closed.
 func (t *Transport) Send(request *http.Request) (*http.Response, error) {
-	var got attempt
-	request = request.WithContext(httptrace.WithClientTrace(request.Context(), got.trace()))
-	makeUnrepeatable(request)
+	var tracked attempt
+	request = request.WithContext(httptrace.WithClientTrace(request.Context(), tracked.trace()))
+	disableRetries(request)
 	response, err := t.pool.RoundTrip(request)
 	if err == nil {
 		return response, nil
 	}
-	if got.wrote() {
+	if tracked.mayHaveWritten() {
 		return nil, fmt.Errorf("%w: %w", endpoint.ErrBroken, err)
 	}
 	return nil, fmt.Errorf("%w: %w", endpoint.ErrNotDispatched, err)
@@ -53,12 +52,12 @@
 // CloseIdleConnections closes the connections that are not in use.
 func (t *Transport) CloseIdleConnections() { t.pool.CloseIdleConnections() }
 
-// attempt watches the connection that a request is given.
+// attempt tracks the connection that a request is sent on.
 type attempt struct {
-	conn   atomic.Pointer[conn]
-	before atomic.Uint64
-	// strange is set if the connection is of a kind that can't be watched.
-	strange atomic.Bool
+	conn           atomic.Pointer[conn]
+	attemptsBefore atomic.Uint64
+	// untracked is set if the connection is of a type whose writes can't be counted.
+	untracked atomic.Bool
 }
 
 func (a *attempt) trace() *httptrace.ClientTrace {
@@ -66,29 +65,29 @@
 }
 
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
-	c, ok := counted(info.Conn)
+	c, ok := trackedConn(info.Conn)
 	if !ok {
-		a.strange.Store(true)
+		a.untracked.Store(true)
 		return
 	}
-	a.before.Store(c.attempts.Load())
+	a.attemptsBefore.Store(c.writeAttempts.Load())
 	a.conn.Store(c)
 }
 
-func counted(c net.Conn) (*conn, bool) {
+func trackedConn(c net.Conn) (*conn, bool) {
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
 	}
-	watched, ok := c.(*conn)
-	return watched, ok
+	tracked, ok := c.(*conn)
+	return tracked, ok
 }
 
-// wrote reports whether a byte of the request may have been written. It is
-// called after RoundTrip failed, by which time the connection is closed.
-func (a *attempt) wrote() bool {
-	if a.strange.Load() {
+// mayHaveWritten reports whether any byte of the request may have been written. It is called after
+// RoundTrip has failed, when the connection is already closed.
+func (a *attempt) mayHaveWritten() bool {
+	if a.untracked.Load() {
 		return true
 	}
 	c := a.conn.Load()
-	return c != nil && c.attempts.Load() != a.before.Load()
+	return c != nil && c.writeAttempts.Load() != a.attemptsBefore.Load()
 }
--- a/endpoint/onesend/transport_test.go
+++ b/endpoint/onesend/transport_test.go
@@ -16,34 +16,34 @@
 	"hawthornrill.example/hawthornrill/endpoint/onesend"
 )
 
-// hangsUp answers the first request of each connection and closes the
-// connection when it has read the second. It counts the requests it read.
-type hangsUp struct {
+// closingServer answers the first request on each connection and closes the connection after
+// reading the second. It counts the requests it has read.
+type closingServer struct {
 	net.Listener
 	requests atomic.Int64
 }
 
-func newHangsUp(t *testing.T) *hangsUp {
+func newClosingServer(t *testing.T) *closingServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	h := &hangsUp{Listener: l}
-	go h.accept()
-	return h
+	s := &closingServer{Listener: l}
+	go s.accept()
+	return s
 }
 
-func (h *hangsUp) accept() {
+func (s *closingServer) accept() {
 	for {
-		c, err := h.Accept()
+		c, err := s.Accept()
 		if err != nil {
 			return
 		}
-		go h.serve(c)
+		go s.serve(c)
 	}
 }
 
-func (h *hangsUp) serve(c net.Conn) {
+func (s *closingServer) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for answered := false; ; answered = true {
@@ -52,7 +52,7 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		h.requests.Add(1)
+		s.requests.Add(1)
 		if answered {
 			return
 		}
@@ -78,7 +78,7 @@
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodDelete} {
 		for name, body := range map[string]string{"empty": "", "body": "price"} {
 			t.Run(method+" "+name, func(t *testing.T) {
-				server := newHangsUp(t)
+				server := newClosingServer(t)
 				transport := onesend.New(onesend.Options{})
 				url := "http://" + server.Addr().String()
 				assert.NilError(t, send(t.Context(), t, transport, method, url, body))
@@ -91,8 +91,8 @@
 }
 
 func TestNotDispatched(t *testing.T) {
-	server := newHangsUp(t)
-	closed := newHangsUp(t)
+	server := newClosingServer(t)
+	closed := newClosingServer(t)
 	assert.NilError(t, closed.Close())
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -118,6 +118,6 @@
 	assert.NilError(t, err)
 	request.ContentLength = 100
 	_, err = onesend.New(onesend.Options{}).Send(request)
-	assert.ErrorIs(t, err, endpoint.ErrNotDispatched, "a connection that was not written to")
+	assert.ErrorIs(t, err, endpoint.ErrNotDispatched, "nothing was written to the connection")
 	assert.Equal(t, server.requests.Load(), int64(0))
 }
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -5,32 +5,31 @@
 	"errors"
 )
 
-// ErrStaleFence means that the engine refused an order because it has seen a
-// greater fencing number. Not every engine checks.
+// ErrStaleFence means that the engine rejected an order because it has seen a higher fencing
+// number. Not every engine checks.
 var ErrStaleFence = errors.New("endpoint: old fencing number")
 
-// OrderKind says what an order is about.
+// OrderKind is the kind of an order.
 type OrderKind string
 
 const (
-	// OrderLoad makes the engine serve Model at Version, in place of any other
-	// version of it.
+	// OrderLoad makes the engine serve Model at Version, replacing any other version of it.
 	OrderLoad OrderKind = "load"
-	// OrderUnload makes it stop serving Model; what runs is finished.
+	// OrderUnload makes the engine stop serving Model; running requests are finished.
 	OrderUnload OrderKind = "unload"
-	// OrderLoadAdapter makes it serve Adapter on top of Model.
+	// OrderLoadAdapter makes the engine serve Adapter on top of Model.
 	OrderLoadAdapter OrderKind = "load_adapter"
-	// OrderUnloadAdapter makes it stop serving Adapter.
+	// OrderUnloadAdapter makes the engine stop serving Adapter.
 	OrderUnloadAdapter OrderKind = "unload_adapter"
 	// OrderSetRole sets the engine's role.
 	OrderSetRole OrderKind = "set_role"
 )
 
-// Role is what an engine is best at.
+// Role is the work that an engine is best suited to.
 type Role string
 
 const (
-	// RoleMixed engines compute prompts and answers alike.
+	// RoleMixed engines treat prompt and answer computation equally.
 	RoleMixed Role = "mixed"
 	// RolePrefill engines favour prompts over answers.
 	RolePrefill Role = "prefill"
@@ -38,10 +37,9 @@
 	RoleDecode Role = "decode"
 )
 
-// Order tells an engine what to serve. It states a target, so that giving it
-// twice is harmless.
+// Order tells an engine what to serve. It states the desired state and is therefore idempotent.
 type Order struct {
-	// Fence is the fencing number of the order's giver.
+	// Fence is the fencing number of the order's sender.
 	Fence   uint64    `json:"fence"`
 	Kind    OrderKind `json:"kind"`
 	Model   string    `json:"model,omitempty"`
@@ -64,21 +62,21 @@
 	Ready   bool   `json:"ready"`
 }
 
-// EngineState is what an engine says that it serves. An engine that restarts
-// forgets the orders it has obeyed, and the fencing number.
+// EngineState is what an engine reports that it serves. An engine that restarts loses its orders
+// and its fencing number.
 type EngineState struct {
-	// Fence is the greatest fencing number obeyed.
+	// Fence is the highest fencing number accepted.
 	Fence uint64 `json:"fence"`
 	Role  Role   `json:"role"`
 	// Models are sorted by name.
 	Models []ModelState `json:"models"`
 }
 
-// Orders is the side of a model engine that takes orders.
+// Orders is implemented by model engines that accept orders.
 type Orders interface {
-	// Order gives an order. It returns when the engine has accepted it, not when it
-	// is carried out; State tells that. After ErrBroken it may have been accepted.
+	// Order sends an order. It returns when the engine has accepted the order, not when it has been
+	// carried out, which State shows. After ErrBroken the order may have been accepted.
 	Order(ctx context.Context, order Order) error
-	// State reads back what the engine serves.
+	// State returns what the engine currently serves.
 	State(ctx context.Context) (EngineState, error)
 }
