--- a/coordinator/fencedlease.go
+++ b/coordinator/fencedlease.go
@@ -7,7 +7,7 @@
 	// Held reports whether this process certainly holds the lease.
 	Held() bool
 	// Fencing returns the fencing number that every order carries.
-	Fencing() lease.Fencing
+	Fencing() lease.FencingToken
 }
 
 var _ FencedLease = (*lease.Lease)(nil)
--- a/coordinator/order.go
+++ b/coordinator/order.go
@@ -85,7 +85,7 @@
 	switch {
 	case err == nil:
 		t.counters.result(order.Kind, resultAccepted)
-	case errors.Is(err, endpoint.ErrOldFence):
+	case errors.Is(err, endpoint.ErrStaleFence):
 		t.counters.result(order.Kind, resultOldFence)
 		return fmt.Errorf("%w: %s: %w", ErrSuperseded, id, err)
 	case errors.Is(err, endpoint.ErrRefused):
--- a/dispatch/options.go
+++ b/dispatch/options.go
@@ -6,48 +6,49 @@
 	"hawthornrill.example/hawthornrill/defaults"
 )
 
-// Options bounds what the dispatcher does about faulty endpoints.
+// Options configures the handling of faulty endpoints. Zero values mean defaults.
 type Options struct {
-	// ResumeWindow is for how long a broken stream is tried again.
+	// ResumeWindow limits how long resuming a broken stream is attempted.
 	ResumeWindow time.Duration
-	// ResumeFirst and ResumeMax bound the pause between two tries.
-	ResumeFirst time.Duration
-	ResumeMax   time.Duration
-	// NotFoundWindow is for how long an engine may not know a stream of which
-	// nothing has been received: the request may still be on its way.
+	// ResumeInitialDelay and ResumeMaxDelay bound the exponential backoff between two attempts.
+	ResumeInitialDelay time.Duration
+	ResumeMaxDelay     time.Duration
+	// NotFoundWindow limits how long an engine may report an unknown stream if nothing of it has
+	// been received: the request may still be in transit.
 	NotFoundWindow time.Duration
-	// Stall is how long a stream may be silent before it is taken as broken.
-	Stall time.Duration
-	// ServiceStall is how long a plain call may neither send nor answer anything.
-	ServiceStall time.Duration
-	// CancelTimeout bounds the order to cancel a stream.
+	// StallTimeout is how long a stream may send nothing before it counts as broken.
+	StallTimeout time.Duration
+	// ServiceStallTimeout is how long a call to a plain service may make no progress in either
+	// direction.
+	ServiceStallTimeout time.Duration
+	// CancelTimeout limits the call that cancels a stream.
 	CancelTimeout time.Duration
 	// ProgressEvery is the number of answer tokens between two progress reports.
 	ProgressEvery int
 }
 
-// DefaultOptions returns what a node uses unless its settings say otherwise.
+// DefaultOptions returns the default options of a node.
 func DefaultOptions() Options {
 	return Options{
-		ResumeWindow:   15 * time.Second,
-		ResumeFirst:    100 * time.Millisecond,
-		ResumeMax:      2 * time.Second,
-		NotFoundWindow: 2 * time.Second,
-		Stall:          60 * time.Second,
-		ServiceStall:   2 * time.Minute,
-		CancelTimeout:  5 * time.Second,
-		ProgressEvery:  32,
+		ResumeWindow:        15 * time.Second,
+		ResumeInitialDelay:  100 * time.Millisecond,
+		ResumeMaxDelay:      2 * time.Second,
+		NotFoundWindow:      2 * time.Second,
+		StallTimeout:        60 * time.Second,
+		ServiceStallTimeout: 2 * time.Minute,
+		CancelTimeout:       5 * time.Second,
+		ProgressEvery:       32,
 	}
 }
 
 func (o Options) withDefaults() Options {
 	d := DefaultOptions()
 	o.ResumeWindow = defaults.Positive(o.ResumeWindow, d.ResumeWindow)
-	o.ResumeFirst = defaults.Positive(o.ResumeFirst, d.ResumeFirst)
-	o.ResumeMax = defaults.Positive(o.ResumeMax, d.ResumeMax)
+	o.ResumeInitialDelay = defaults.Positive(o.ResumeInitialDelay, d.ResumeInitialDelay)
+	o.ResumeMaxDelay = defaults.Positive(o.ResumeMaxDelay, d.ResumeMaxDelay)
 	o.NotFoundWindow = defaults.Positive(o.NotFoundWindow, d.NotFoundWindow)
-	o.Stall = defaults.Positive(o.Stall, d.Stall)
-	o.ServiceStall = defaults.Positive(o.ServiceStall, d.ServiceStall)
+	o.StallTimeout = defaults.Positive(o.StallTimeout, d.StallTimeout)
+	o.ServiceStallTimeout = defaults.Positive(o.ServiceStallTimeout, d.ServiceStallTimeout)
 	o.CancelTimeout = defaults.Positive(o.CancelTimeout, d.CancelTimeout)
 	o.ProgressEvery = defaults.Positive(o.ProgressEvery, d.ProgressEvery)
 	return o
--- a/document/supervise.go
+++ b/document/supervise.go
@@ -79,7 +79,7 @@
 		c.reset()
 		return
 	}
-	if err := c.collect(budget.WithPurpose(ctx, budget.PurposeCollect)); err != nil {
+	if err := c.collect(budget.WithPurpose(ctx, budget.PurposeGarbageCollection)); err != nil {
 		r.service.options.Logger.Warn().Str("document", r.spec.Name).Err(err).Msg("garbage collection of parts failed")
 	}
 }
--- /dev/null
+++ b/endpoint/exchange/response.go
@@ -0,0 +1,96 @@
+package exchange
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"hawthornrill.example/hawthornrill/domain"
+	"hawthornrill.example/hawthornrill/endpoint"
+)
+
+// Response is the response of an endpoint whose head has been read.
+type Response struct {
+	*http.Response
+
+	client        *Client
+	conn          *conn
+	endpoint      domain.EndpointID
+	stopAfterFunc func() bool
+	// complete is true once the body has been read to its end.
+	complete bool
+}
+
+// Read reads the body. It returns io.EOF only at the end that the body's framing defines; if the
+// body is cut short, the error wraps endpoint.ErrBroken.
+func (r *Response) Read(p []byte) (int, error) {
+	n, err := r.Body.Read(p)
+	switch {
+	case err == nil:
+		return n, nil
+	case errors.Is(err, io.EOF):
+		r.complete = true
+		return n, io.EOF
+	default:
+		return n, fmt.Errorf("%w: %w", endpoint.ErrBroken, err)
+	}
+}
+
+// Close returns the connection to the pool if it is reusable. Otherwise it closes the connection,
+// which tells the endpoint to stop.
+func (r *Response) Close() {
+	contextActive := r.stopAfterFunc()
+	idle := r.idleTimeout()
+	if contextActive && r.complete && idle > 0 && r.conn.reader.Buffered() == 0 {
+		r.client.putIdle(r.endpoint, r.conn, idle)
+		return
+	}
+	r.conn.close()
+}
+
+// idleTimeout returns how long the connection may be idle, or zero if it must not be reused.
+func (r *Response) idleTimeout() time.Duration {
+	if closesConnection(r.Response) {
+		return 0
+	}
+	for _, part := range strings.Split(r.Header.Get("Keep-Alive"), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+		if !strings.EqualFold(name, "timeout") {
+			continue
+		}
+		seconds, err := strconv.Atoi(strings.TrimSpace(value))
+		if err != nil {
+			return 0
+		}
+		return time.Duration(seconds)*time.Second - idleTimeoutMargin
+	}
+	return defaultIdleTimeout
+}
+
+// closesConnection reports whether the connection can't be used after the response: the response
+// says so, or its body is delimited only by the end of the connection.
+func closesConnection(r *http.Response) bool {
+	delimited := r.ContentLength >= 0 || len(r.TransferEncoding) > 0
+	return r.Close || !delimited
+}
+
+// maxDiscardBytes limits the body of a skipped response.
+const maxDiscardBytes = 256 << 10
+
+var errNotDiscardable = errors.New("exchange: stale response is too long or of unknown length")
+
+// discard reads the body of a response to another request, so that the next response can be read.
+func discard(response *http.Response) error {
+	if closesConnection(response) {
+		return errNotDiscardable
+	}
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardBytes))
+	if err == nil && n == maxDiscardBytes {
+		err = errNotDiscardable
+	}
+	return err
+}
--- a/endpoint/onesend/abandon_test.go
+++ b/endpoint/onesend/abandon_test.go
@@ -15,15 +15,16 @@
 	"hawthornrill.example/hawthornrill/netdial/netdialtest"
 )
 
-// Guards against calls that reach a store or an endpoint after they were given up on, when a link that was cut is back.
+// Guards against a call that was abandoned while the link was cut reaching a store or an endpoint
+// once the link is restored.
 func TestCallGivenUpOnIsNotDeliveredLater(t *testing.T) {
-	l := netdialtest.HeldUp(t)
+	l := netdialtest.ListenSmallBuffer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	body := &lastRead{Reader: strings.NewReader(strings.Repeat("x", netdialtest.HeldBytes)), end: cancel}
+	body := &lastRead{Reader: strings.NewReader(strings.Repeat("x", netdialtest.PayloadBytes)), end: cancel}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr().String(), body)
 	assert.NilError(t, err)
-	request.ContentLength = netdialtest.HeldBytes
+	request.ContentLength = netdialtest.PayloadBytes
 	_, err = onesend.New(onesend.Options{}).Send(request)
 	assert.ErrorIs(t, err, endpoint.ErrBroken)
 
@@ -32,7 +33,7 @@
 	netdialtest.AssertDiscarded(t, c)
 }
 
-// lastRead calls end once all has been read.
+// lastRead calls end once everything has been read.
 type lastRead struct {
 	io.Reader
 	end func()
--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -93,7 +93,7 @@
 		Node: s.Node, DataCentre: s.DataCentre, CacheTokens: n.cacheTokens, Limits: n.endpointLimits, Log: log,
 	}, n.directory, n.mesh.Fleet, n.metrics)
 	n.quarantine = quarantine.NewTracker(log)
-	n.endpointClient = exchange.New(exchange.Options{Connections: s.Host.endpointConnections(), Idle: n.maxIdleConnections}, n.metrics)
+	n.endpointClient = exchange.New(exchange.Options{MaxConnections: s.Host.endpointConnections(), MaxIdle: n.maxIdleConnections}, n.metrics)
 	n.gateway = gateway.New(gateway.Dependencies{
 		Protocol:           adapters.Protocol,
 		Config:             n.follower,
@@ -321,6 +321,6 @@
 func (n *Node) closeRemovedEndpoints(ctx context.Context) error {
 	return pacing.Every(ctx, endpointSweepInterval, func() {
 		snapshot := n.directory.Current()
-		n.endpointClient.Forget(func(id endpointID) bool { return snapshot.Endpoint(id) != nil })
+		n.endpointClient.PruneIdle(func(id endpointID) bool { return snapshot.Endpoint(id) != nil })
 	})
 }
--- a/entrynode/operators.go
+++ b/entrynode/operators.go
@@ -74,5 +74,5 @@
 
 // debugLogger returns a logger for net/http that writes its errors, which concern single connections, at debug level.
 func debugLogger(log zerolog.Logger) *stdlog.Logger {
-	return stdlog.New(logging.Writer{Logger: log, Level: zerolog.DebugLevel}, "", 0)
+	return stdlog.New(logging.LineWriter{Logger: log, Level: zerolog.DebugLevel}, "", 0)
 }
--- a/peer/pki/identity.go
+++ b/peer/pki/identity.go
@@ -8,14 +8,14 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// uriPrefix begins the URI form of a node's name.
+// uriPrefix is the prefix of the URI that names a node.
 const uriPrefix = "urn:hawthornrill:node:"
 
-// VerifyNode returns ErrNotNamed unless the certificate names the node. It does
-// not check who signed the certificate.
+// VerifyNode returns ErrNameMismatch unless the certificate names the node. It does
+// not verify the signature of the certificate.
 func VerifyNode(certificate *x509.Certificate, node domain.NodeID) error {
 	if node == "" {
-		return fmt.Errorf("%w: empty node", ErrNotNamed)
+		return fmt.Errorf("%w: empty node name", ErrNameMismatch)
 	}
 	if slices.Contains(certificate.DNSNames, string(node)) {
 		return nil
@@ -25,5 +25,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %q", ErrNotNamed, node)
+	return fmt.Errorf("%w: %q", ErrNameMismatch, node)
 }
--- a/store/httpstore/wire.go
+++ b/store/httpstore/wire.go
@@ -21,17 +21,17 @@
 	ParameterAfter    = "after"
 )
 
-// Written answers a compare-and-swap.
-type Written struct {
+// SwapResponse is the response to a compare-and-swap.
+type SwapResponse struct {
 	Revision store.Revision `json:"revision"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest is the request for a new lease.
 type LeaseRequest struct {
 	TTLMillis int64 `json:"ttl_ms"`
 }
 
-// LeaseGranted is the answer to a LeaseRequest.
-type LeaseGranted struct {
+// LeaseResponse is the response to a LeaseRequest.
+type LeaseResponse struct {
 	Lease store.LeaseID `json:"lease"`
 }
