--- a/cmd/hawthornrill-demo/platformsample.go
+++ b/cmd/hawthornrill-demo/platformsample.go
@@ -65,7 +65,7 @@
 	s.store.Put("op/config", platformtest.Configuration(1, []platformtest.Route{
 		{
 			Name: "chat", Prefix: "/chat/", Kind: "stream", Service: "llm", MaxEndpoints: 2, Resumable: true,
-			Timeout: samplePatience, FirstByte: time.Second, Gap: time.Second,
+			Timeout: samplePatience, FirstByte: time.Second, EventGap: time.Second,
 		},
 		{
 			Name: "book", Prefix: "/book/", Kind: "non_idempotent", Service: "app", MaxEndpoints: 1,
@@ -75,7 +75,7 @@
 	for _, name := range []string{"llm-0", "llm-1", "app-0"} {
 		service, _, _ := strings.Cut(name, "-")
 		e := platformtest.NewEndpoint(name, service, "d")
-		e.List(s.store, "ready")
+		e.Register(s.store, "ready")
 		s.endpoints = append(s.endpoints, e)
 	}
 	return s
@@ -92,7 +92,7 @@
 	for i := range platformNodes {
 		settings := s.settings(fmt.Sprintf("entry-%d", i))
 		client := platform.NewClient(settings.Store, onesend.New(onesend.Options{}))
-		node, err := entrynode.New(settings, entrynode.Adapters{Protocol: platform.Heads{}, Source: client, Registry: client}, log)
+		node, err := entrynode.New(settings, entrynode.Adapters{Protocol: platform.HeaderCodec{}, Source: client, Registry: client}, log)
 		if err != nil {
 			return err
 		}
--- a/cmd/hawthornrill-entry/main.go
+++ b/cmd/hawthornrill-entry/main.go
@@ -68,7 +68,7 @@
 	defer stop()
 	go reload(ctx, path, level, log)
 	client := platform.NewClient(settings.Store, onesend.New(onesend.Options{DialTimeout: storeDial, SilentTimeout: storeSilence}))
-	node, err := entrynode.New(settings, entrynode.Adapters{Protocol: platform.Heads{}, Source: client, Registry: client}, log)
+	node, err := entrynode.New(settings, entrynode.Adapters{Protocol: platform.HeaderCodec{}, Source: client, Registry: client}, log)
 	if err != nil {
 		log.Error().Err(err).Msg("node can't start")
 		return exitFailure
--- a/cmd/hawthornrill-entry/main_test.go
+++ b/cmd/hawthornrill-entry/main_test.go
@@ -29,7 +29,7 @@
 const patience = 30 * time.Second
 
 var routes = []platformtest.Route{
-	{Name: "chat", Prefix: "/chat/", Kind: "stream", Service: "llm", MaxEndpoints: 2, Resumable: true, Timeout: 20 * time.Second, FirstByte: 10 * time.Second, Gap: 10 * time.Second},
+	{Name: "chat", Prefix: "/chat/", Kind: "stream", Service: "llm", MaxEndpoints: 2, Resumable: true, Timeout: 20 * time.Second, FirstByte: 10 * time.Second, EventGap: 10 * time.Second},
 	{Name: "book", Prefix: "/book/", Kind: "non_idempotent", Service: "app", MaxEndpoints: 1, Timeout: 20 * time.Second, FirstByte: 10 * time.Second},
 }
 
@@ -77,7 +77,7 @@
 func (s *system) addEndpoint(id, service string) {
 	e := platformtest.NewEndpoint(id, service, "d")
 	s.t.Cleanup(e.Close)
-	e.List(s.store, "ready")
+	e.Register(s.store, "ready")
 	s.endpoints = append(s.endpoints, e)
 }
 
@@ -92,7 +92,7 @@
 		Notice: entrynode.Notice{GraceS: 20},
 	}
 	client := platform.NewClient(settings.Store, onesend.New(onesend.Options{DialTimeout: storeDial, SilentTimeout: storeSilence}))
-	node, err := entrynode.New(settings, entrynode.Adapters{Protocol: platform.Heads{}, Source: client, Registry: client}, zerolog.Nop())
+	node, err := entrynode.New(settings, entrynode.Adapters{Protocol: platform.HeaderCodec{}, Source: client, Registry: client}, zerolog.Nop())
 	assert.NilError(s.t, err)
 	ctx, leave := context.WithCancel(context.Background())
 	p := &process{Node: node, settings: settings, leave: leave, done: make(chan error, 1)}
@@ -183,7 +183,7 @@
 
 func TestStreamsGoOnWhenAnEndpointBreaks(t *testing.T) {
 	s := newSystem(t, 1)
-	s.endpoints[0].BreakAfter(2)
+	s.endpoints[0].AbortStreamsAfter(2)
 	for range 6 {
 		_, _, body, err := s.call(s.nodes[0], "/chat/x", "k1")
 		assert.NilError(t, err)
@@ -193,7 +193,7 @@
 
 func TestLeavingEndpointGetsNothingNew(t *testing.T) {
 	s := newSystem(t, 2)
-	s.endpoints[0].List(s.store, "draining")
+	s.endpoints[0].Register(s.store, "draining")
 	for _, n := range s.nodes {
 		s.until("the departure is known", func() bool { return n.State().Leaving == 1 })
 	}
@@ -207,7 +207,7 @@
 
 func TestOutageOfTheStore(t *testing.T) {
 	s := newSystem(t, 2)
-	s.store.Fail(http.StatusServiceUnavailable)
+	s.store.FailWith(http.StatusServiceUnavailable)
 	_, status, _, err := s.call(s.nodes[0], "/chat/x", "k1")
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK, "what is known goes on for a while")
@@ -218,7 +218,7 @@
 			return err == nil && status == http.StatusServiceUnavailable && s.runs(id) == 0
 		})
 	}
-	s.store.Fail(0)
+	s.store.FailWith(0)
 	for _, n := range s.nodes {
 		s.until("the node is ready again", func() bool { ready, _ := n.Ready(); return ready })
 	}
--- a/cmd/hawthornrill-soak/check_test.go
+++ b/cmd/hawthornrill-soak/check_test.go
@@ -87,14 +87,14 @@
 // checkLeaving looks for requests that were sent to endpoints long after they had said that they were leaving.
 func (s *soak) checkLeaving() {
 	for e, at := range s.left {
-		late := e.Came().Sub(at)
+		late := e.LastAcceptedAt().Sub(at)
 		if late <= leaveBound {
 			continue
 		}
-		o := outcome{id: e.ID, sent: at, ended: e.Came()}
+		o := outcome{id: e.ID, sent: at, ended: e.LastAcceptedAt()}
 		excused := false
 		for _, f := range s.record.faults {
-			excused = excused || f.what != "reload" && f.about(at, e.Came(), settle)
+			excused = excused || f.what != "reload" && f.about(at, e.LastAcceptedAt(), settle)
 		}
 		if !excused {
 			s.t.Errorf("endpoint %s was sent a request %v after it had said that it was leaving\n%s", e.ID, late, s.record.timeline(o))
--- a/cmd/hawthornrill-soak/faults_test.go
+++ b/cmd/hawthornrill-soak/faults_test.go
@@ -85,9 +85,9 @@
 
 func (s *soak) failStore(_ int, lasts time.Duration, choice uint64) {
 	defer s.record.began("store fails", "")()
-	s.store.Fail([]int{http.StatusServiceUnavailable, http.StatusTooManyRequests}[choice%2])
+	s.store.FailWith([]int{http.StatusServiceUnavailable, http.StatusTooManyRequests}[choice%2])
 	time.Sleep(lasts)
-	s.store.Fail(0)
+	s.store.FailWith(0)
 }
 
 func (s *soak) compact(int, time.Duration, uint64) { s.store.Compact() }
@@ -112,7 +112,7 @@
 	old := s.endpoints[at]
 	s.endpoints = append(s.endpoints[:at:at], s.endpoints[at+1:]...)
 	s.addEndpoint(old.Service, at)
-	old.List(s.store, "draining")
+	old.Register(s.store, "draining")
 	s.left[old] = time.Now()
 	s.mu.Unlock()
 	time.Sleep(lasts + 2*time.Second)
@@ -141,17 +141,17 @@
 func (s *soak) breakStreams(_ int, lasts time.Duration, choice uint64) {
 	defer s.record.began("streams break", "")()
 	e := s.pick(choice)
-	e.BreakAfter(2)
+	e.AbortStreamsAfter(2)
 	time.Sleep(lasts)
-	e.BreakAfter(0)
+	e.AbortStreamsAfter(0)
 }
 
 func (s *soak) refuse(_ int, lasts time.Duration, choice uint64) {
 	defer s.record.began("endpoint refuses", "")()
 	e := s.pick(choice)
-	e.Refuse(true)
+	e.SetRefusing(true)
 	time.Sleep(lasts)
-	e.Refuse(false)
+	e.SetRefusing(false)
 }
 
 // limitEndpoint has an endpoint name a limit, for long enough that it binds; each endpoint once, so that it has one value.
@@ -164,7 +164,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.to = time.Now()
-	l.endpoint.Limit("")
+	l.endpoint.AdvertiseLimit("")
 }
 
 // beginLimit has the endpoint name the limit; nil if it has named one before.
@@ -176,6 +176,6 @@
 	}
 	l := &limited{endpoint: e, perSecond: perSecond, from: time.Now()}
 	s.limits = append(s.limits, l)
-	e.Limit(strconv.Itoa(perSecond))
+	e.AdvertiseLimit(strconv.Itoa(perSecond))
 	return l
 }
--- a/cmd/hawthornrill-soak/soak_test.go
+++ b/cmd/hawthornrill-soak/soak_test.go
@@ -72,7 +72,7 @@
 
 func init() {
 	for i := range routes {
-		routes[i].Timeout, routes[i].FirstByte, routes[i].Gap = 10*time.Second, 2*time.Second, time.Second
+		routes[i].Timeout, routes[i].FirstByte, routes[i].EventGap = 10*time.Second, 2*time.Second, time.Second
 	}
 }
 
@@ -130,7 +130,7 @@
 		s.relays = append(s.relays, newRelay(t, n.peers))
 		s.nodes = append(s.nodes, n)
 	}
-	s.store.Rewrite(s.listRelays)
+	s.store.RewriteValues(s.listRelays)
 	for _, n := range s.nodes {
 		n.start(t, binary)
 		t.Cleanup(n.end)
@@ -157,9 +157,9 @@
 
 func (s *soak) addEndpoint(service string, i int) {
 	e := platformtest.NewEndpoint(fmt.Sprintf("%s-%d-%d", service, i, s.requests.Add(1)), service, fmt.Sprint("dc-", i%2))
-	e.Pause(20 * time.Millisecond)
+	e.SetEventInterval(20 * time.Millisecond)
 	s.t.Cleanup(e.Close)
-	e.List(s.store, "ready")
+	e.Register(s.store, "ready")
 	s.endpoints = append(s.endpoints, e)
 	s.ever = append(s.ever, e)
 }
--- a/config/agreed/bench_test.go
+++ b/config/agreed/bench_test.go
@@ -63,7 +63,7 @@
 		each(&options)
 		documents, err := document.New(options)
 		assert.NilError(b, err)
-		node, err := New(documents, Options{InForce: func(s *config.Snapshot) { f.inForce <- s.Revision }})
+		node, err := New(documents, Options{OnApply: func(s *config.Snapshot) { f.inForce <- s.Revision }})
 		assert.NilError(b, err)
 		group.Go(func() error { return documents.Run(ctx) })
 		f.nodes = append(f.nodes, node)
--- a/config/agreed/service.go
+++ b/config/agreed/service.go
@@ -20,16 +20,16 @@
 	DefaultKeepHistory = 32
 )
 
-// ErrChangedMeanwhile means that the table is no longer the one that the
+// ErrGenerationMismatch means that the table is no longer the one that the
 // operator looked at. It comes wrapped in document.ErrNotAccepted.
-var ErrChangedMeanwhile = errors.New("agreed: the table has been changed meanwhile")
+var ErrGenerationMismatch = errors.New("agreed: the table has been changed meanwhile")
 
 // Options configure a Service.
 type Options struct {
 	// KeepHistory is how many earlier tables the store keeps (32).
 	KeepHistory int
-	// InForce is called with each snapshot that comes into force; it may be nil.
-	InForce func(s *config.Snapshot)
+	// OnApply is called with each snapshot that comes into force; it may be nil.
+	OnApply func(s *config.Snapshot)
 }
 
 // Service is the table on one node. It is a config.View.
@@ -69,8 +69,8 @@
 		return err
 	}
 	s.view.Set(snapshot)
-	if s.options.InForce != nil {
-		s.options.InForce(snapshot)
+	if s.options.OnApply != nil {
+		s.options.OnApply(snapshot)
 	}
 	return nil
 }
@@ -84,7 +84,7 @@
 		if err != nil {
 			return document.Value{}, err
 		}
-		next, err := config.Next(current, changes)
+		next, err := config.ApplyChanges(current, changes)
 		if err != nil {
 			return document.Value{}, err
 		}
@@ -93,7 +93,7 @@
 }
 
 // Rollback makes the table of an earlier generation the newest one, under a new
-// generation. It is refused with ErrChangedMeanwhile if the current generation
+// generation. It is refused with ErrGenerationMismatch if the current generation
 // is not the expected one; zero expects any.
 func (s *Service) Rollback(ctx context.Context, edit document.Edit, generation, expected uint64) (document.Version, error) {
 	old, _, err := s.Table(ctx, generation)
@@ -102,7 +102,7 @@
 	}
 	return s.documents.Update(ctx, DocumentName, edit, func(current document.Version, value []byte) (document.Value, error) {
 		if expected != 0 && current.Generation != expected {
-			return document.Value{}, fmt.Errorf("%w: it has generation %d", ErrChangedMeanwhile, current.Generation)
+			return document.Value{}, fmt.Errorf("%w: it has generation %d", ErrGenerationMismatch, current.Generation)
 		}
 		now, err := config.Decode(value)
 		if err != nil {
--- a/config/agreed/service_test.go
+++ b/config/agreed/service_test.go
@@ -124,7 +124,7 @@
 			assert.NilError(t, err)
 		}
 		_, err := nodes[1].Rollback(t.Context(), edit(), 1, 2)
-		assert.ErrorIs(t, err, ErrChangedMeanwhile)
+		assert.ErrorIs(t, err, ErrGenerationMismatch)
 		version, err := nodes[1].Rollback(t.Context(), edit(), 1, 3)
 		assert.NilError(t, err)
 		assert.Equal(t, version.Generation, uint64(4))
--- a/config/compile.go
+++ b/config/compile.go
@@ -34,10 +34,10 @@
 	for _, row := range s.Table.Organisations {
 		tier := tiers[row.Tier]
 		organisation := &Organisation{
-			OrganisationRow: row,
-			Rank:            tier.Rank,
-			DefaultDeadline: time.Duration(tier.DeadlineMillis) * time.Millisecond,
-			FirstToken:      time.Duration(tier.FirstTokenMillis) * time.Millisecond,
+			OrganisationRow:  row,
+			Rank:             tier.Rank,
+			DefaultDeadline:  time.Duration(tier.DeadlineMillis) * time.Millisecond,
+			FirstTokenTarget: time.Duration(tier.FirstTokenMillis) * time.Millisecond,
 		}
 		s.Organisations[row.ID] = organisation
 		for field := range strings.FieldsSeq(row.KeyHashes) {
@@ -56,11 +56,11 @@
 
 func (s *Snapshot) indexServices() {
 	s.Services = make(map[string]*ServiceRow, len(s.Table.Services))
-	s.OnceRules = make(map[string]OnceRules, len(s.Table.Services))
+	s.NonIdempotentRules = make(map[string]NonIdempotentRules, len(s.Table.Services))
 	for i := range s.Table.Services {
 		row := &s.Table.Services[i]
 		s.Services[row.Name] = row
-		s.OnceRules[row.Name], _ = ParseOnce(row.Once) // Validate has read it before.
+		s.NonIdempotentRules[row.Name], _ = ParseNonIdempotentRules(row.Once) // Validate has read it before.
 	}
 }
 
--- a/config/compile_test.go
+++ b/config/compile_test.go
@@ -43,12 +43,12 @@
 	assert.Equal(t, organisation, s.Organisations["cucine"])
 	assert.Equal(t, organisation.Weight, 3)
 	assert.Equal(t, organisation.DefaultDeadline, time.Minute)
-	assert.Equal(t, organisation.FirstToken, 310*time.Millisecond)
+	assert.Equal(t, organisation.FirstTokenTarget, 310*time.Millisecond)
 	pool := s.Pools[domain.ModelPool("quote-1")]
 	assert.Equal(t, len(pool), 2)
 	assert.Equal(t, pool[0], s.Endpoints["q1"])
-	assert.Assert(t, s.OnceRules["catalogue"].Match("PUT", "/saved-jobs/4"))
-	assert.Assert(t, !s.OnceRules["catalogue"].Match("PUT", "/items"))
+	assert.Assert(t, s.NonIdempotentRules["catalogue"].Match("PUT", "/saved-jobs/4"))
+	assert.Assert(t, !s.NonIdempotentRules["catalogue"].Match("PUT", "/items"))
 	assert.Equal(t, s.Table.Tiers[0].Name, "gold")
 	assert.Equal(t, NewStaticView(s).Current().Revision, Revision(7))
 }
--- a/config/next.go
+++ b/config/next.go
@@ -1,9 +1,9 @@
 package config
 
-// Next returns the table that follows the current one by the changes, as it would
+// ApplyChanges returns the table that follows the current one by the changes, as it would
 // be accepted: merged, with homes assigned, and valid. The error is Conflicts or
 // Problems, with all of them.
-func Next(current Table, changes []Change) (Table, error) {
+func ApplyChanges(current Table, changes []Change) (Table, error) {
 	next, err := Merge(current, changes)
 	if err != nil {
 		return Table{}, err
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -110,8 +110,8 @@
 	OrganisationRow
 	Rank            domain.Tier
 	DefaultDeadline time.Duration
-	// FirstToken is the tier's aim for the first token; zero for none.
-	FirstToken time.Duration
+	// FirstTokenTarget is the tier's aim for the first token; zero for none.
+	FirstTokenTarget time.Duration
 }
 
 // Snapshot is one accepted revision with indexes. It must not be changed.
@@ -129,8 +129,8 @@
 	// Models and Services by name.
 	Models   map[string]*ModelRow
 	Services map[string]*ServiceRow
-	// OnceRules tells by service name which calls may not be repeated.
-	OnceRules map[string]OnceRules
+	// NonIdempotentRules tells by service name which calls may not be repeated.
+	NonIdempotentRules map[string]NonIdempotentRules
 }
 
 // View gives the snapshot in force without locking; nil before the first one.
--- a/config/validate.go
+++ b/config/validate.go
@@ -111,7 +111,7 @@
 		if strings.Contains(service.Name, "/") {
 			c.add("name", service.Name, "must not hold a slash")
 		}
-		if _, err := ParseOnce(service.Once); err != nil {
+		if _, err := ParseNonIdempotentRules(service.Once); err != nil {
 			c.add("once", service.Once, "%s", err)
 		}
 		c.between("deadline_ms", service.DeadlineMillis, 1, maxMillis)
--- a/entry/call.go
+++ b/entry/call.go
@@ -113,7 +113,7 @@
 // repeatable tells whether the operators allow the call to be made again under
 // another key. A once column that can't be read allows nothing.
 func repeatable(service *config.ServiceRow, call *endpoint.ServiceRequest) *bool {
-	rules, err := config.ParseOnce(service.Once)
+	rules, err := config.ParseNonIdempotentRules(service.Once)
 	path, _, _ := strings.Cut(call.Path, "?")
 	allowed := err == nil && !rules.Match(call.Method, path)
 	return &allowed
--- a/node/node.go
+++ b/node/node.go
@@ -96,7 +96,7 @@
 		return err
 	}
 	n.documents = documents
-	n.config, err = agreed.New(documents, agreed.Options{InForce: n.inForce})
+	n.config, err = agreed.New(documents, agreed.Options{OnApply: n.inForce})
 	return err
 }
 
--- a/operatorapi/api.go
+++ b/operatorapi/api.go
@@ -109,7 +109,7 @@
 // previewOf tells what the changes would do to the table.
 func previewOf(current config.Table, changes []config.Change) (PreviewReply, error) {
 	var reply PreviewReply
-	next, err := config.Next(current, changes)
+	next, err := config.ApplyChanges(current, changes)
 	if errors.As(err, &reply.Conflicts) || errors.As(err, &reply.Problems) {
 		return reply, nil
 	}
--- a/operatorapi/failure.go
+++ b/operatorapi/failure.go
@@ -41,7 +41,7 @@
 		failure.Title, failure.Status = "Somebody else has changed these cells", http.StatusConflict
 	case errors.As(err, &failure.Problems):
 		failure.Title, failure.Status = "The table is not valid", http.StatusUnprocessableEntity
-	case errors.Is(err, agreed.ErrChangedMeanwhile):
+	case errors.Is(err, agreed.ErrGenerationMismatch):
 		failure.Title, failure.Status = "The table has been changed meanwhile", http.StatusConflict
 	case errors.Is(err, document.ErrNoVersion):
 		failure.Title, failure.Status = "No such generation", http.StatusNotFound
--- a/scheduler/serve.go
+++ b/scheduler/serve.go
@@ -71,7 +71,7 @@
 		AnswerTokens: t.expectedTokens(),
 		Blocks:       request.Blocks,
 		Session:      request.Key.Session,
-		FirstToken:   request.Organisation.FirstToken,
+		FirstToken:   request.Organisation.FirstTokenTarget,
 		Deadline:     deadline,
 		Fingerprint:  request.ContentHash,
 	}
--- a/sizing/config_bench_test.go
+++ b/sizing/config_bench_test.go
@@ -67,7 +67,7 @@
 			Store: f.store.NewClient(), AntiEntropy: time.Hour, Supervision: 10 * time.Millisecond,
 		})
 		assert.NilError(b, err)
-		node, err := agreed.New(documents, agreed.Options{InForce: func(s *config.Snapshot) { f.inForce <- s.Revision }})
+		node, err := agreed.New(documents, agreed.Options{OnApply: func(s *config.Snapshot) { f.inForce <- s.Revision }})
 		assert.NilError(b, err)
 		f.nodes = append(f.nodes, node)
 		f.running.Go(func() { _ = documents.Run(ctx) })
