--- a/config/agreed/bench_test.go
+++ b/config/agreed/bench_test.go
@@ -17,8 +17,8 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// designTable has the given organisations and, in the proportion of the design
-// size, endpoints.
+// designTable returns a table with the given number of organisations and, in the
+// proportion of the design size, endpoints.
 func designTable(organisations int) config.Table {
 	t := config.Table{Tiers: []config.TierRow{{Name: "gold", DeadlineMillis: 60_000}, {Name: "silver", Rank: 1, DeadlineMillis: 60_000}, {Name: "batch", Rank: 2, DeadlineMillis: 60_000}}}
 	for i := range 33 {
@@ -40,8 +40,9 @@
 	return t
 }
 
-// benchFleet is one data centre of nodes in real time, with links without delay.
-type benchFleet struct {
+// benchCluster is the nodes of one data centre running in real time, connected by
+// links without delay.
+type benchCluster struct {
 	network *peertest.Network
 	store   *memstore.Store
 	nodes   []*Service
@@ -49,8 +50,8 @@
 	stop    func()
 }
 
-func newBenchFleet(b *testing.B, count int, each func(*document.Options)) *benchFleet {
-	f := &benchFleet{network: peertest.NewNetwork(), store: memstore.New(memstore.Options{}), inForce: make(chan config.Revision, count)}
+func newBenchCluster(b *testing.B, count int, each func(*document.Options)) *benchCluster {
+	f := &benchCluster{network: peertest.NewNetwork(), store: memstore.New(memstore.Options{}), inForce: make(chan config.Revision, count)}
 	view := &membership.Snapshot{}
 	for i := range count {
 		m := domain.Member{Node: domain.NodeID(fmt.Sprintf("node-%03d", i)), Incarnation: 1, DataCentre: "taf"}
@@ -76,8 +77,8 @@
 	return f
 }
 
-// edit makes a change and waits until it is in force everywhere.
-func (f *benchFleet) edit(b *testing.B, before, after config.Table) {
+// edit applies a change and waits until it is in force on every node.
+func (f *benchCluster) edit(b *testing.B, before, after config.Table) {
 	version, err := f.nodes[0].Edit(context.Background(), edit(), config.Diff(before, after))
 	assert.NilError(b, err)
 	for left := len(f.nodes); left > 0; {
@@ -87,15 +88,15 @@
 	}
 }
 
-// measureChange reports what one change of one cell costs: payload sent between
-// peers a node, messages a node, and what one of the two watchers reads from the
-// store. A first edit brings the whole table to every node, which is what each
-// change would cost without parts.
+// measureChange reports the cost of changing one cell: payload and messages sent
+// between peers per node, and the bytes that each of the two watchers reads from the
+// store. It also reports the cost per node of a first edit that distributes the whole
+// table; without parts every change would cost as much.
 func measureChange(b *testing.B, nodes, organisations int) {
-	f := newBenchFleet(b, nodes, func(o *document.Options) { o.AntiEntropy = time.Hour })
+	f := newBenchCluster(b, nodes, func(o *document.Options) { o.AntiEntropy = time.Hour })
 	defer f.stop()
 	table := designTable(organisations)
-	time.Sleep(2 * time.Second) // The watchers have begun.
+	time.Sleep(2 * time.Second) // Lets the watchers start.
 	f.edit(b, config.Table{}, table)
 	time.Sleep(time.Second)
 	whole := f.network.Total("")
@@ -105,7 +106,7 @@
 		next := table.Clone()
 		next.Organisations[changes*7%len(next.Organisations)].Weight = 1000 + changes
 		f.edit(b, table, next)
-		time.Sleep(20 * time.Millisecond) // The watchers have seen it.
+		time.Sleep(20 * time.Millisecond) // Lets the watchers receive the change.
 		table = next
 		changes++
 	}
@@ -120,29 +121,32 @@
 	b.ReportMetric(float64(after.BytesWritten-read.BytesWritten)/float64(changes), "store-B-written/change")
 }
 
-// BenchmarkSlopeChangeByTable has the 48 nodes of a data centre of the design size.
+// BenchmarkSlopeChangeByTable varies the table size with 48 nodes, those of a data
+// centre of the design size.
 func BenchmarkSlopeChangeByTable(b *testing.B) {
 	for _, organisations := range []int{290, 1450, 2900} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) { measureChange(b, 48, organisations) })
 	}
 }
 
-// BenchmarkSlopeChangeByNodes has the table of the design size.
+// BenchmarkSlopeChangeByNodes varies the number of nodes with the table of the design
+// size.
 func BenchmarkSlopeChangeByNodes(b *testing.B) {
 	for _, nodes := range []int{7, 48, 200} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) { measureChange(b, nodes, 2900) })
 	}
 }
 
-// restCompress is how many times faster than usual BenchmarkSlopeRest compares.
-const restCompress = 10
+// restSpeedup is the factor by which BenchmarkSlopeRest shortens the anti-entropy
+// interval.
+const restSpeedup = 10
 
-// BenchmarkSlopeRest is what the comparisons of one node cost while nothing
-// changes, both as asker and as asked, in payload and messages a second.
+// BenchmarkSlopeRest measures the anti-entropy traffic of one node while nothing
+// changes, as initiator and as responder, in payload bytes and messages per second.
 func BenchmarkSlopeRest(b *testing.B) {
 	for _, nodes := range []int{7, 48, 200} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			f := newBenchFleet(b, nodes, func(o *document.Options) { o.AntiEntropy = 5 * time.Second / restCompress })
+			f := newBenchCluster(b, nodes, func(o *document.Options) { o.AntiEntropy = 5 * time.Second / restSpeedup })
 			defer f.stop()
 			time.Sleep(100 * time.Millisecond)
 			f.edit(b, config.Table{}, designTable(29))
@@ -151,7 +155,7 @@
 				f.network.ResetCounts()
 				start := time.Now()
 				time.Sleep(5 * time.Second)
-				seconds := time.Since(start).Seconds() * restCompress * float64(nodes)
+				seconds := time.Since(start).Seconds() * restSpeedup * float64(nodes)
 				sent := f.network.Total("")
 				b.ReportMetric(float64(sent.Bytes)/seconds, "B/s")
 				b.ReportMetric(float64(sent.Messages)/seconds, "messages/s")
--- a/config/agreed/service.go
+++ b/config/agreed/service.go
@@ -1,7 +1,7 @@
-// Package agreed keeps the operators' table as a document: edits are accepted in
-// the platform's store and come into force on every node. The guarantees are
-// those of package document; in addition every accepted table is valid, and
-// edits that race are merged row by row.
+// Package agreed stores the operators' table as a replicated document: edits are
+// accepted in the platform's store and then applied on every node. The guarantees are
+// those of package document. In addition, every accepted table is valid, and
+// concurrent edits are merged row by row.
 package agreed
 
 import (
@@ -14,25 +14,26 @@
 )
 
 const (
-	// DocumentName names the document.
+	// DocumentName is the name of the replicated document.
 	DocumentName = "config"
-	// DefaultKeepHistory is how many earlier tables can be rolled back to.
+	// DefaultKeepHistory is the default number of earlier tables kept for rollback.
 	DefaultKeepHistory = 32
 )
 
-// ErrGenerationMismatch means that the table is no longer the one that the
-// operator looked at. It comes wrapped in document.ErrNotAccepted.
-var ErrGenerationMismatch = errors.New("agreed: the table has been changed meanwhile")
+// ErrGenerationMismatch means that the current generation of the table is not the
+// one that the operator expected. It is returned wrapped in document.ErrNotAccepted.
+var ErrGenerationMismatch = errors.New("agreed: table generation is not the expected one")
 
 // Options configure a Service.
 type Options struct {
-	// KeepHistory is how many earlier tables the store keeps (32).
+	// KeepHistory is the number of earlier tables that the store keeps. The default is
+	// DefaultKeepHistory (32).
 	KeepHistory int
-	// OnApply is called with each snapshot that comes into force; it may be nil.
+	// OnApply, if not nil, is called with each snapshot that comes into force.
 	OnApply func(s *config.Snapshot)
 }
 
-// Service is the table on one node. It is a config.View.
+// Service is one node's replica of the table. It implements config.View.
 type Service struct {
 	documents *document.Service
 	options   Options
@@ -41,7 +42,7 @@
 
 var _ config.View = (*Service)(nil)
 
-// New registers the table with the node's documents.
+// New registers the table as a document of the node.
 func New(documents *document.Service, options Options) (*Service, error) {
 	if options.KeepHistory == 0 {
 		options.KeepHistory = DefaultKeepHistory
@@ -58,7 +59,7 @@
 // Current returns the snapshot in force, or nil.
 func (s *Service) Current() *config.Snapshot { return s.view.Current() }
 
-// apply puts a version in force.
+// apply decodes and compiles a version and makes it the current snapshot.
 func (s *Service) apply(version document.Version, value []byte) error {
 	table, err := config.Decode(value)
 	if err != nil {
@@ -75,8 +76,8 @@
 	return nil
 }
 
-// Edit makes the changes to the table. The error is document.ErrNotAccepted,
-// which wraps config.Conflicts or config.Problems where those are the reason, or
+// Edit applies the changes to the table. The error is document.ErrNotAccepted, which
+// wraps config.Conflicts or config.Problems if those are the reason, or
 // document.ErrUnknownOutcome, which Settle resolves.
 func (s *Service) Edit(ctx context.Context, edit document.Edit, changes []config.Change) (document.Version, error) {
 	return s.documents.Update(ctx, DocumentName, edit, func(_ document.Version, value []byte) (document.Value, error) {
@@ -92,9 +93,10 @@
 	})
 }
 
-// Rollback makes the table of an earlier generation the newest one, under a new
-// generation. It is refused with ErrGenerationMismatch if the current generation
-// is not the expected one; zero expects any.
+// Rollback writes the table of an earlier generation as a new generation. It fails
+// with ErrGenerationMismatch if the current generation is not the expected one; zero
+// accepts any. Organisations keep their current home data centres if these still have
+// endpoints.
 func (s *Service) Rollback(ctx context.Context, edit document.Edit, generation, expected uint64) (document.Version, error) {
 	old, _, err := s.Table(ctx, generation)
 	if err != nil {
@@ -102,7 +104,7 @@
 	}
 	return s.documents.Update(ctx, DocumentName, edit, func(current document.Version, value []byte) (document.Value, error) {
 		if expected != 0 && current.Generation != expected {
-			return document.Value{}, fmt.Errorf("%w: it has generation %d", ErrGenerationMismatch, current.Generation)
+			return document.Value{}, fmt.Errorf("%w: current generation is %d", ErrGenerationMismatch, current.Generation)
 		}
 		now, err := config.Decode(value)
 		if err != nil {
@@ -117,25 +119,25 @@
 	})
 }
 
-// encode returns the document's value of a table.
+// encode encodes a table as a document value.
 func encode(table config.Table) (document.Value, error) {
 	parts, err := config.Encode(table)
 	return document.Value{Parts: parts}, err
 }
 
-// Settle tells what became of an edit whose outcome was unknown; see
-// document.Service.Settle.
+// Settle determines the outcome of an edit that returned
+// document.ErrUnknownOutcome; see document.Service.Settle.
 func (s *Service) Settle(ctx context.Context, id document.EditID, base uint64) (document.Version, error) {
 	return s.documents.Settle(ctx, DocumentName, id, base)
 }
 
-// History returns the versions that can still be read, the current one first.
+// History returns the versions that are still stored, the current one first.
 func (s *Service) History(ctx context.Context) ([]document.Version, error) {
 	return s.documents.History(ctx, DocumentName)
 }
 
-// Table returns the table of a generation; zero stands for the one in force on
-// this node, which is empty before the first edit.
+// Table returns the table of a generation. Zero selects the one in force on this
+// node, which is empty before the first edit.
 func (s *Service) Table(ctx context.Context, generation uint64) (config.Table, document.Version, error) {
 	if generation == 0 {
 		version, value, _ := s.documents.Current(DocumentName)
@@ -150,5 +152,5 @@
 	return table, version, err
 }
 
-// Status asks all nodes how their documents stand.
+// Status queries the document status of all nodes.
 func (s *Service) Status(ctx context.Context) []document.NodeStatus { return s.documents.Status(ctx) }
--- a/config/agreed/service_test.go
+++ b/config/agreed/service_test.go
@@ -18,8 +18,8 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// inBubble runs a test with nodes that have no table yet.
-func inBubble(t *testing.T, count int, test func(t *testing.T, nodes []*Service)) {
+// runNodes runs a test in a synctest bubble with count nodes that have no table yet.
+func runNodes(t *testing.T, count int, test func(t *testing.T, nodes []*Service)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := peertest.NewNetwork()
 		defer network.Close()
@@ -58,8 +58,8 @@
 
 func edit() document.Edit { return document.Edit{ID: document.NewEditID(), Author: "anna"} }
 
-func TestRacingOperators(t *testing.T) {
-	inBubble(t, 3, func(t *testing.T, nodes []*Service) {
+func TestConcurrentEditsMergeOrConflict(t *testing.T) {
+	runNodes(t, 3, func(t *testing.T, nodes []*Service) {
 		base := table(1, 1, 1)
 		_, err := nodes[0].Edit(t.Context(), edit(), config.Diff(config.Table{}, base))
 		assert.NilError(t, err)
@@ -94,13 +94,13 @@
 	})
 }
 
-func TestEditThatDoesNotValidateIsRefused(t *testing.T) {
-	inBubble(t, 2, func(t *testing.T, nodes []*Service) {
+func TestInvalidEditIsRejected(t *testing.T) {
+	runNodes(t, 2, func(t *testing.T, nodes []*Service) {
 		_, err := nodes[0].Edit(t.Context(), edit(), config.Diff(config.Table{}, table(1, 0)))
 		var problems config.Problems
 		assert.Assert(t, errors.As(err, &problems))
 		assert.Equal(t, problems[0].Key, "b")
-		// Each change is valid by itself, both together are not.
+		// Each change is valid by itself, but not the two together.
 		base := table(1)
 		_, err = nodes[0].Edit(t.Context(), edit(), config.Diff(config.Table{}, base))
 		assert.NilError(t, err)
@@ -115,8 +115,8 @@
 	})
 }
 
-func TestRollbackWritesAHigherGeneration(t *testing.T) {
-	inBubble(t, 2, func(t *testing.T, nodes []*Service) {
+func TestRollbackCreatesNewGeneration(t *testing.T) {
+	runNodes(t, 2, func(t *testing.T, nodes []*Service) {
 		for _, weight := range []int{1, 2, 3} {
 			now, _, err := nodes[0].Table(t.Context(), 0)
 			assert.NilError(t, err)
--- a/config/next.go
+++ b/config/apply.go
@@ -1,8 +1,8 @@
 package config
 
-// ApplyChanges returns the table that follows the current one by the changes, as it would
-// be accepted: merged, with homes assigned, and valid. The error is Conflicts or
-// Problems, with all of them.
+// ApplyChanges merges the changes into the current table, assigns home data
+// centres and validates the result. The error is Conflicts or Problems and lists
+// all of them, except for a change that is malformed.
 func ApplyChanges(current Table, changes []Change) (Table, error) {
 	next, err := Merge(current, changes)
 	if err != nil {
--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -8,11 +8,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// compiled is kept alive while its memory is measured.
+// compiled keeps the snapshot reachable while its memory is measured.
 var compiled *Snapshot
 
-// measureSnapshot reports the time to compile a table and the memory that its
-// snapshot holds.
+// measureSnapshot reports the time to compile a table and the heap memory held by
+// the snapshot.
 func measureSnapshot(b *testing.B, table Table) {
 	for b.Loop() {
 		s, err := Compile(table, 1)
@@ -20,14 +20,14 @@
 		compiled = s
 	}
 	compiled = nil
-	before := heap()
+	before := heapBytes()
 	encoded, err := Encode(table)
 	assert.NilError(b, err)
 	decoded := decodeAll(b, encoded)
 	compiled, err = Compile(decoded, 1)
 	assert.NilError(b, err)
 	decoded, encoded = Table{}, nil
-	b.ReportMetric(heap()-before, "B")
+	b.ReportMetric(heapBytes()-before, "B")
 	runtime.KeepAlive(&table)
 }
 
@@ -41,7 +41,7 @@
 	return table
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -49,8 +49,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkSlopeSnapshotOrganisations is a snapshot by organisations, with 33 models
-// and no endpoints.
+// BenchmarkSlopeSnapshotOrganisations measures snapshots by number of organisations,
+// with 33 models and no endpoints.
 func BenchmarkSlopeSnapshotOrganisations(b *testing.B) {
 	for _, organisations := range []int{290, 1450, 2900} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// BenchmarkSlopeSnapshotEndpoints is a snapshot by endpoints, with 33 models and no
-// organisations.
+// BenchmarkSlopeSnapshotEndpoints measures snapshots by number of endpoints, with 33
+// models and no organisations.
 func BenchmarkSlopeSnapshotEndpoints(b *testing.B) {
 	for _, endpoints := range []int{270, 1350, 2700} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// BenchmarkSlopeChange is what a node computes for one change: decoding and
+// BenchmarkSlopeChange measures a node's computation for one change: decoding and
 // compiling the whole table.
 func BenchmarkSlopeChange(b *testing.B) {
 	for _, organisations := range []int{290, 1450, 2900} {
--- a/config/change.go
+++ b/config/change.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Change is an edit of one row. Before is nil for a new row, After for one that
-// is removed.
+// Change is an edit of one row. Before is nil if the row is added, After is nil if
+// it is removed.
 type Change struct {
 	Kind   Kind   `json:"kind"`
 	Key    string `json:"key"`
@@ -16,10 +16,12 @@
 	After  *Row   `json:"after,omitempty"`
 }
 
-// errChange means that a change contradicts itself.
+// errChange means that the rows of a change do not match its kind and key, or that
+// it has no rows.
 var errChange = errors.New("config: a change must name one row, by its kind and key, before or after")
 
-// check returns errChange unless the rows are those that the change names.
+// check returns errChange unless at least one row is set and the kind and key of
+// each match the change.
 func (c Change) check() error {
 	if c.Before == nil && c.After == nil {
 		return errChange
@@ -32,14 +34,14 @@
 	return nil
 }
 
-// CellChange is one cell that a change alters.
+// CellChange is the change of one cell.
 type CellChange struct {
 	Column string `json:"column"`
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// Cells returns the cells that differ; for a new or removed row all of them.
+// Cells returns the cells that differ, or all cells if the row is added or removed.
 func (c Change) Cells() []CellChange {
 	before, after := cellsOrEmpty(c.Before, c.After), cellsOrEmpty(c.After, c.Before)
 	var changes []CellChange
@@ -51,7 +53,8 @@
 	return changes
 }
 
-// cellsOrEmpty returns the row's cells, or empty ones like those of the other.
+// cellsOrEmpty returns the row's cells, or the other row's columns with empty values
+// if row is nil.
 func cellsOrEmpty(row, other *Row) []Cell {
 	if row != nil {
 		return row.Cells()
@@ -63,41 +66,41 @@
 	return cells
 }
 
-// rowName identifies a row over all kinds.
-type rowName struct {
+// rowID identifies a row across all kinds.
+type rowID struct {
 	kind Kind
 	key  string
 }
 
-func nameOf(r Row) rowName { return rowName{kind: r.Kind(), key: r.Key()} }
+func rowIDOf(r Row) rowID { return rowID{kind: r.Kind(), key: r.Key()} }
 
-// Diff returns the changes that turn before into after, by kind and key.
+// Diff returns the changes that turn before into after, sorted by kind and key.
 func Diff(before, after Table) []Change {
 	old := indexRows(before)
 	var changes []Change
 	for _, row := range after.Rows() {
-		name := nameOf(row)
-		was, existed := old[name]
-		delete(old, name)
+		id := rowIDOf(row)
+		oldRow, existed := old[id]
+		delete(old, id)
 		switch {
 		case !existed:
-			changes = append(changes, Change{Kind: name.kind, Key: name.key, After: &row})
-		case !was.equal(row):
-			changes = append(changes, Change{Kind: name.kind, Key: name.key, Before: &was, After: &row})
+			changes = append(changes, Change{Kind: id.kind, Key: id.key, After: &row})
+		case !oldRow.equal(row):
+			changes = append(changes, Change{Kind: id.kind, Key: id.key, Before: &oldRow, After: &row})
 		}
 	}
-	for name, was := range old {
-		changes = append(changes, Change{Kind: name.kind, Key: name.key, Before: &was})
+	for id, oldRow := range old {
+		changes = append(changes, Change{Kind: id.kind, Key: id.key, Before: &oldRow})
 	}
 	slices.SortStableFunc(changes, compareChanges)
 	return changes
 }
 
-func indexRows(t Table) map[rowName]Row {
+func indexRows(t Table) map[rowID]Row {
 	rows := t.Rows()
-	index := make(map[rowName]Row, len(rows))
+	index := make(map[rowID]Row, len(rows))
 	for _, row := range rows {
-		index[nameOf(row)] = row
+		index[rowIDOf(row)] = row
 	}
 	return index
 }
--- a/config/codec.go
+++ b/config/codec.go
@@ -11,32 +11,34 @@
 )
 
 const (
-	// formatVersion is raised when older nodes could not read a table truly.
+	// formatVersion is incremented when nodes of older releases could not decode a
+	// table correctly.
 	formatVersion = 1
-	// rowsPerPart is how many rows a part has on average, maxPartBytes how large it
-	// may grow.
+	// rowsPerPart is the average number of rows in a part. A part ends once it has
+	// reached maxPartBytes.
 	rowsPerPart  = 16
 	maxPartBytes = 8 << 10
 )
 
-// ErrNewerFormat means that the table was written by a later release.
-var ErrNewerFormat = errors.New("config: the table has a newer format than this release")
+// ErrNewerFormat means that the table was encoded by a later release.
+var ErrNewerFormat = errors.New("config: table format is newer than this release supports")
 
-// header begins an encoded table.
+// header is the first item of an encoded table.
 type header struct {
 	Format int `cbor:"1,keyasint"`
 }
 
-// encodedRow is a row with its kind, as a CBOR array.
+// encodedRow is a row and its kind, encoded as a CBOR array.
 type encodedRow struct {
 	_    struct{} `cbor:",toarray"`
 	Kind Kind
 	Row  cbor.RawMessage
 }
 
-// Encode writes the table as a sequence of CBOR items in canonical order, cut
-// into parts at rows chosen by their keys: a change of one row changes one part,
-// and a new row at most cuts one in two.
+// Encode encodes the table as a sequence of CBOR items in canonical order. The
+// sequence is split into parts at boundaries chosen by a hash of the row key, so
+// that changing one row alters one part and adding a row splits at most one part in
+// two.
 func Encode(t Table) ([][]byte, error) {
 	sorted := t.Clone()
 	sorted.Sort()
@@ -52,7 +54,7 @@
 			return nil, fmt.Errorf("config: encode %s %s: %w", row.Kind(), row.Key(), err)
 		}
 		part = append(part, encoded...)
-		if endsPart(row) || len(part) >= maxPartBytes {
+		if isPartBoundary(row) || len(part) >= maxPartBytes {
 			parts = append(parts, part)
 			part = []byte{}
 		}
@@ -60,7 +62,7 @@
 	return append(parts, part), nil
 }
 
-func endsPart(r Row) bool {
+func isPartBoundary(r Row) bool {
 	return xxhash.Sum64String(string(r.Kind())+"/"+r.Key())%rowsPerPart == 0
 }
 
@@ -85,7 +87,8 @@
 	return cbor.Marshal(encodedRow{Kind: r.Kind(), Row: raw})
 }
 
-// Decode reads an encoded table. No bytes are an empty table.
+// Decode decodes a table from its concatenated parts. Empty data gives an empty
+// table.
 func Decode(data []byte) (Table, error) {
 	var t Table
 	if len(data) == 0 {
@@ -127,7 +130,7 @@
 	case KindEndpoints:
 		return decodeInto(&t.Endpoints, r.Row)
 	}
-	return fmt.Errorf("unknown kind of row %q", r.Kind)
+	return fmt.Errorf("unknown row kind %q", r.Kind)
 }
 
 func decodeInto[T any](rows *[]T, raw cbor.RawMessage) error {
--- a/config/codec_test.go
+++ b/config/codec_test.go
@@ -15,8 +15,8 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// syntheticTable has the given number of organisations and, in the proportion of
-// the design size, of endpoints.
+// syntheticTable returns a table with the given number of organisations and, in the
+// proportion of the design size, endpoints.
 func syntheticTable(organisations int) Table {
 	t := Table{
 		Tiers:    []TierRow{{Name: "gold", DeadlineMillis: 60_000}, {Name: "silver", Rank: 1, DeadlineMillis: 60_000}, {Name: "batch", Rank: 2, DeadlineMillis: 60_000}},
@@ -41,7 +41,7 @@
 	return t
 }
 
-func TestEncodeKeepsChangesLocal(t *testing.T) {
+func TestRowChangeAltersAtMostTwoParts(t *testing.T) {
 	table := syntheticTable(600)
 	parts, err := Encode(table)
 	assert.NilError(t, err)
@@ -64,8 +64,8 @@
 		for _, part := range parts {
 			old[string(part)] = true
 		}
-		fresh := slices.DeleteFunc(after, func(part []byte) bool { return old[string(part)] })
-		assert.Assert(t, len(fresh) <= 2, "%s: %d of %d parts are new", name, len(fresh), len(parts))
+		added := slices.DeleteFunc(after, func(part []byte) bool { return old[string(part)] })
+		assert.Assert(t, len(added) <= 2, "%s: %d of %d parts are new", name, len(added), len(parts))
 	}
 
 	_, err = Decode([]byte{0xa1, 0x01, 0x02})
@@ -102,13 +102,13 @@
 		column string
 		row    int
 	}{
-		{"as a spreadsheet saves it", func(s string) string {
+		{"spreadsheet format", func(s string) string {
 			return "\xef\xbb\xbf" + strings.ReplaceAll(strings.ReplaceAll(s, ",", ";"), "\n", "\r\n") + ";;;;;;\r\n"
 		}, "", 0},
-		{"thousands", replace("cucine,gold,3", "cucine,gold,3.000"), "weight", 1},
+		{"thousands separator", replace("cucine,gold,3", "cucine,gold,3.000"), "weight", 1},
 		{"fraction", replace("cucine,gold,3", "cucine,gold,\"3,5\""), "weight", 1},
 		{"missing column", replace("weight", "wieght"), "wieght", 0},
-		{"twice", replace("tokens_per_minute", "weight"), "weight", 0},
+		{"duplicate column", replace("tokens_per_minute", "weight"), "weight", 0},
 		{"too many cells", replace("batch,1,0,0,,", "batch,1,0,0,,,7"), "", 2},
 	}
 	for _, c := range cases {
--- a/config/column.go
+++ b/config/column.go
@@ -5,14 +5,15 @@
 	"reflect"
 )
 
-// column is a column of a kind of row.
+// column describes one column of a row type.
 type column struct {
 	name  string
 	index int
 	kind  reflect.Kind
 }
 
-// columnsOf returns the columns of a row type, in order, from its csv tags.
+// columnsOf returns the columns of a row type in field order, named by the csv
+// tags.
 func columnsOf[T any]() []column {
 	t := reflect.TypeFor[T]()
 	columns := make([]column, 0, t.NumField())
@@ -23,13 +24,13 @@
 	return columns
 }
 
-// Cell is one cell of a row.
+// Cell is one column value of a row, formatted as text.
 type Cell struct {
 	Column string `json:"column"`
 	Value  string `json:"value"`
 }
 
-// cellsOf returns the cells of a row, in the order of its columns.
+// cellsOf returns the cells of a row in column order.
 func cellsOf[T any](row T) []Cell {
 	value := reflect.ValueOf(row)
 	columns := columnsOf[T]()
--- a/config/compile.go
+++ b/config/compile.go
@@ -8,9 +8,9 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Compile checks the whole table and builds the snapshot of a revision. The
-// error is Problems and lists every problem at once. The table is copied, so the
-// caller may go on changing its own.
+// Compile validates the table and builds the snapshot of a revision. The error is
+// Problems and lists every problem. The table is copied, so the caller may modify it
+// afterwards.
 func Compile(table Table, revision Revision) (*Snapshot, error) {
 	if err := Validate(&table).Err(); err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 		}
 		s.Organisations[row.ID] = organisation
 		for field := range strings.FieldsSeq(row.KeyHashes) {
-			hash, _ := parseKeyHash(field) // Validate has read it before.
+			hash, _ := parseKeyHash(field) // Validate has already parsed it.
 			s.OrganisationByKeyHash[hash] = organisation
 		}
 	}
@@ -60,7 +60,7 @@
 	for i := range s.Table.Services {
 		row := &s.Table.Services[i]
 		s.Services[row.Name] = row
-		s.NonIdempotentRules[row.Name], _ = ParseNonIdempotentRules(row.Once) // Validate has read it before.
+		s.NonIdempotentRules[row.Name], _ = ParseNonIdempotentRules(row.Once) // Validate has already parsed it.
 	}
 }
 
@@ -79,7 +79,8 @@
 	}
 }
 
-// PoolNames returns the pools that the endpoint belongs to.
+// PoolNames returns the names of the pools that the endpoint belongs to, one for
+// each model or service that it serves.
 func (r *EndpointRow) PoolNames() []domain.PoolName {
 	var pools []domain.PoolName
 	for name := range strings.FieldsSeq(r.Serves) {
--- a/config/compile_test.go
+++ b/config/compile_test.go
@@ -53,7 +53,7 @@
 	assert.Equal(t, NewStaticView(s).Current().Revision, Revision(7))
 }
 
-func TestCompileNamesEveryProblem(t *testing.T) {
+func TestCompileReportsEveryProblem(t *testing.T) {
 	hash := FormatKeyHash(HashKey(testKey))
 	cases := []struct {
 		change func(*Table)
@@ -123,7 +123,7 @@
 	var problems Problems
 	assert.Assert(t, errors.As(err, &problems))
 	assert.ErrorContains(t, err, "wieght")
-	assert.ErrorContains(t, err, "no such kind")
+	assert.ErrorContains(t, err, "unknown kind of row")
 	_, err = LoadTOML(strings.NewReader("[[organisations"))
 	assert.ErrorIs(t, err, ErrFormat)
 }
--- a/config/csv.go
+++ b/config/csv.go
@@ -17,11 +17,11 @@
 	"github.com/gocarina/gocsv"
 )
 
-// LoadCSV reads a table from one file for each kind of row, such as tiers.csv.
-// Files as spreadsheet programs save them are read too: with a byte order mark,
-// with semicolons, with empty rows at the end. Every cell that is not of its
-// column's type is a problem, as are files and columns that are missing or
-// unknown. The table is not validated.
+// LoadCSV reads a table from one file per kind of row, such as tiers.csv. It
+// accepts the variants that spreadsheet programs write: a byte order mark, semicolons
+// or tabs as separators, and empty rows at the end. Missing files, missing, unknown
+// or duplicate columns, and cells that do not have their column's type are reported
+// as Problems. The table is not validated.
 func LoadCSV(files fs.FS) (Table, error) {
 	var t Table
 	var problems Problems
@@ -33,7 +33,7 @@
 	return t, problems.Err()
 }
 
-// fileName is the CSV file of a kind of row.
+// fileName returns the name of the CSV file of a kind of row.
 func fileName(kind Kind) string { return string(kind) + ".csv" }
 
 func loadKind[T any](files fs.FS, kind Kind, rows *[]T, problems *Problems) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// readRecords returns the records of a file, its header first, without empty
-// ones. A separator other than the comma is told by the header.
+// readRecords returns the non-empty records of a file, header first. The separator
+// is detected from the header line.
 func readRecords(data []byte) ([][]string, error) {
 	data = bytes.TrimPrefix(data, []byte("\xef\xbb\xbf"))
 	reader := csv.NewReader(bytes.NewReader(data))
@@ -81,11 +81,13 @@
 		}
 	}
 	if len(records) == 0 {
-		return nil, errors.New("the file has no header")
+		return nil, errors.New("the file has no header row")
 	}
 	return records, nil
 }
 
+// separatorOf returns the first of comma, semicolon and tab that occurs in the
+// header line.
 func separatorOf(data []byte) rune {
 	first, _, _ := bytes.Cut(data, []byte("\n"))
 	for _, separator := range []byte{',', ';', '\t'} {
@@ -96,54 +98,54 @@
 	return ','
 }
 
-// checkRecords compares header and cells with the columns of the row type.
+// checkRecords checks the header and the cells against the columns of the row type.
 func checkRecords[T any](kind Kind, records [][]string) Problems {
 	var problems Problems
 	columns := columnsOf[T]()
-	head := records[0]
-	at := make([]*column, len(head))
-	for i, name := range head {
+	headerRow := records[0]
+	columnOf := make([]*column, len(headerRow))
+	for i, name := range headerRow {
 		index := slices.IndexFunc(columns, func(c column) bool { return c.name == name })
 		switch {
 		case index < 0:
-			problems = append(problems, Problem{Kind: kind, Column: name, Reason: "there is no such column"})
-		case slices.Index(head, name) < i:
-			problems = append(problems, Problem{Kind: kind, Column: name, Reason: "the column is there twice"})
+			problems = append(problems, Problem{Kind: kind, Column: name, Reason: "unknown column"})
+		case slices.Index(headerRow, name) < i:
+			problems = append(problems, Problem{Kind: kind, Column: name, Reason: "duplicate column"})
 		default:
-			at[i] = &columns[index]
+			columnOf[i] = &columns[index]
 		}
 	}
 	for _, c := range columns {
-		if !slices.Contains(head, c.name) {
-			problems = append(problems, Problem{Kind: kind, Column: c.name, Reason: "the column is missing"})
+		if !slices.Contains(headerRow, c.name) {
+			problems = append(problems, Problem{Kind: kind, Column: c.name, Reason: "missing column"})
 		}
 	}
 	for row, record := range records[1:] {
-		problems = append(problems, checkCells(kind, row+1, record, at)...)
+		problems = append(problems, checkCells(kind, row+1, record, columnOf)...)
 	}
 	return problems
 }
 
-func checkCells(kind Kind, row int, record []string, at []*column) Problems {
+func checkCells(kind Kind, row int, record []string, columnOf []*column) Problems {
 	var problems Problems
 	for i, cell := range record {
-		if i >= len(at) {
+		if i >= len(columnOf) {
 			problems = append(problems, Problem{Kind: kind, Row: row, Key: record[0], Value: cell, Reason: "the row has more cells than the header"})
 			break
 		}
-		if at[i] == nil {
+		if columnOf[i] == nil {
 			continue
 		}
-		if reason := at[i].refuse(cell); reason != "" {
-			problems = append(problems, Problem{Kind: kind, Row: row, Key: record[0], Column: at[i].name, Value: cell, Reason: reason})
+		if reason := columnOf[i].typeMismatch(cell); reason != "" {
+			problems = append(problems, Problem{Kind: kind, Row: row, Key: record[0], Column: columnOf[i].name, Value: cell, Reason: reason})
 		}
 	}
 	return problems
 }
 
-// refuse says why a cell is not of the column's type; empty if it is. An empty
-// cell is zero.
-func (c *column) refuse(cell string) string {
+// typeMismatch returns the reason why a cell does not have the column's type, or
+// "" if it does. An empty cell is the zero value.
+func (c *column) typeMismatch(cell string) string {
 	var err error
 	switch {
 	case cell == "":
@@ -160,10 +162,10 @@
 	if c.kind == reflect.Bool {
 		return "must be true or false"
 	}
-	return "must be a whole number without separators"
+	return "must be an integer without separators"
 }
 
-// recordReader gives records that were read before to gocsv.
+// recordReader passes records that are already parsed to gocsv.
 type recordReader struct{ records [][]string }
 
 func (r *recordReader) Read() ([]string, error) {
@@ -177,8 +179,8 @@
 
 func (r *recordReader) ReadAll() ([][]string, error) { return r.records, nil }
 
-// WriteCSV writes one file for each kind of row into a directory, which it makes
-// if need be.
+// WriteCSV writes one file per kind of row to a directory, which it creates if
+// necessary.
 func WriteCSV(directory string, t Table) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return fmt.Errorf("config: write CSV: %w", err)
--- a/config/homes.go
+++ b/config/homes.go
@@ -7,47 +7,48 @@
 	"hawthornrill.example/hawthornrill/rendezvous"
 )
 
-// AssignHomes gives every organisation of next without a home data centre the one
-// that it has in before, or else one of next's data centres. The choice is kept in
-// the table: were it worked out by each node, a change of the data centres would
-// move the place where a key is decided between two attempts of one request.
+// AssignHomes sets the home data centre of every organisation in next that has
+// none: to its value in before, otherwise to one of next's data centres. The choice
+// is stored in the table. If each node computed it, a change of the set of data
+// centres could move the decision on a request key between two attempts of the same
+// request.
 func AssignHomes(before Table, next *Table) {
-	known := homes(before)
-	places := dataCentres(*next)
+	previous := homesByOrganisation(before)
+	dataCentres := endpointDataCentres(*next)
 	for i := range next.Organisations {
 		row := &next.Organisations[i]
 		if row.HomeDataCentre == "" {
-			row.HomeDataCentre = known[row.ID]
+			row.HomeDataCentre = previous[row.ID]
 		}
 		if row.HomeDataCentre == "" {
-			row.HomeDataCentre = spread(row.ID, places)
+			row.HomeDataCentre = chooseHome(row.ID, dataCentres)
 		}
 	}
 }
 
-// KeepHomes gives every organisation of next the home data centre that it has in
-// before, where that still has endpoints.
+// KeepHomes sets the home data centre of every organisation in next to its value
+// in before if that data centre still has endpoints in next.
 func KeepHomes(before Table, next *Table) {
-	known := homes(before)
-	places := dataCentres(*next)
+	previous := homesByOrganisation(before)
+	dataCentres := endpointDataCentres(*next)
 	for i := range next.Organisations {
 		row := &next.Organisations[i]
-		if home := known[row.ID]; slices.Contains(places, home) {
+		if home := previous[row.ID]; slices.Contains(dataCentres, home) {
 			row.HomeDataCentre = home
 		}
 	}
 }
 
 // CheckHomes returns a problem for each organisation whose home data centre
-// changes although its earlier one still has endpoints: a key sent before the
-// change could be decided again, and run again, after it.
+// changes while the previous one still has endpoints. A request key sent before such
+// a change could be decided again afterwards, and the request executed twice.
 func CheckHomes(before, next Table) Problems {
-	known := homes(before)
-	places := dataCentres(next)
+	previous := homesByOrganisation(before)
+	dataCentres := endpointDataCentres(next)
 	var problems Problems
 	for i, row := range next.Organisations {
-		home := known[row.ID]
-		if home == "" || home == row.HomeDataCentre || !slices.Contains(places, home) {
+		home := previous[row.ID]
+		if home == "" || home == row.HomeDataCentre || !slices.Contains(dataCentres, home) {
 			continue
 		}
 		problems = append(problems, Problem{
@@ -56,13 +57,13 @@
 			Key:    string(row.ID),
 			Column: "home_data_centre",
 			Value:  string(row.HomeDataCentre),
-			Reason: "can't change from " + string(home) + " while that has endpoints: a request sent again could run twice",
+			Reason: "can't change from " + string(home) + " while that data centre has endpoints: a retried request could be executed twice",
 		})
 	}
 	return problems
 }
 
-func homes(t Table) map[domain.OrganisationID]domain.DataCentre {
+func homesByOrganisation(t Table) map[domain.OrganisationID]domain.DataCentre {
 	homes := make(map[domain.OrganisationID]domain.DataCentre, len(t.Organisations))
 	for _, row := range t.Organisations {
 		homes[row.ID] = row.HomeDataCentre
@@ -70,21 +71,22 @@
 	return homes
 }
 
-// dataCentres returns those that have endpoints, sorted.
-func dataCentres(t Table) []domain.DataCentre {
-	var places []domain.DataCentre
+// endpointDataCentres returns the data centres that have endpoints, sorted.
+func endpointDataCentres(t Table) []domain.DataCentre {
+	var dataCentres []domain.DataCentre
 	for _, row := range t.Endpoints {
-		places = append(places, row.DataCentre)
+		dataCentres = append(dataCentres, row.DataCentre)
 	}
-	slices.Sort(places)
-	return slices.Compact(places)
+	slices.Sort(dataCentres)
+	return slices.Compact(dataCentres)
 }
 
-// spread chooses a place by the organisation, none if there is none.
-func spread(id domain.OrganisationID, places []domain.DataCentre) domain.DataCentre {
-	first := rendezvous.First(string(id), places, func(d domain.DataCentre) string { return string(d) })
+// chooseHome selects a data centre by rendezvous hashing of the organisation's
+// identifier. It returns "" if there are none.
+func chooseHome(id domain.OrganisationID, dataCentres []domain.DataCentre) domain.DataCentre {
+	first := rendezvous.First(string(id), dataCentres, func(d domain.DataCentre) string { return string(d) })
 	if first < 0 {
 		return ""
 	}
-	return places[first]
+	return dataCentres[first]
 }
--- a/config/homes_test.go
+++ b/config/homes_test.go
@@ -8,16 +8,17 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// homeTable has one organisation and an endpoint in each place.
-func homeTable(home domain.DataCentre, places ...domain.DataCentre) Table {
+// homeTable returns a table with one organisation and an endpoint in each data
+// centre.
+func homeTable(home domain.DataCentre, dataCentres ...domain.DataCentre) Table {
 	t := Table{Organisations: []OrganisationRow{{ID: "o", HomeDataCentre: home}}}
-	for _, place := range places {
-		t.Endpoints = append(t.Endpoints, EndpointRow{ID: domain.EndpointID(place + "-1"), DataCentre: place})
+	for _, dataCentre := range dataCentres {
+		t.Endpoints = append(t.Endpoints, EndpointRow{ID: domain.EndpointID(dataCentre + "-1"), DataCentre: dataCentre})
 	}
 	return t
 }
 
-func TestHomesStay(t *testing.T) {
+func TestHomeDataCentreIsStable(t *testing.T) {
 	assigned := homeTable("", "a", "b", "c")
 	AssignHomes(Table{}, &assigned)
 	home := assigned.Organisations[0].HomeDataCentre
@@ -29,10 +30,10 @@
 		want     domain.DataCentre
 		problems int
 	}{
-		{"left empty", homeTable("", "a", "b", "c"), home, 0},
-		{"another data centre joins", homeTable("", "a", "b", "c", "d", "e", "f", "g"), home, 0},
-		{"moved while the data centre is there", homeTable("elsewhere", "a", "b", "c"), "elsewhere", 1},
-		{"moved after the data centre has gone", homeTable("elsewhere", "elsewhere"), "elsewhere", 0},
+		{"empty", homeTable("", "a", "b", "c"), home, 0},
+		{"data centres added", homeTable("", "a", "b", "c", "d", "e", "f", "g"), home, 0},
+		{"changed while the data centre has endpoints", homeTable("elsewhere", "a", "b", "c"), "elsewhere", 1},
+		{"changed after the data centre was removed", homeTable("elsewhere", "elsewhere"), "elsewhere", 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/config/key.go
+++ b/config/key.go
@@ -6,13 +6,13 @@
 	"errors"
 )
 
-var errKeyHash = errors.New("config: not a SHA-256 in hexadecimal")
+var errKeyHash = errors.New("config: not a hexadecimal SHA-256 hash")
 
-// HashKey returns the SHA-256 of an API key, by which a Snapshot finds its
-// organisation.
+// HashKey returns the SHA-256 hash of an API key. Snapshot indexes organisations
+// by this hash.
 func HashKey(key string) [32]byte { return sha256.Sum256([]byte(key)) }
 
-// FormatKeyHash returns the hash as it stands in the key_hashes column.
+// FormatKeyHash returns the hash in the form used in the key_hashes column.
 func FormatKeyHash(hash [32]byte) string { return hex.EncodeToString(hash[:]) }
 
 func parseKeyHash(text string) ([32]byte, error) {
--- a/config/merge_test.go
+++ b/config/merge_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// edited returns the test table after a change.
-func edited(change func(t *Table)) Table {
+// editedTable returns the sorted test table with a change applied.
+func editedTable(change func(t *Table)) Table {
 	t := testTable()
 	t.Sort()
 	change(&t)
@@ -28,37 +28,37 @@
 		want         func(*Table)
 		conflicts    []Conflict
 	}{
-		{"only mine", none, weight(5), weight(5), nil},
-		{"other rows", func(t *Table) { t.Organisations[1].Weight = 9 }, weight(5), func(t *Table) {
+		{"only my change", none, weight(5), weight(5), nil},
+		{"changes of different rows", func(t *Table) { t.Organisations[1].Weight = 9 }, weight(5), func(t *Table) {
 			t.Organisations[0].Weight = 5
 			t.Organisations[1].Weight = 9
 		}, nil},
-		{"the same", weight(5), weight(5), weight(5), nil},
-		{"the same row added", add, add, add, nil},
-		{"the same row removed", remove, remove, remove, nil},
-		{"one cell", weight(4), weight(5), nil, []Conflict{
+		{"same change", weight(5), weight(5), weight(5), nil},
+		{"same row added", add, add, add, nil},
+		{"same row removed", remove, remove, remove, nil},
+		{"different changes of one cell", weight(4), weight(5), nil, []Conflict{
 			{KindOrganisations, "cucine", "weight", "3", "4", "5"},
 		}},
-		{"two cells of one row", func(t *Table) { t.Organisations[0].InFlight = 20 }, weight(5), nil, []Conflict{
+		{"changes of two cells of one row", func(t *Table) { t.Organisations[0].InFlight = 20 }, weight(5), nil, []Conflict{
 			{KindOrganisations, "cucine", "in_flight", "10", "20", "10"},
 		}},
 		{"removed by them", remove, weight(5), nil, []Conflict{
-			{KindOrganisations, "cucine", "id", "cucine", removed, "cucine"},
-			{KindOrganisations, "cucine", "weight", "3", removed, "5"},
+			{KindOrganisations, "cucine", "id", "cucine", missingRow, "cucine"},
+			{KindOrganisations, "cucine", "weight", "3", missingRow, "5"},
 		}},
 		{"removed by me", weight(5), remove, nil, []Conflict{
-			{KindOrganisations, "cucine", "id", "cucine", "cucine", removed},
-			{KindOrganisations, "cucine", "weight", "3", "5", removed},
+			{KindOrganisations, "cucine", "id", "cucine", "cucine", missingRow},
+			{KindOrganisations, "cucine", "weight", "3", "5", missingRow},
 		}},
-		{"added by both", add, func(t *Table) { add(t); t.Organisations[2].Weight = 7 }, nil, []Conflict{
-			{KindOrganisations, "new", "id", removed, "new", "new"},
-			{KindOrganisations, "new", "weight", removed, "2", "7"},
+		{"different rows added under one key", add, func(t *Table) { add(t); t.Organisations[2].Weight = 7 }, nil, []Conflict{
+			{KindOrganisations, "new", "id", missingRow, "new", "new"},
+			{KindOrganisations, "new", "weight", missingRow, "2", "7"},
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			base := edited(none)
-			got, err := Merge(edited(c.theirs), Diff(base, edited(c.mine)))
+			base := editedTable(none)
+			got, err := Merge(editedTable(c.theirs), Diff(base, editedTable(c.mine)))
 			if c.conflicts != nil {
 				var conflicts Conflicts
 				assert.Assert(t, errors.As(err, &conflicts))
@@ -66,7 +66,7 @@
 				return
 			}
 			assert.NilError(t, err)
-			want := edited(c.want)
+			want := editedTable(c.want)
 			want.Sort()
 			assert.DeepEqual(t, got, want)
 		})
@@ -76,8 +76,8 @@
 }
 
 func TestDiffAndShares(t *testing.T) {
-	before := edited(func(*Table) {})
-	after := edited(func(t *Table) {
+	before := editedTable(func(*Table) {})
+	after := editedTable(func(t *Table) {
 		t.Organisations = append(t.Organisations, OrganisationRow{ID: "new", Tier: "gold", Weight: 1})
 		t.Endpoints = t.Endpoints[1:]
 		t.Models[0].MaxAnswerTokens = 1
--- a/config/once.go
+++ b/config/nonidempotent.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// NonIdempotentRule names calls of a plain service that may not be repeated.
+// NonIdempotentRule matches calls of a plain service that must not be retried.
 type NonIdempotentRule struct {
 	Method string
-	// PathPrefix is empty for all paths, else it begins with "/".
+	// PathPrefix is empty to match all paths; otherwise it begins with "/".
 	PathPrefix string
 }
 
-// NonIdempotentRules are the calls of one service that may not be repeated.
+// NonIdempotentRules match the calls of one service that must not be retried.
 type NonIdempotentRules []NonIdempotentRule
 
 var knownMethods = []string{
@@ -22,7 +22,7 @@
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// ParseNonIdempotentRules reads the once column of a service row.
+// ParseNonIdempotentRules parses the once column of a service row.
 func ParseNonIdempotentRules(text string) (NonIdempotentRules, error) {
 	var rules NonIdempotentRules
 	for part := range strings.SplitSeq(text, ",") {
@@ -30,7 +30,7 @@
 		if len(fields) == 0 {
 			continue
 		}
-		rule, err := parseOnceRule(fields)
+		rule, err := parseNonIdempotentRule(fields)
 		if err != nil {
 			return nil, err
 		}
@@ -39,22 +39,22 @@
 	return rules, nil
 }
 
-func parseOnceRule(fields []string) (NonIdempotentRule, error) {
+func parseNonIdempotentRule(fields []string) (NonIdempotentRule, error) {
 	rule := NonIdempotentRule{Method: fields[0]}
 	if !slices.Contains(knownMethods, rule.Method) {
-		return NonIdempotentRule{}, fmt.Errorf("%q is not a method such as POST", rule.Method)
+		return NonIdempotentRule{}, fmt.Errorf("%q is not an HTTP method such as POST", rule.Method)
 	}
 	if len(fields) == 1 {
 		return rule, nil
 	}
 	rule.PathPrefix = fields[1]
 	if len(fields) > 2 || !strings.HasPrefix(rule.PathPrefix, "/") {
-		return NonIdempotentRule{}, fmt.Errorf("%q must be a method and a path that begins with /", strings.Join(fields, " "))
+		return NonIdempotentRule{}, fmt.Errorf("%q must be a method and a path beginning with /", strings.Join(fields, " "))
 	}
 	return rule, nil
 }
 
-// Match reports whether a call may not be repeated.
+// Match reports whether a call must not be retried.
 func (r NonIdempotentRules) Match(method, path string) bool {
 	for _, rule := range r {
 		if rule.Method == method && strings.HasPrefix(path, rule.PathPrefix) {
--- a/config/problem.go
+++ b/config/problem.go
@@ -21,44 +21,46 @@
 	KindEndpoints Kind = "endpoints"
 )
 
-// Kinds lists the kinds of rows in the order in which they refer to each other.
+// Kinds returns the kinds of rows, ordered so that references point to earlier
+// kinds.
 func Kinds() []Kind {
 	return []Kind{KindTiers, KindOrganisations, KindModels, KindServices, KindEndpoints}
 }
 
-// Problem is one reason why a table can't be accepted.
+// Problem is a validation error of a table.
 type Problem struct {
 	Kind Kind `json:"kind"`
-	// Row counts from 1 within the kind, in the order of the table as given; 0 when
-	// the problem isn't one row's.
+	// Row is the row's number within its kind in the input order, starting at 1; 0 if
+	// the problem does not concern a single row.
 	Row int `json:"row,omitempty"`
 	// Key is the row's name or identifier.
 	Key    string `json:"key,omitempty"`
 	Column string `json:"column,omitempty"`
-	// Value is the cell as given.
+	// Value is the cell's value in the input.
 	Value  string `json:"value,omitempty"`
 	Reason string `json:"reason"`
 }
 
 // String returns "kind row N (key), column: "value": reason".
 func (p Problem) String() string {
-	place := string(p.Kind)
+	location := string(p.Kind)
 	if p.Row > 0 {
-		place += fmt.Sprintf(" row %d", p.Row)
+		location += fmt.Sprintf(" row %d", p.Row)
 	}
 	if p.Key != "" {
-		place += fmt.Sprintf(" (%s)", p.Key)
+		location += fmt.Sprintf(" (%s)", p.Key)
 	}
 	if p.Column != "" {
-		place += fmt.Sprintf(", %s: %q", p.Column, p.Value)
+		location += fmt.Sprintf(", %s: %q", p.Column, p.Value)
 	}
-	return place + ": " + p.Reason
+	return location + ": " + p.Reason
 }
 
-// Problems is the error of a table that can't be accepted: all its problems.
+// Problems is the error of a table that is rejected. It holds all validation
+// errors.
 type Problems []Problem
 
-// Error lists every problem on a line of its own.
+// Error lists the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, 0, len(p)+1)
 	lines = append(lines, fmt.Sprintf("config: %d problem(s) in the table", len(p)))
--- a/config/row.go
+++ b/config/row.go
@@ -1,6 +1,6 @@
 package config
 
-// Row is one row of any kind: exactly one field is set.
+// Row is a row of any kind. Exactly one field is set.
 type Row struct {
 	Tier         *TierRow         `json:"tier,omitempty"`
 	Organisation *OrganisationRow `json:"organisation,omitempty"`
@@ -9,7 +9,7 @@
 	Endpoint     *EndpointRow     `json:"endpoint,omitempty"`
 }
 
-// Kind returns the row's kind, empty if no field is set.
+// Kind returns the row's kind, or "" if no field is set.
 func (r Row) Kind() Kind {
 	switch {
 	case r.Tier != nil:
@@ -43,7 +43,7 @@
 	return ""
 }
 
-// Cells returns the row's cells in the order of its columns.
+// Cells returns the row's cells in column order.
 func (r Row) Cells() []Cell {
 	switch r.Kind() {
 	case KindTiers:
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// equal reports whether two rows are of one kind and have the same cells.
+// equal reports whether two rows have the same kind and the same cells.
 func (r Row) equal(o Row) bool {
 	switch {
 	case r.Kind() != o.Kind():
@@ -79,7 +79,7 @@
 	return true
 }
 
-// Rows returns all rows of the table, kind by kind.
+// Rows returns all rows of the table in the order of Kinds. They point into t.
 func (t Table) Rows() []Row {
 	var rows []Row
 	for i := range t.Tiers {
@@ -100,7 +100,7 @@
 	return rows
 }
 
-// add appends a row to its kind.
+// add appends a row to the slice of its kind.
 func (t *Table) add(r Row) {
 	switch r.Kind() {
 	case KindTiers:
--- a/config/share.go
+++ b/config/share.go
@@ -7,21 +7,23 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Share is what an organisation is due of its tier, between 0 and 1.
+// Share is the fraction of its tier's capacity that an organisation is entitled to,
+// between 0 and 1.
 type Share struct {
 	Tier  string  `json:"tier"`
 	Share float64 `json:"share"`
 }
 
-// ShareEffect is how a change of the table alters an organisation's share. A
-// zero Share stands for an organisation that is not in the table.
+// ShareEffect is the effect of a table change on an organisation's share. The share
+// is zero if the organisation is not in the table.
 type ShareEffect struct {
 	Organisation domain.OrganisationID `json:"organisation"`
 	Before       Share                 `json:"before"`
 	After        Share                 `json:"after"`
 }
 
-// Shares returns each organisation's share: its weight among its tier's.
+// Shares returns each organisation's share: its weight divided by the total weight
+// of its tier.
 func Shares(t Table) map[domain.OrganisationID]Share {
 	total := make(map[string]float64)
 	for _, row := range t.Organisations {
@@ -36,18 +38,18 @@
 	return shares
 }
 
-// ShareEffects returns the organisations whose tier or share differs, those with
-// the largest difference first.
+// ShareEffects returns the effects for the organisations whose tier or share
+// differs, largest change of the share first.
 func ShareEffects(before, after Table) []ShareEffect {
-	was, is := Shares(before), Shares(after)
+	old, current := Shares(before), Shares(after)
 	var effects []ShareEffect
-	for id, share := range is {
-		if was[id] != share {
-			effects = append(effects, ShareEffect{Organisation: id, Before: was[id], After: share})
+	for id, share := range current {
+		if old[id] != share {
+			effects = append(effects, ShareEffect{Organisation: id, Before: old[id], After: share})
 		}
 	}
-	for id, share := range was {
-		if _, ok := is[id]; !ok {
+	for id, share := range old {
+		if _, ok := current[id]; !ok {
 			effects = append(effects, ShareEffect{Organisation: id, Before: share})
 		}
 	}
@@ -56,12 +58,12 @@
 }
 
 func compareEffects(a, b ShareEffect) int {
-	if c := cmp.Compare(b.size(), a.size()); c != 0 {
+	if c := cmp.Compare(b.magnitude(), a.magnitude()); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.Organisation, b.Organisation)
 }
 
-func (e ShareEffect) size() float64 {
+func (e ShareEffect) magnitude() float64 {
 	return max(e.After.Share-e.Before.Share, e.Before.Share-e.After.Share)
 }
--- a/config/table.go
+++ b/config/table.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Clone returns a copy that shares nothing with t.
+// Clone returns a deep copy of t.
 func (t Table) Clone() Table {
 	return Table{
 		Tiers:         slices.Clone(t.Tiers),
@@ -16,8 +16,8 @@
 	}
 }
 
-// Sort puts the rows into their canonical order: tiers by rank, all others by
-// name or identifier. Two tables with the same rows are then equal.
+// Sort sorts the rows into canonical order: tiers by rank, all others by name or
+// identifier. Two sorted tables with the same rows are equal.
 func (t *Table) Sort() {
 	slices.SortStableFunc(t.Tiers, func(a, b TierRow) int { return cmp.Compare(a.Rank, b.Rank) })
 	slices.SortStableFunc(t.Organisations, func(a, b OrganisationRow) int { return cmp.Compare(a.ID, b.ID) })
--- a/config/toml.go
+++ b/config/toml.go
@@ -8,11 +8,11 @@
 	"github.com/BurntSushi/toml"
 )
 
-// ErrFormat means that a file can't be read as a table at all.
-var ErrFormat = errors.New("config: not a table")
+// ErrFormat means that the data can't be decoded as a table.
+var ErrFormat = errors.New("config: invalid table format")
 
-// LoadTOML reads a table. A key that no column has is a problem, so that a
-// mistyped column is not silently left out. The table is not validated.
+// LoadTOML reads a table. Unknown keys are reported as Problems, so that a mistyped
+// column is not silently ignored. The table is not validated.
 func LoadTOML(r io.Reader) (Table, error) {
 	var table Table
 	meta, err := toml.NewDecoder(r).Decode(&table)
@@ -27,15 +27,15 @@
 }
 
 func undecodedProblem(key toml.Key) Problem {
-	problem := Problem{Kind: Kind(key[0]), Reason: "there is no such kind of row"}
+	problem := Problem{Kind: Kind(key[0]), Reason: "unknown kind of row"}
 	if len(key) > 1 {
 		problem.Column = key[len(key)-1]
-		problem.Reason = "there is no such column"
+		problem.Reason = "unknown column"
 	}
 	return problem
 }
 
-// WriteTOML writes the table in its canonical order.
+// WriteTOML writes the table in canonical order.
 func WriteTOML(w io.Writer, table Table) error {
 	sorted := table.Clone()
 	sorted.Sort()
