--- a/settings/default.go
+++ b/settings/default.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Default returns the settings that hold where the file is silent.
+// Default returns the default settings, which apply to fields that the file does not
+// set.
 func Default() Settings {
 	return Settings{
 		Listen: Listen{
--- a/settings/duration.go
+++ b/settings/duration.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Duration is a time.Duration written like "1m30s".
+// Duration is a time.Duration with a text form such as "1m30s".
 type Duration struct{ time.Duration }
 
-// UnmarshalText parses the text form.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -18,5 +18,5 @@
 	return nil
 }
 
-// MarshalText writes the text form.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
--- a/settings/load.go
+++ b/settings/load.go
@@ -9,11 +9,12 @@
 	"github.com/BurntSushi/toml"
 )
 
-// ErrUnreadable means that the file could not be read or is not TOML.
-var ErrUnreadable = errors.New("settings: unreadable")
+// ErrUnreadable means that the file could not be read or could not be decoded as
+// TOML.
+var ErrUnreadable = errors.New("settings: can't load the file")
 
-// Load reads the file over the defaults and checks the result. It returns
-// ErrUnreadable or Problems with everything that is wrong.
+// Load reads the file, applies it to the defaults and validates the result. The
+// error is ErrUnreadable or Problems; the latter lists all problems.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -22,12 +23,12 @@
 	return Parse(string(text))
 }
 
-// Parse is Load for a text.
+// Parse is like Load but takes the content of the file.
 func Parse(text string) (Settings, error) {
 	s := Default()
 	meta, err := toml.Decode(text, &s)
 	if err != nil {
-		return Settings{}, fmt.Errorf("%w: %s", ErrUnreadable, describe(err))
+		return Settings{}, fmt.Errorf("%w: %s", ErrUnreadable, parseErrorText(err))
 	}
 	problems := unknownFields(meta)
 	problems = append(problems, s.Check()...)
@@ -37,7 +38,7 @@
 	return s, nil
 }
 
-func describe(err error) string {
+func parseErrorText(err error) string {
 	var parse toml.ParseError
 	if errors.As(err, &parse) {
 		return strings.TrimSpace(parse.ErrorWithPosition())
@@ -48,7 +49,7 @@
 func unknownFields(meta toml.MetaData) Problems {
 	var problems Problems
 	for _, key := range meta.Undecoded() {
-		problems = append(problems, Problem{Field: key.String(), Reason: "no such setting"})
+		problems = append(problems, Problem{Field: key.String(), Reason: "unknown setting"})
 	}
 	return problems
 }
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Problem is one field that is wrong.
+// Problem is an invalid field.
 type Problem struct {
-	// Field is the TOML path, such as "listen.callers".
+	// Field is the TOML path of the field, such as "listen.callers".
 	Field string
-	// Value is what was found, empty for secrets.
+	// Value is the invalid value; empty for secrets, so that they are not printed.
 	Value string
-	// Reason says what is expected.
+	// Reason describes the expected value.
 	Reason string
 }
 
@@ -20,10 +20,10 @@
 	return fmt.Sprintf("%s = %q: %s", p.Field, p.Value, p.Reason)
 }
 
-// Problems are all that is wrong with a file. It is an error when not empty.
+// Problems lists all invalid fields of a file. It is used as an error if not empty.
 type Problems []Problem
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -32,13 +32,13 @@
 	}{
 		{"empty", ``, []string{"node", "data_centre", "platform.store", "platform.host_list", "peers.tls"}},
 		{"unknown field", minimal + "nodes = 7\n", []string{"nodes"}},
-		{"bad name", minimal + "[[peers.seeds]]\nnode = \"Ü\"\ndata_centre = \"palermo\"\naddress = \"localhost:1\"\n",
+		{"invalid name", minimal + "[[peers.seeds]]\nnode = \"Ü\"\ndata_centre = \"palermo\"\naddress = \"localhost:1\"\n",
 			[]string{"peers.seeds[0].node", "peers.seeds[0].address"}},
-		{"plain beyond loopback", minimal + "listen.peers = \"192.0.2.1:7000\"\n", []string{"peers.plain"}},
-		{"key hash", minimal + "[[operators.keys]]\nname = \"ada\"\nsha256 = \"secret\"\n", []string{"operators.keys[0].sha256"}},
-		{"numbers", minimal + "callers.max_body_bytes = 0\nplatform.calls_per_second = -1.0\norders.loads_per_minute = 0.0\n",
+		{"plain on a non-loopback address", minimal + "listen.peers = \"192.0.2.1:7000\"\n", []string{"peers.plain"}},
+		{"invalid key hash", minimal + "[[operators.keys]]\nname = \"ada\"\nsha256 = \"secret\"\n", []string{"operators.keys[0].sha256"}},
+		{"numbers out of range", minimal + "callers.max_body_bytes = 0\nplatform.calls_per_second = -1.0\norders.loads_per_minute = 0.0\n",
 			[]string{"platform.calls_per_second", "callers.max_body_bytes", "orders.loads_per_minute"}},
-		{"log", minimal + "log.level = \"loud\"\n", []string{"log.level"}},
+		{"invalid log level", minimal + "log.level = \"loud\"\n", []string{"log.level"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -54,12 +54,12 @@
 	}
 }
 
-func TestSecretsAreNotRepeated(t *testing.T) {
+func TestErrorOmitsKeyHashValue(t *testing.T) {
 	_, err := Parse(minimal + "[[operators.keys]]\nname = \"ada\"\nsha256 = \"my-plain-key\"\n")
 	assert.Assert(t, !strings.Contains(err.Error(), "my-plain-key"))
 }
 
-func TestNotTOML(t *testing.T) {
+func TestParseUnreadable(t *testing.T) {
 	_, err := Parse("node = ")
 	assert.ErrorIs(t, err, ErrUnreadable)
 	_, err = Parse("callers.disconnect_grace = \"soon\"")
