--- a/cmd/hawthornrill-demo/main.go
+++ b/cmd/hawthornrill-demo/main.go
@@ -70,13 +70,13 @@
 		return err
 	}
 	if once {
-		err := errors.Join(d.Sample(ctx, os.Stdout), d.Stop())
+		err := errors.Join(d.RunSample(ctx, os.Stdout), d.Stop())
 		if err == nil {
 			err = samplePlatform(ctx, os.Stdout, options.Log)
 		}
 		return err
 	}
-	if err := d.Guide(os.Stdout); err != nil {
+	if err := d.WriteGuide(os.Stdout); err != nil {
 		return errors.Join(err, d.Stop())
 	}
 	<-ctx.Done()
--- a/cmd/hawthornrill-load/measure.go
+++ b/cmd/hawthornrill-load/measure.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(send(ctx, a, d.Callers(), d.Endpoints()), d.Stop())
+	return errors.Join(send(ctx, a, d.NodeURLs(), d.Endpoints()), d.Stop())
 }
 
 // witnesses are the rows of the stand-ins given by address.
--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -101,11 +101,11 @@
 	})
 	assert.NilError(b, err)
 	defer func() { assert.Check(b, d.Stop()) }()
-	newLatencies().run(b, d.Callers()[0])
+	newLatencies().run(b, d.NodeURLs()[0])
 	direct, through := newLatencies(), newLatencies()
 	for b.Loop() {
 		direct.run(b, d.table.Endpoints[0].Address)
-		through.run(b, d.Callers()[0])
+		through.run(b, d.NodeURLs()[0])
 	}
 	for _, quantile := range []float64{50, 99} {
 		report := func(name string, a, c *hdrhistogram.Histogram) {
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -265,7 +265,7 @@
 }
 
 // Callers returns the base URLs of the nodes.
-func (d *Demo) Callers() []string {
+func (d *Demo) NodeURLs() []string {
 	var urls []string
 	for _, node := range d.daemons {
 		urls = append(urls, "http://"+node.Addresses().Callers)
@@ -274,7 +274,7 @@
 }
 
 // Runs counts how often each request was run by the endpoints, the demo's witnesses.
-func (d *Demo) Runs() map[string]int {
+func (d *Demo) RunCounts() map[string]int {
 	counts := make(map[string]int)
 	for _, s := range d.services {
 		for _, r := range s.Runs() {
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -21,7 +21,7 @@
 			running, err := Start(context.Background(), Options{Deployment: d, Log: zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.WarnLevel)})
 			assert.NilError(t, err)
 			defer func() { assert.Check(t, running.Stop()) }()
-			assert.NilError(t, running.Sample(context.Background(), t.Output()))
+			assert.NilError(t, running.RunSample(context.Background(), t.Output()))
 		})
 	}
 }
--- a/demo/guide.go
+++ b/demo/guide.go
@@ -6,7 +6,7 @@
 )
 
 // Guide writes addresses, keys and ready-made commands.
-func (d *Demo) Guide(w io.Writer) error {
+func (d *Demo) WriteGuide(w io.Writer) error {
 	deployment := d.options.Deployment
 	fmt.Fprintf(w, "%s is up: %d nodes before %d engines.\n\nNodes (callers, operators):\n", deployment.Name, len(d.daemons), len(d.engines))
 	for i, host := range deployment.Hosts {
--- a/demo/sample.go
+++ b/demo/sample.go
@@ -20,8 +20,8 @@
 // another node and sent again with the same key at a third, and make a plain call
 // that may not be repeated, twice. It checks that every request was run once and
 // answered alike. It writes a line for each turn.
-func (d *Demo) Sample(ctx context.Context, w io.Writer) error {
-	urls := d.Callers()
+func (d *Demo) RunSample(ctx context.Context, w io.Writer) error {
+	urls := d.NodeURLs()
 	node := 0
 	requests := 0
 	for _, row := range d.table.Organisations {
@@ -98,7 +98,7 @@
 
 // verify holds the endpoints' own logs against the promise.
 func (d *Demo) verify(w io.Writer, requests int) error {
-	runs := d.Runs()
+	runs := d.RunCounts()
 	for key, n := range runs {
 		if n != 1 {
 			return fmt.Errorf("%w: %s was run %d times", ErrSample, key, n)
