--- a/cmd/hawthornrill-entry/main.go
+++ b/cmd/hawthornrill-entry/main.go
@@ -27,10 +27,10 @@
 )
 
 const (
-	// storeDial bounds a new connection to the store, which answers in milliseconds.
-	storeDial = 500 * time.Millisecond
-	// storeSilence finds a connection to the store that has gone silent while a watch waits on it.
-	storeSilence = time.Second
+	// storeDialTimeout bounds the dial of a store connection. The store answers within milliseconds.
+	storeDialTimeout = 500 * time.Millisecond
+	// storeSilentTimeout detects a dead store connection while a watch is waiting on it.
+	storeSilentTimeout = time.Second
 )
 
 func main() { os.Exit(start()) }
@@ -53,7 +53,7 @@
 		return exitBadInput
 	}
 	if *check {
-		fmt.Println("settings are good")
+		fmt.Println("settings are valid")
 		return exitOK
 	}
 	return serve(settings, *path)
@@ -67,10 +67,10 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	go reload(ctx, path, level, log)
-	client := platform.NewClient(settings.Store, onesend.New(onesend.Options{DialTimeout: storeDial, SilentTimeout: storeSilence}))
+	client := platform.NewClient(settings.Store, onesend.New(onesend.Options{DialTimeout: storeDialTimeout, SilentTimeout: storeSilentTimeout}))
 	node, err := entrynode.New(settings, entrynode.Adapters{Protocol: platform.Heads{}, Source: client, Registry: client}, log)
 	if err != nil {
-		log.Error().Err(err).Msg("node can't start")
+		log.Error().Err(err).Msg("cannot start node")
 		return exitFailure
 	}
 	if err := node.Run(ctx); err != nil {
@@ -80,20 +80,20 @@
 	return exitOK
 }
 
-// reload reads the settings again at each SIGHUP. The log's level changes at once; everything else needs a restart,
-// which the log says.
+// reload reloads the settings on each SIGHUP. Only the log level takes effect at once; all other settings need a
+// restart.
 func reload(ctx context.Context, path string, level *logging.Level, log zerolog.Logger) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-reloadSignals:
 		}
 		settings, err := entrynode.Load(path)
 		if err != nil {
-			log.Error().Err(err).Msg("settings not reloaded, the old ones stay")
+			log.Error().Err(err).Msg("settings reload failed; keeping the current settings")
 			continue
 		}
 		level.Set(settings.Log.Level)
