--- a/cmd/hawthornctl/main.go
+++ b/cmd/hawthornctl/main.go
@@ -1,4 +1,4 @@
-// Command hawthornctl drives hawthornrill from the operators' table.
+// Command hawthornctl is the operators' command-line client.
 package main
 
 import (
--- a/cmd/hawthornrill/main.go
+++ b/cmd/hawthornrill/main.go
@@ -60,7 +60,7 @@
 		return exitBadInput
 	}
 	if checkOnly {
-		fmt.Println("settings are good")
+		fmt.Println("settings are valid")
 		return exitOK
 	}
 	return serve(s)
