--- a/cmd/hawthornrill-soak/check_test.go
+++ b/cmd/hawthornrill-soak/check_test.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// keyBound is how long a key that was taken away may go on working.
-	keyBound = 5 * time.Second
-	// leaveBound is how long an endpoint that is leaving may still be sent requests, with no fault about.
-	leaveBound = 3 * time.Second
+	// maxRevocationDelay bounds the time for which a revoked key may still be accepted.
+	maxRevocationDelay = 5 * time.Second
+	// maxDrainDelay bounds the time for which a draining endpoint may still receive requests while no fault is active.
+	maxDrainDelay = 3 * time.Second
 )
 
-var wholeStream = func() string {
+var completeStream = func() string {
 	var text strings.Builder
 	for i := range platformtest.StreamEvents {
 		fmt.Fprintf(&text, "id: %d\ndata: %d\n\n", i+1, i+1)
@@ -25,20 +25,20 @@
 	return text.String()
 }()
 
-// check holds what callers and endpoints saw against the promises.
+// check verifies the guarantees against what callers and endpoints observed.
 func (s *soak) check() {
 	answered := 0
-	for _, o := range s.record.outcomes {
+	for _, o := range s.history.outcomes {
 		if o.status == http.StatusOK && o.err == nil {
 			answered++
 		}
-		if wrong := s.wrong(o); wrong != "" {
-			s.t.Errorf("%s\n%s\nlogs in %s", wrong, s.record.timeline(o), s.dir)
+		if violation := s.violation(o); violation != "" {
+			s.t.Errorf("%s\n%s\nlogs in %s", violation, s.history.timeline(o), s.dir)
 		}
 	}
-	s.checkLeaving()
+	s.checkDraining()
 	s.checkLimits()
-	s.t.Logf("%d requests, %d answered, %d faults", len(s.record.outcomes), answered, len(s.record.faults))
+	s.t.Logf("%d requests, %d answered, %d faults", len(s.history.outcomes), answered, len(s.history.faults))
 	if answered == 0 {
 		s.t.Error("no request was answered")
 	}
@@ -47,57 +47,58 @@
 	}
 }
 
-// runs counts the runs of a request at all endpoints that there ever were.
+// runs returns how often a request ran, over all endpoints created during the soak.
 func (s *soak) runs(id string) int {
 	n := 0
-	for _, e := range s.everyEndpoint() {
+	for _, e := range s.allEndpoints() {
 		n += e.Runs(id)
 	}
 	return n
 }
 
-// wrong returns which promise was broken, empty if none was.
-func (s *soak) wrong(o outcome) string {
+// violation describes the guarantee that the outcome violates; empty if there is none.
+func (s *soak) violation(o outcome) string {
 	runs := s.runs(o.id)
 	repeatable := o.path == "/chat/" || o.path == "/look/"
-	whole := o.body == wholeStream
+	complete := o.body == completeStream
 	if o.path == "/book/" || o.path == "/look/" {
-		whole = o.body == "answer to "+o.id
+		complete = o.body == "answer to "+o.id
 	}
-	revoked, taken := s.record.revoked[o.key]
+	revokedAt, isRevoked := s.history.revoked[o.key]
 	switch {
 	case !repeatable && runs > 1:
-		return fmt.Sprintf("a request that must not be repeated ran %d times", runs)
-	case o.err == nil && o.status == http.StatusOK && !whole:
-		return "an answer that looks complete is not whole"
+		return fmt.Sprintf("a non-repeatable request ran %d times", runs)
+	case o.err == nil && o.status == http.StatusOK && !complete:
+		return "a response with status 200 and no read error has an incomplete or wrong body"
 	case (o.status == http.StatusServiceUnavailable || o.status == http.StatusTooManyRequests) && runs > 0:
-		return "a request ran though its caller was told that it had not"
-	case taken && runs > 0 && o.sent.After(revoked.Add(keyBound)):
-		return "a request ran with a key that was taken away"
-	case o.status == http.StatusUnauthorized && !taken:
-		return "a key in force was refused"
+		return "a request ran although its caller received 429 or 503"
+	case isRevoked && runs > 0 && o.sent.After(revokedAt.Add(maxRevocationDelay)):
+		return "a request with a revoked key ran"
+	case o.status == http.StatusUnauthorized && !isRevoked:
+		return "a valid key was refused"
 	case o.status == http.StatusNotFound:
-		return "a route was not known"
-	case (o.err != nil && runs > 0 || o.status == http.StatusBadGateway || o.status == http.StatusGatewayTimeout) && !s.record.excuses(o):
-		return "a request failed with no fault about"
+		return "a configured route was not found"
+	case (o.err != nil && runs > 0 || o.status == http.StatusBadGateway || o.status == http.StatusGatewayTimeout) && !s.history.explainsFailure(o):
+		return "a request failed while no fault was active"
 	}
 	return ""
 }
 
-// checkLeaving looks for requests that were sent to endpoints long after they had said that they were leaving.
-func (s *soak) checkLeaving() {
-	for e, at := range s.left {
-		late := e.Came().Sub(at)
-		if late <= leaveBound {
+// checkDraining fails the test if an endpoint received a request later than maxDrainDelay after it was marked as draining,
+// unless a fault explains it. A reload explains nothing.
+func (s *soak) checkDraining() {
+	for e, since := range s.drainingSince {
+		delay := e.Came().Sub(since)
+		if delay <= maxDrainDelay {
 			continue
 		}
-		o := outcome{id: e.ID, sent: at, ended: e.Came()}
-		excused := false
-		for _, f := range s.record.faults {
-			excused = excused || f.what != "reload" && f.about(at, e.Came(), settle)
+		o := outcome{id: e.ID, sent: since, ended: e.Came()}
+		explained := false
+		for _, f := range s.history.faults {
+			explained = explained || f.kind != "reload" && f.overlaps(since, e.Came(), faultRecoveryTime)
 		}
-		if !excused {
-			s.t.Errorf("endpoint %s was sent a request %v after it had said that it was leaving\n%s", e.ID, late, s.record.timeline(o))
+		if !explained {
+			s.t.Errorf("endpoint %s received a request %v after it was marked as draining\n%s", e.ID, delay, s.history.timeline(o))
 		}
 	}
 }
--- a/cmd/hawthornrill-soak/doc.go
+++ b/cmd/hawthornrill-soak/doc.go
@@ -1,3 +1,3 @@
-// Package soak holds a randomized soak test of the real programs: entry nodes as separate processes on loopback against
-// the stand-ins of package platformtest, with faults injected from outside. See docs/operators/soak.md.
+// Package soak is a randomized soak test of the real programs: entry nodes run as separate processes on loopback against
+// the stand-ins of package platformtest, and faults are injected from outside the processes. See docs/operators/soak.md.
 package soak
--- a/cmd/hawthornrill-soak/faults_test.go
+++ b/cmd/hawthornrill-soak/faults_test.go
@@ -11,7 +11,8 @@
 	"hawthornrill.example/hawthornrill/platform/platformtest"
 )
 
-// faults are what may happen; each returns when it is over.
+// faults lists the injectable faults. Each function injects its fault and returns when the fault is over. The order is part
+// of what a seed means.
 func (s *soak) faults() []func(node int, lasts time.Duration, choice uint64) {
 	return []func(int, time.Duration, uint64){
 		s.kill, s.stopGracefully, s.freeze, s.reload, s.cutStore, s.failStore, s.compact, s.revoke, s.replaceEndpoint,
@@ -27,10 +28,10 @@
 }
 
 func (s *soak) kill(node int, _ time.Duration, _ uint64) {
-	defer s.record.began("kill", s.nodes[node].name)()
+	defer s.history.beginFault("kill", s.nodes[node].name)()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.nodes[node].end()
+	s.nodes[node].killAndWait()
 	s.restart(s.nodes[node])
 }
 
@@ -38,19 +39,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.nodes[node]
-	over := s.record.began("stop", n.name)
+	endFault := s.history.beginFault("stop", n.name)
 	n.signal(syscall.SIGTERM)
-	if !n.ended(10 * time.Second) {
-		s.t.Errorf("%s does not end", n.name)
-		n.end()
+	if !n.waitExit(10 * time.Second) {
+		s.t.Errorf("%s did not exit within 10 s of SIGTERM", n.name)
+		n.killAndWait()
 	}
-	over()
-	defer s.record.began("start", n.name)()
+	endFault()
+	defer s.history.beginFault("start", n.name)()
 	s.restart(n)
 }
 
 func (s *soak) freeze(node int, lasts time.Duration, _ uint64) {
-	defer s.record.began("freeze", s.nodes[node].name)()
+	defer s.history.beginFault("freeze", s.nodes[node].name)()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nodes[node].signal(syscall.SIGSTOP)
@@ -59,32 +60,32 @@
 }
 
 func (s *soak) reload(node int, _ time.Duration, _ uint64) {
-	defer s.record.began("reload", s.nodes[node].name)()
+	defer s.history.beginFault("reload", s.nodes[node].name)()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nodes[node].signal(syscall.SIGHUP)
 }
 
 func (s *soak) cutStore(node int, lasts time.Duration, choice uint64) {
-	m := mode(1 + choice%uint64(modes-1))
-	defer s.record.began("store "+modeNames[m], s.nodes[node].name)()
-	s.storeProxies[node].set(m)
+	m := mode(1 + choice%uint64(modeCount-1))
+	defer s.history.beginFault("store "+modeNames[m], s.nodes[node].name)()
+	s.storeProxies[node].setMode(m)
 	time.Sleep(3 * lasts)
-	s.storeProxies[node].set(reset) // what was silent ends
-	s.storeProxies[node].set(pass)
+	s.storeProxies[node].setMode(modeReset) // close connections that were silenced
+	s.storeProxies[node].setMode(modePass)
 }
 
-// losePeers loses datagrams between a node and the others, some or all in one direction.
+// losePeers drops datagrams between a node and its peers: a fraction in both directions, or all in one direction.
 func (s *soak) losePeers(node int, lasts time.Duration, choice uint64) {
-	l := loss(1 + choice%uint64(losses-1))
-	defer s.record.began("datagrams "+lossNames[l], s.nodes[node].name)()
-	s.relays[node].set(l)
+	l := lossMode(1 + choice%uint64(lossModeCount-1))
+	defer s.history.beginFault("datagrams "+lossNames[l], s.nodes[node].name)()
+	s.relays[node].setMode(l)
 	time.Sleep(2 * lasts)
-	s.relays[node].set(lossNone)
+	s.relays[node].setMode(lossNone)
 }
 
 func (s *soak) failStore(_ int, lasts time.Duration, choice uint64) {
-	defer s.record.began("store fails", "")()
+	defer s.history.beginFault("store fails", "")()
 	s.store.Fail([]int{http.StatusServiceUnavailable, http.StatusTooManyRequests}[choice%2])
 	time.Sleep(lasts)
 	s.store.Fail(0)
@@ -98,14 +99,14 @@
 			return
 		}
 		at := int(choice % uint64(len(s.keys)))
-		s.record.mu.Lock()
-		s.record.revoked[s.keys[at]] = time.Now()
-		s.record.mu.Unlock()
+		s.history.mu.Lock()
+		s.history.revoked[s.keys[at]] = time.Now()
+		s.history.mu.Unlock()
 		s.keys = append(s.keys[:at:at], s.keys[at+1:]...)
 	})
 }
 
-// replaceEndpoint starts a new one and has the old one leave.
+// replaceEndpoint starts a new endpoint and drains an old one.
 func (s *soak) replaceEndpoint(_ int, lasts time.Duration, choice uint64) {
 	s.mu.Lock()
 	at := int(choice % uint64(len(s.endpoints)))
@@ -113,14 +114,14 @@
 	s.endpoints = append(s.endpoints[:at:at], s.endpoints[at+1:]...)
 	s.addEndpoint(old.Service, at)
 	old.List(s.store, "draining")
-	s.left[old] = time.Now()
+	s.drainingSince[old] = time.Now()
 	s.mu.Unlock()
 	time.Sleep(lasts + 2*time.Second)
 	s.store.Remove("servers/" + old.ID)
 }
 
 func (s *soak) crashEndpoint(_ int, lasts time.Duration, choice uint64) {
-	defer s.record.began("endpoint crashes", "")()
+	defer s.history.beginFault("endpoint crashes", "")()
 	s.mu.Lock()
 	at := int(choice % uint64(len(s.endpoints)))
 	old := s.endpoints[at]
@@ -139,7 +140,7 @@
 }
 
 func (s *soak) breakStreams(_ int, lasts time.Duration, choice uint64) {
-	defer s.record.began("streams break", "")()
+	defer s.history.beginFault("streams break", "")()
 	e := s.pick(choice)
 	e.BreakAfter(2)
 	time.Sleep(lasts)
@@ -147,34 +148,35 @@
 }
 
 func (s *soak) refuse(_ int, lasts time.Duration, choice uint64) {
-	defer s.record.began("endpoint refuses", "")()
+	defer s.history.beginFault("endpoint refuses", "")()
 	e := s.pick(choice)
 	e.Refuse(true)
 	time.Sleep(lasts)
 	e.Refuse(false)
 }
 
-// limitEndpoint has an endpoint name a limit, for long enough that it binds; each endpoint once, so that it has one value.
+// limitEndpoint has an endpoint advertise a rate limit for long enough that it takes effect at the nodes. Each endpoint
+// does so at most once, so that it only ever has one limit to check against.
 func (s *soak) limitEndpoint(_ int, lasts time.Duration, choice uint64) {
 	l := s.beginLimit(s.pick(choice), 2+int(choice>>8%6))
 	if l == nil {
 		return
 	}
-	time.Sleep(limitSettles + limittest.Window + lasts)
+	time.Sleep(limitPropagationTime + limittest.Window + lasts)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l.to = time.Now()
 	l.endpoint.Limit("")
 }
 
-// beginLimit has the endpoint name the limit; nil if it has named one before.
-func (s *soak) beginLimit(e *platformtest.Endpoint, perSecond int) *limited {
+// beginLimit has the endpoint advertise the limit. It returns nil if the endpoint has advertised one before.
+func (s *soak) beginLimit(e *platformtest.Endpoint, perSecond int) *limitPeriod {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if slices.ContainsFunc(s.limits, func(l *limited) bool { return l.endpoint == e }) {
+	if slices.ContainsFunc(s.limits, func(l *limitPeriod) bool { return l.endpoint == e }) {
 		return nil
 	}
-	l := &limited{endpoint: e, perSecond: perSecond, from: time.Now()}
+	l := &limitPeriod{endpoint: e, perSecond: perSecond, from: time.Now()}
 	s.limits = append(s.limits, l)
 	e.Limit(strconv.Itoa(perSecond))
 	return l
--- /dev/null
+++ b/cmd/hawthornrill-soak/history_test.go
@@ -0,0 +1,105 @@
+package soak
+
+import (
+	"fmt"
+	"sort"
+	"strings"
+	"sync"
+	"time"
+)
+
+// fault is the period in which a fault was active at one node, or at all nodes if node is empty.
+type fault struct {
+	kind     string
+	node     string
+	from, to time.Time
+}
+
+// overlaps reports whether the fault, extended by the recovery time, overlaps the period between from and to.
+func (f *fault) overlaps(from, to time.Time, recovery time.Duration) bool {
+	return f.from.Before(to) && (f.to.IsZero() || f.to.Add(recovery).After(from))
+}
+
+// outcome is the result of a request as its caller observed it.
+type outcome struct {
+	id, node, key, path string
+	sent, ended         time.Time
+	status              int
+	body                string
+	err                 error
+}
+
+// history records all faults, outcomes and revoked keys of a run.
+type history struct {
+	mu       sync.Mutex
+	started  time.Time
+	faults   []*fault
+	outcomes []outcome
+	revoked  map[string]time.Time
+}
+
+// beginFault records the start of a fault; the returned function records its end.
+func (h *history) beginFault(kind, node string) func() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	f := &fault{kind: kind, node: node, from: time.Now()}
+	h.faults = append(h.faults, f)
+	return func() {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		f.to = time.Now()
+	}
+}
+
+func (h *history) addOutcome(o outcome) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.outcomes = append(h.outcomes, o)
+}
+
+// faultRecoveryTime is the time after a fault during which its effects still explain failures: dead connections are being
+// detected and failed endpoints are tried again.
+const faultRecoveryTime = 5 * time.Second
+
+// explainsFailure reports whether a fault may explain a failed request. A graceful stop or a reload of its node does not.
+func (h *history) explainsFailure(o outcome) bool {
+	for _, f := range h.faults {
+		if f.kind == "stop" || f.kind == "reload" || (f.node != "" && f.node != o.node) {
+			continue
+		}
+		if f.overlaps(o.sent, o.ended, faultRecoveryTime) {
+			return true
+		}
+	}
+	return false
+}
+
+// explainsLimitBreach reports whether a fault may have kept the node from learning an endpoint's limit: it had just started,
+// was frozen or lost datagrams.
+func (h *history) explainsLimitBreach(node string, at time.Time) bool {
+	for _, f := range h.faults {
+		if f.node != node || f.kind == "reload" || strings.HasPrefix(f.kind, "store") {
+			continue
+		}
+		if f.overlaps(at, at, limitRecoveryTime) {
+			return true
+		}
+	}
+	return false
+}
+
+// timeline lists the faults and a request in chronological order, for error messages.
+func (h *history) timeline(o outcome) string {
+	var lines []string
+	at := func(t time.Time) string { return fmt.Sprintf("%7.3f", t.Sub(h.started).Seconds()) }
+	for _, f := range h.faults {
+		lines = append(lines, at(f.from)+" "+f.kind+" begins "+f.node)
+		if !f.to.IsZero() {
+			lines = append(lines, at(f.to)+" "+f.kind+" ends "+f.node)
+		}
+	}
+	lines = append(lines, at(o.sent)+" request "+o.id+" sent to "+o.node+o.path,
+		at(o.ended)+fmt.Sprintf(" request %s ends: %d %q %v", o.id, o.status, o.body, o.err))
+	sort.Strings(lines)
+	return strings.Join(lines, "\n")
+}
--- a/cmd/hawthornrill-soak/limit_test.go
+++ b/cmd/hawthornrill-soak/limit_test.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// limitSettles is how long after it was first named an endpoint's limit binds.
-	limitSettles = 3 * time.Second
-	// limitExcused is how long after a fault of its own a node's requests don't count.
-	limitExcused = 3 * time.Second
+	// limitPropagationTime is the time after which all nodes must observe an endpoint's newly advertised limit.
+	limitPropagationTime = 3 * time.Second
+	// limitRecoveryTime is the time after a node's own fault during which its requests are not counted.
+	limitRecoveryTime = 3 * time.Second
 )
 
-// limited is a time in which an endpoint named a limit of so many requests a second.
-type limited struct {
+// limitPeriod is a period in which an endpoint advertised a limit in requests per second.
+type limitPeriod struct {
 	endpoint  *platformtest.Endpoint
 	perSecond int
 	from, to  time.Time
 }
 
-// checkLimits looks for endpoints that got more than they had named to take from all nodes together.
+// checkLimits fails the test if the nodes together sent an endpoint more requests than its advertised limit allows.
 func (s *soak) checkLimits() {
-	nodes := make(map[string]string, len(s.record.outcomes))
-	for _, o := range s.record.outcomes {
+	nodes := make(map[string]string, len(s.history.outcomes))
+	for _, o := range s.history.outcomes {
 		nodes[o.id] = o.node
 	}
 	for _, l := range s.limits {
@@ -32,20 +32,21 @@
 		allowed := limittest.MaxRequests(float64(l.perSecond))
 		if most := limittest.MaxInWindow(counted); float64(most) > allowed {
 			o := outcome{id: l.endpoint.ID, sent: l.from, ended: l.to}
-			s.t.Errorf("endpoint %s named a limit of %d a second and got %d requests in %v, allowed %v\n%s\nlogs in %s", l.endpoint.ID,
-				l.perSecond, most, limittest.Window, allowed, s.record.timeline(o), s.dir)
+			s.t.Errorf("endpoint %s advertised a limit of %d requests/s and received %d requests in %v, at most %v allowed\n%s\nlogs in %s", l.endpoint.ID,
+				l.perSecond, most, limittest.Window, allowed, s.history.timeline(o), s.dir)
 		}
-		s.t.Logf("endpoint %s named a limit of %d a second for %v and got %d requests that count", l.endpoint.ID, l.perSecond,
+		s.t.Logf("endpoint %s advertised a limit of %d requests/s for %v and received %d counted requests", l.endpoint.ID, l.perSecond,
 			l.to.Sub(l.from), len(counted))
 	}
 }
 
-// countedArrivals are when requests came while the limit bound, from nodes that no fault excuses.
-func (s *soak) countedArrivals(l *limited, nodes map[string]string) []time.Time {
+// countedArrivals returns the arrival times of requests that the limit covers: those that arrived while it was in effect,
+// from nodes without a fault that explains a breach.
+func (s *soak) countedArrivals(l *limitPeriod, nodes map[string]string) []time.Time {
 	var counted []time.Time
 	for _, a := range l.endpoint.Arrivals() {
-		bound := !a.At.Before(l.from.Add(limitSettles)) && a.At.Before(l.to)
-		if bound && !s.record.excusesLimit(nodes[a.ID], a.At) {
+		inEffect := !a.At.Before(l.from.Add(limitPropagationTime)) && a.At.Before(l.to)
+		if inEffect && !s.history.explainsLimitBreach(nodes[a.ID], a.At) {
 			counted = append(counted, a.At)
 		}
 	}
--- a/cmd/hawthornrill-soak/process_test.go
+++ b/cmd/hawthornrill-soak/process_test.go
@@ -12,14 +12,14 @@
 	"hawthornrill.example/hawthornrill/platform/platformtest"
 )
 
-// process is an entry node as a process that the soak started; only such are ever signalled.
+// process is an entry node that the soak runs as a child process. The soak signals no other processes.
 type process struct {
-	name     string
-	callers  string
-	ready    string
-	peers    string
-	settings string
-	log      string
+	name          string
+	callerAddress string
+	readyAddress  string
+	peerAddress   string
+	settings      string
+	log           string
 
 	command *exec.Cmd
 	exited  chan struct{}
@@ -49,11 +49,11 @@
 
 func newProcess(t *testing.T, dir, name, centre, store string) *process {
 	p := &process{
-		name: name, callers: platformtest.FreeAddress(), ready: platformtest.FreeAddress(), peers: platformtest.FreeAddress(),
+		name: name, callerAddress: platformtest.FreeAddress(), readyAddress: platformtest.FreeAddress(), peerAddress: platformtest.FreeAddress(),
 		log: filepath.Join(dir, name+".log"),
 	}
 	p.settings = filepath.Join(dir, name+".toml")
-	text := fmt.Sprintf(settingsText, name, centre, store, p.callers, p.ready, p.peers)
+	text := fmt.Sprintf(settingsText, name, centre, store, p.callerAddress, p.readyAddress, p.peerAddress)
 	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	p.exited = exited
 	command := p.command
 	go func() {
-		_ = command.Wait() // killed ones end with an error
+		_ = command.Wait() // a killed process returns an error
 		_ = log.Close()
 		close(exited)
 	}()
@@ -82,18 +82,18 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.command.Process.Signal(s) }
 
-// end kills the process and waits.
-func (p *process) end() {
+// killAndWait kills the process and waits for its exit.
+func (p *process) killAndWait() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// ended waits for the process's own end.
-func (p *process) ended(within time.Duration) bool {
+// waitExit reports whether the process exits within the timeout.
+func (p *process) waitExit(timeout time.Duration) bool {
 	select {
 	case <-p.exited:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return false
 	}
 }
--- a/cmd/hawthornrill-soak/proxy_test.go
+++ b/cmd/hawthornrill-soak/proxy_test.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// mode is how a proxy treats its connections.
+// mode is the fault that a proxy applies to its connections.
 type mode int
 
 const (
-	pass mode = iota
-	// delayed adds a tenth of a second to each read from the client.
-	delayed
-	// silent carries nothing and closes nothing, one way or both.
-	silent
-	silentBack
-	// reset ends connections and refuses new ones.
-	reset
-	modes
+	modePass mode = iota
+	// modeDelayed delays each chunk by 100 ms, in both directions.
+	modeDelayed
+	// modeSilent drops all data without closing connections; modeSilentFromServer does so only from server to client.
+	modeSilent
+	modeSilentFromServer
+	// modeReset resets open connections and refuses new ones.
+	modeReset
+	modeCount
 )
 
 var modeNames = [...]string{"pass", "delayed", "silent", "silent back", "reset"}
 
-// proxy carries TCP connections to an address on loopback.
+// proxy forwards TCP connections to an address on loopback and injects faults into them.
 type proxy struct {
 	listener net.Listener
-	to       string
+	target   string
 
 	mu    sync.Mutex
 	mode  mode
 	conns map[net.Conn]bool
 }
 
-func newProxy(t *testing.T, to string) *proxy {
+func newProxy(t *testing.T, target string) *proxy {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &proxy{listener: l, to: to, conns: make(map[net.Conn]bool)}
+	p := &proxy{listener: l, target: target, conns: make(map[net.Conn]bool)}
 	t.Cleanup(func() {
 		_ = l.Close()
-		p.set(reset)
+		p.setMode(modeReset)
 	})
 	go p.accept()
 	return p
@@ -51,11 +51,11 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) set(m mode) {
+func (p *proxy) setMode(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	if m != reset {
+	if m != modeReset {
 		return
 	}
 	for c := range p.conns {
@@ -67,7 +67,7 @@
 	clear(p.conns)
 }
 
-func (p *proxy) now() mode {
+func (p *proxy) currentMode() mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -79,16 +79,16 @@
 		if err != nil {
 			return
 		}
-		if p.now() == reset {
+		if p.currentMode() == modeReset {
 			_ = c.Close()
 			continue
 		}
-		go p.carry(c)
+		go p.forward(c)
 	}
 }
 
-func (p *proxy) carry(client net.Conn) {
-	server, err := net.Dial("tcp4", p.to)
+func (p *proxy) forward(client net.Conn) {
+	server, err := net.Dial("tcp4", p.target)
 	if err != nil {
 		_ = client.Close()
 		return
@@ -96,26 +96,27 @@
 	p.mu.Lock()
 	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
-	go p.copy(server, client, silent)
-	p.copy(client, server, silentBack)
+	go p.copy(server, client, modeSilent)
+	p.copy(client, server, modeSilentFromServer)
 	p.mu.Lock()
 	delete(p.conns, client)
 	delete(p.conns, server)
 	p.mu.Unlock()
 }
 
-// copy carries one way; while the proxy is silent, or silent this way, what comes in is held and then lost.
-func (p *proxy) copy(to, from net.Conn, oneWay mode) {
+// copy forwards one direction of a connection. Data read in modeSilent or silentMode is dropped, and so is everything after
+// it, since the stream would have a gap. After such a loss, the end of the stream is passed on only in modePass or modeReset.
+func (p *proxy) copy(to, from net.Conn, silentMode mode) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, 16<<10)
 	lost := false
 	for {
 		n, err := from.Read(buffer)
-		switch m := p.now(); {
-		case m == silent || m == oneWay:
+		switch m := p.currentMode(); {
+		case m == modeSilent || m == silentMode:
 			lost = true
-		case m == delayed:
+		case m == modeDelayed:
 			time.Sleep(100 * time.Millisecond)
 		}
 		if !lost && n > 0 {
@@ -124,7 +125,7 @@
 			}
 		}
 		if err != nil {
-			for lost && err == io.EOF && p.now() != reset && p.now() != pass {
+			for lost && err == io.EOF && p.currentMode() != modeReset && p.currentMode() != modePass {
 				time.Sleep(10 * time.Millisecond)
 			}
 			return
--- a/cmd/hawthornrill-soak/relay_test.go
+++ b/cmd/hawthornrill-soak/relay_test.go
@@ -10,37 +10,38 @@
 	"hawthornrill.example/hawthornrill/platform/platformtest"
 )
 
-// loss is how a relay treats datagrams.
-type loss int
+// lossMode is the loss that a relay applies to datagrams.
+type lossMode int
 
 const (
-	lossNone loss = iota
-	// lossSome drops a third, both ways.
+	lossNone lossMode = iota
+	// lossSome drops each datagram with probability 1/3, in both directions.
 	lossSome
-	// lossIn drops all that go to the node, lossOut all that come from it.
-	lossIn
-	lossOut
-	losses
+	// lossInbound drops all datagrams to the node, lossOutbound all datagrams from it.
+	lossInbound
+	lossOutbound
+	lossModeCount
 )
 
 var lossNames = [...]string{"pass", "some lost", "cut inwards", "cut outwards"}
 
-// relay carries the other nodes' datagrams to a node and back. The store lists its address in place of the node's.
+// relay forwards datagrams between a node and its peers. The store lists the relay's address in place of the node's.
 type relay struct {
 	socket *net.UDPConn
-	to     *net.UDPAddr
+	target *net.UDPAddr
 
 	mu   sync.Mutex
-	loss loss
-	// ways are the sockets towards the node, one for each sender, so that the node can answer each.
-	ways map[string]*net.UDPConn
+	mode lossMode
+	// upstreams holds one socket towards the node for each peer address, so that the node's replies reach the right peer.
+	// It is nil once the relay is closed.
+	upstreams map[string]*net.UDPConn
 }
 
-// datagramSize holds any report.
+// datagramSize is the read buffer's size, large enough for any report.
 const datagramSize = 64 << 10
 
-func newRelay(t *testing.T, to string) *relay {
-	address, err := net.ResolveUDPAddr("udp4", to)
+func newRelay(t *testing.T, target string) *relay {
+	address, err := net.ResolveUDPAddr("udp4", target)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,70 +53,70 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{socket: socket, to: address, ways: make(map[string]*net.UDPConn)}
+	r := &relay{socket: socket, target: address, upstreams: make(map[string]*net.UDPConn)}
 	t.Cleanup(r.close)
-	go r.inwards()
+	go r.forwardInbound()
 	return r
 }
 
 func (r *relay) address() string { return r.socket.LocalAddr().String() }
 
-func (r *relay) set(l loss) {
+func (r *relay) setMode(l lossMode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.loss = l
+	r.mode = l
 }
 
-// drops reports whether a datagram in this direction is lost now.
-func (r *relay) drops(inwards bool) bool {
+// drops decides whether to drop the next datagram in the given direction.
+func (r *relay) drops(inbound bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	switch r.loss {
+	switch r.mode {
 	case lossSome:
 		return rand.IntN(3) == 0
-	case lossIn:
-		return inwards
-	case lossOut:
-		return !inwards
+	case lossInbound:
+		return inbound
+	case lossOutbound:
+		return !inbound
 	default:
 		return false
 	}
 }
 
-func (r *relay) inwards() {
+func (r *relay) forwardInbound() {
 	buffer := make([]byte, datagramSize)
 	for {
 		n, from, err := r.socket.ReadFromUDP(buffer)
 		if err != nil {
 			return
 		}
-		if way := r.way(from); way != nil && !r.drops(true) {
-			_, _ = way.Write(buffer[:n]) // a datagram may be lost
+		if upstream := r.upstreamFor(from); upstream != nil && !r.drops(true) {
+			_, _ = upstream.Write(buffer[:n]) // best effort, as datagrams may be lost
 		}
 	}
 }
 
-// way returns the socket for a sender, nil if there can be none.
-func (r *relay) way(from *net.UDPAddr) *net.UDPConn {
+// upstreamFor returns the socket towards the node for a peer. It returns nil if the relay is closed or the dial fails.
+func (r *relay) upstreamFor(from *net.UDPAddr) *net.UDPConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	way, ok := r.ways[from.String()]
-	if ok || r.ways == nil {
-		return way
+	upstream, ok := r.upstreams[from.String()]
+	if ok || r.upstreams == nil {
+		return upstream
 	}
-	way, err := net.DialUDP("udp4", nil, r.to)
+	upstream, err := net.DialUDP("udp4", nil, r.target)
 	if err != nil {
 		return nil
 	}
-	r.ways[from.String()] = way
-	go r.outwards(way, from)
-	return way
+	r.upstreams[from.String()] = upstream
+	go r.forwardOutbound(upstream, from)
+	return upstream
 }
 
-func (r *relay) outwards(way *net.UDPConn, to *net.UDPAddr) {
+func (r *relay) forwardOutbound(upstream *net.UDPConn, to *net.UDPAddr) {
 	buffer := make([]byte, datagramSize)
 	for {
-		n, err := way.Read(buffer)
+		n, err := upstream.Read(buffer)
 		if err != nil {
 			if r.closed() {
 				return
@@ -129,25 +130,25 @@
 	}
 }
 
-// senders returns the number of sockets that have sent to the node.
+// senders returns the number of peer addresses that have sent to the node.
 func (r *relay) senders() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.ways)
+	return len(r.upstreams)
 }
 
 func (r *relay) closed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ways == nil
+	return r.upstreams == nil
 }
 
 func (r *relay) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_ = r.socket.Close()
-	for _, way := range r.ways {
-		_ = way.Close()
+	for _, upstream := range r.upstreams {
+		_ = upstream.Close()
 	}
-	r.ways = nil
+	r.upstreams = nil
 }
--- a/cmd/hawthornrill-soak/soak_test.go
+++ b/cmd/hawthornrill-soak/soak_test.go
@@ -21,13 +21,14 @@
 )
 
 var (
-	seedFlag  = flag.Int64("soak.seed", 0, "first seed of a soak by hand; 0 plays the seeds that are kept")
-	seedsFlag = flag.Int("soak.seeds", 1, "number of seeds, one after the other")
-	timeFlag  = flag.Duration("soak.time", 12*time.Second, "`time` of each seed")
-	nodesFlag = flag.Int("soak.nodes", 5, "number of entry nodes")
+	seedFlag     = flag.Int64("soak.seed", 0, "first seed of a soak by hand; 0 plays the seeds that are kept")
+	seedsFlag    = flag.Int("soak.seeds", 1, "number of seeds, one after the other")
+	durationFlag = flag.Duration("soak.time", 12*time.Second, "`time` of each seed")
+	nodesFlag    = flag.Int("soak.nodes", 5, "number of entry nodes")
 )
 
-// keptSeeds are played by every test run: one that never failed, and each that ever did, with its cause.
+// keptSeeds are run by every test run: one seed that has never failed, and each seed that once failed, with the cause of
+// its failure.
 var keptSeeds = []int64{1}
 
 // binary is the program under test.
@@ -58,11 +59,11 @@
 		}
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { newSoak(t, seed).run(*timeFlag) })
+		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { newSoak(t, seed).run(*durationFlag) })
 	}
 }
 
-// routes hold each call kind; each has the name of its path.
+// routes covers every kind of call; each route is named after its path.
 var routes = []platformtest.Route{
 	{Name: "chat", Prefix: "/chat/", Kind: "stream", Service: "llm", MaxEndpoints: 3, Resumable: true},
 	{Name: "once", Prefix: "/once/", Kind: "stream", Service: "llm", MaxEndpoints: 1},
@@ -78,36 +79,36 @@
 
 var paths = []string{"/chat/", "/once/", "/book/", "/look/"}
 
-// soak is one seed's system, callers and faults.
+// soak is the run of one seed: the system under test, its callers and the injected faults.
 type soak struct {
 	t      *testing.T
 	random *rand.Rand
 	dir    string
 	store  *platformtest.Store
-	// storeProxies are the nodes' ways to the store.
+	// storeProxies carry the nodes' connections to the store, one for each node.
 	storeProxies []*proxy
-	// relays are the other nodes' ways to each node.
+	// relays carry the peers' datagrams to each node.
 	relays   []*relay
 	nodes    []*process
-	record   *record
+	history  *history
 	requests atomic.Int64
 
 	mu        sync.Mutex
 	version   int
 	keys      []string
 	endpoints []*platformtest.Endpoint
-	// ever are all endpoints that there were.
-	ever []*platformtest.Endpoint
-	// left is when the store had taken note of an endpoint's leaving.
-	left map[*platformtest.Endpoint]time.Time
-	// limits are those that endpoints named.
-	limits []*limited
+	// createdEndpoints holds all endpoints created during the run, including removed ones.
+	createdEndpoints []*platformtest.Endpoint
+	// drainingSince holds the time at which each draining endpoint's state had been written to the store.
+	drainingSince map[*platformtest.Endpoint]time.Time
+	// limits holds the limits that endpoints advertised.
+	limits []*limitPeriod
 }
 
 func newSoak(t *testing.T, seed int64) *soak {
 	s := &soak{
 		t: t, random: rand.New(rand.NewPCG(uint64(seed), 0)), store: platformtest.NewStore(),
-		record: &record{started: time.Now(), revoked: make(map[string]time.Time)}, left: make(map[*platformtest.Endpoint]time.Time),
+		history: &history{started: time.Now(), revoked: make(map[string]time.Time)}, drainingSince: make(map[*platformtest.Endpoint]time.Time),
 	}
 	dir, err := os.MkdirTemp("", "soak-logs")
 	if err != nil {
@@ -124,29 +125,29 @@
 		s.addEndpoint("app", i)
 	}
 	for i := range *nodesFlag {
-		way := newProxy(t, server.Listener.Addr().String())
-		s.storeProxies = append(s.storeProxies, way)
-		n := newProcess(t, dir, fmt.Sprint("node-", i), fmt.Sprint("dc-", i%2), way.address())
-		s.relays = append(s.relays, newRelay(t, n.peers))
+		storeProxy := newProxy(t, server.Listener.Addr().String())
+		s.storeProxies = append(s.storeProxies, storeProxy)
+		n := newProcess(t, dir, fmt.Sprint("node-", i), fmt.Sprint("dc-", i%2), storeProxy.address())
+		s.relays = append(s.relays, newRelay(t, n.peerAddress))
 		s.nodes = append(s.nodes, n)
 	}
 	s.store.Rewrite(s.listRelays)
 	for _, n := range s.nodes {
 		n.start(t, binary)
-		t.Cleanup(n.end)
+		t.Cleanup(n.killAndWait)
 	}
 	return s
 }
 
-// listRelays puts the relays' addresses in place of the nodes' in what the nodes write.
+// listRelays replaces the nodes' addresses by those of their relays in values that nodes write to the store.
 func (s *soak) listRelays(value []byte) []byte {
 	for i, n := range s.nodes {
-		value = bytes.ReplaceAll(value, []byte(n.peers), []byte(s.relays[i].address()))
+		value = bytes.ReplaceAll(value, []byte(n.peerAddress), []byte(s.relays[i].address()))
 	}
 	return value
 }
 
-// configure writes a new version.
+// configure applies the edit and writes the resulting configuration to the store as a new version.
 func (s *soak) configure(edit func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,12 +162,13 @@
 	s.t.Cleanup(e.Close)
 	e.List(s.store, "ready")
 	s.endpoints = append(s.endpoints, e)
-	s.ever = append(s.ever, e)
+	s.createdEndpoints = append(s.createdEndpoints, e)
 }
 
-func (s *soak) everyEndpoint() []*platformtest.Endpoint { return s.ever }
+func (s *soak) allEndpoints() []*platformtest.Endpoint { return s.createdEndpoints }
 
-// run plays faults while callers call, and then checks the promises.
+// run injects faults while callers send requests, and then checks the guarantees. The order of the draws from s.random
+// determines what a seed means.
 func (s *soak) run(length time.Duration) {
 	s.waitReady()
 	stop := make(chan struct{})
@@ -192,15 +194,15 @@
 	s.check()
 }
 
-// checkRelays checks that the nodes talk to each other by the relays. A node that hears of another before it reads the list
-// answers by the other's relay, so that one may be unused.
+// checkRelays checks that the nodes reach each other through the relays. Not every relay need have been used: a node that
+// receives a peer's report before it has read the list replies through the peer's relay.
 func (s *soak) checkRelays() {
 	pairs := 0
 	for _, r := range s.relays {
 		pairs += r.senders()
 	}
 	if pairs < len(s.nodes)-1 {
-		s.t.Errorf("only %d pairs of nodes have used the relays", pairs)
+		s.t.Errorf("only %d pairs of nodes used the relays", pairs)
 	}
 }
 
@@ -217,7 +219,7 @@
 }
 
 func (s *soak) ready(n *process) bool {
-	response, err := http.Get("http://" + n.ready + "/ready")
+	response, err := http.Get("http://" + n.readyAddress + "/ready")
 	if err != nil {
 		return false
 	}
@@ -225,7 +227,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// callUntil sends one request after the other, on connections that stay open until the node closes them.
+// callUntil sends one request after another until stop is closed. Connections are kept open until the node closes them.
 func (s *soak) callUntil(stop chan struct{}, random *rand.Rand) {
 	client := &http.Transport{}
 	defer client.CloseIdleConnections()
@@ -235,7 +237,7 @@
 			return
 		default:
 		}
-		s.record.add(s.call(client, s.nodes[random.IntN(len(s.nodes))], paths[random.IntN(len(paths))], fmt.Sprint("k", random.IntN(8))))
+		s.history.addOutcome(s.call(client, s.nodes[random.IntN(len(s.nodes))], paths[random.IntN(len(paths))], fmt.Sprint("k", random.IntN(8))))
 		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
 	}
 }
@@ -244,7 +246,7 @@
 	o := outcome{id: fmt.Sprint("r", s.requests.Add(1)), node: n.name, key: key, path: path, sent: time.Now()}
 	defer func() { o.ended = time.Now() }()
 	model := path == "/chat/" || path == "/once/"
-	request, err := platformtest.NewRequest("http://"+n.callers+path, o.id, key, 9*time.Second, model, strings.NewReader("body"))
+	request, err := platformtest.NewRequest("http://"+n.callerAddress+path, o.id, key, 9*time.Second, model, strings.NewReader("body"))
 	if err != nil {
 		s.t.Error(err)
 		return o
