--- a/cmd/hawthornrill-load/main.go
+++ b/cmd/hawthornrill-load/main.go
@@ -1,6 +1,7 @@
-// Command hawthornrill-load sends a user's workload to nodes over HTTP in real
-// time and reports what came of it. Without addresses it runs the demo. Runs in
-// virtual time are in package load/virtual; see docs/EXPERIMENTS.md.
+// Command hawthornrill-load sends a deployment's workload to nodes over HTTP in
+// real time and reports the measured results. Without node addresses it starts
+// the demo deployment and uses its nodes. Package load/virtual runs workloads in
+// virtual time; see docs/EXPERIMENTS.md.
 package main
 
 import (
@@ -19,31 +20,31 @@
 	"hawthornrill.example/hawthornrill/load"
 )
 
-// Exit codes. A run that broke a promise is a failure.
+// Exit codes. A run that violated a guarantee exits with exitFailure.
 const (
 	exitOK       = 0
 	exitFailure  = 1
 	exitBadInput = 2
 )
 
-// The most that a run may take.
+// Upper limits of the -for and -open flags.
 const (
-	mostTime = 10 * time.Minute
-	mostOpen = 5000
+	maxDuration     = 10 * time.Minute
+	maxOpenRequests = 5000
 )
 
-// errBroken means that the verdict found a breach.
-var errBroken = errors.New("a promise was broken")
+// errGuaranteeViolated means that the verdict counted at least one violation.
+var errGuaranteeViolated = errors.New("guarantees violated")
 
-// arguments are the command line's.
+// arguments holds the parsed command line.
 type arguments struct {
-	deployment *deployment.Deployment
-	options    load.Options
-	open       int
-	addresses  []string
-	engines    []string
-	services   []string
-	report     string
+	deployment      *deployment.Deployment
+	options         load.Options
+	maxOpen         int
+	addresses       []string
+	engines         []string
+	services        []string
+	reportDirectory string
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
@@ -69,13 +70,13 @@
 	return exitOK
 }
 
-// parse returns nil arguments if only the version is asked for.
+// parse returns nil arguments if -version is given.
 func parse(args []string) (*arguments, error) {
 	flags := flag.NewFlagSet("hawthornrill-load", flag.ContinueOnError)
 	name := flags.String("deployment", "cucine", "whose `workload` to send: "+strings.Join(deployment.Names(), " or "))
 	seed := flags.Uint64("seed", 1, "`seed` of the workload")
-	part := flags.Float64("load", 0.5, "offered work in parts of the engines' `capacity`")
-	period := flags.Duration("for", 20*time.Second, "`time` over which requests arrive, at most "+mostTime.String())
+	offeredLoad := flags.Float64("load", 0.5, "offered work in parts of the engines' `capacity`")
+	duration := flags.Duration("for", 20*time.Second, "`time` over which requests arrive, at most "+maxDuration.String())
 	open := flags.Int("open", 1000, "most `requests` open at a time; beyond it they are not sent")
 	addresses := flags.String("addresses", "", "`URLs` of nodes, separated by commas; none for the demo on loopback")
 	engines := flags.String("engines", "", "`URLs` of the stand-in engines whose logs give the verdict, with -addresses")
@@ -92,21 +93,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("-deployment = %q: %w", *name, err)
 	}
-	if *period <= 0 || *period > mostTime || *open < 1 || *open > mostOpen || *part <= 0 {
-		return nil, fmt.Errorf("-for must be above 0 and at most %v, -open between 1 and %d, -load above 0", mostTime, mostOpen)
+	if *duration <= 0 || *duration > maxDuration || *open < 1 || *open > maxOpenRequests || *offeredLoad <= 0 {
+		return nil, fmt.Errorf("-for must be above 0 and at most %v, -open between 1 and %d, -load above 0", maxDuration, maxOpenRequests)
 	}
 	return &arguments{
-		deployment: d,
-		options:    load.Options{Seed: *seed, Load: *part, For: *period},
-		open:       *open,
-		addresses:  list(*addresses),
-		engines:    list(*engines),
-		services:   list(*services),
-		report:     *report,
+		deployment:      d,
+		options:         load.Options{Seed: *seed, Load: *offeredLoad, For: *duration},
+		maxOpen:         *open,
+		addresses:       splitList(*addresses),
+		engines:         splitList(*engines),
+		services:        splitList(*services),
+		reportDirectory: *report,
 	}, nil
 }
 
-func list(text string) []string {
+func splitList(text string) []string {
 	if text == "" {
 		return nil
 	}
--- a/cmd/hawthornrill-load/measure.go
+++ b/cmd/hawthornrill-load/measure.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// startTimeout bounds the start of the demo.
+	// startTimeout bounds the startup of the demo deployment.
 	startTimeout = 30 * time.Second
-	// endTimeout is how long after the last arrival a run may go on.
-	endTimeout = 2 * time.Minute
-	// witnessTimeout bounds the reading of the stand-ins' logs.
-	witnessTimeout = 30 * time.Second
+	// completionTimeout bounds the time that requests may take after the last arrival.
+	completionTimeout = 2 * time.Minute
+	// logFetchTimeout bounds the fetching of the stand-ins' logs.
+	logFetchTimeout = 30 * time.Second
 )
 
-// measure sends the workload and reports.
+// measure runs the workload against the given nodes, or those of a demo deployment, and writes the report.
 func measure(ctx context.Context, a *arguments) error {
 	if a.addresses != nil {
-		return send(ctx, a, a.addresses, a.witnesses())
+		return send(ctx, a, a.addresses, a.standInRows())
 	}
 	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -39,8 +39,8 @@
 	return errors.Join(send(ctx, a, d.NodeURLs(), d.Endpoints()), d.Stop())
 }
 
-// witnesses are the rows of the stand-ins given by address.
-func (a *arguments) witnesses() []config.EndpointRow {
+// standInRows returns endpoint rows for the stand-ins whose URLs were given.
+func (a *arguments) standInRows() []config.EndpointRow {
 	var rows []config.EndpointRow
 	add := func(kind config.EndpointKind, addresses []string) {
 		for _, address := range addresses {
@@ -52,46 +52,46 @@
 	return rows
 }
 
-// send runs the workload against nodes and judges it by the endpoints' logs.
+// send runs the workload against nodes, measures it, checks it against the endpoints' logs and writes the report.
 func send(ctx context.Context, a *arguments, addresses []string, endpoints []config.EndpointRow) error {
 	workload, err := load.Generate(load.ModelOf(a.deployment), a.options)
 	if err != nil {
 		return err
 	}
-	target, err := load.NewHTTPTarget(addresses, a.open)
+	target, err := load.NewHTTPTarget(addresses, a.maxOpen)
 	if err != nil {
 		return err
 	}
 	defer target.Close()
-	running, cancel := context.WithTimeout(ctx, a.options.For+endTimeout)
+	running, cancel := context.WithTimeout(ctx, a.options.For+completionTimeout)
 	defer cancel()
-	record := load.Run(running, workload, target, load.RunOptions{MostOpen: a.open})
-	reading, stop := context.WithTimeout(ctx, witnessTimeout)
+	record := load.Run(running, workload, target, load.RunOptions{MostOpen: a.maxOpen})
+	fetching, stop := context.WithTimeout(ctx, logFetchTimeout)
 	defer stop()
-	witness, err := load.FetchWitness(reading, endpoints)
+	endpointLogs, err := load.FetchWitness(fetching, endpoints)
 	if err != nil {
 		return err
 	}
 	bound := load.Bound(workload, &a.deployment.Table)
-	return report(a, load.Measure(workload, "real-time", record, witness, bound), len(endpoints) > 0)
+	return report(a, load.Measure(workload, "real-time", record, endpointLogs, bound), len(endpoints) > 0)
 }
 
-// report writes what was measured. Without the endpoints' logs there is no verdict.
-func report(a *arguments, r *load.Report, judged bool) error {
+// report writes the results. Without the endpoints' logs there is no valid verdict.
+func report(a *arguments, r *load.Report, hasLogs bool) error {
 	if err := r.WriteTable(os.Stdout); err != nil {
 		return err
 	}
-	if a.report != "" {
-		if err := r.Save(a.report); err != nil {
+	if a.reportDirectory != "" {
+		if err := r.Save(a.reportDirectory); err != nil {
 			return err
 		}
 	}
-	if !judged {
-		fmt.Println("no -engines or -services given: the verdict above is void")
+	if !hasLogs {
+		fmt.Println("neither -engines nor -services given: the verdict above is not valid")
 		return nil
 	}
-	if broken := r.Verdict.Broken(); broken > 0 {
-		return fmt.Errorf("%w: %d times", errBroken, broken)
+	if violations := r.Verdict.Broken(); violations > 0 {
+		return fmt.Errorf("%w: %d violations", errGuaranteeViolated, violations)
 	}
 	return nil
 }
