--- a/cmd/hawthornrill-sizing/main.go
+++ b/cmd/hawthornrill-sizing/main.go
@@ -1,5 +1,5 @@
-// Command hawthornrill-sizing fits slopes to benchmark output and works out the
-// tables of docs/CAPACITY.md.
+// Command hawthornrill-sizing fits the cost model's slopes to benchmark output and
+// computes the tables of docs/CAPACITY.md from them.
 package main
 
 import (
@@ -43,9 +43,9 @@
 	}
 	switch command {
 	case "fit":
-		return fit(args)
+		return fitConstants(args)
 	case "page":
-		return page(args)
+		return renderPage(args)
 	case "-version", "--version":
 		fmt.Println(buildinfo.String())
 		return nil
@@ -57,14 +57,14 @@
 	}
 }
 
-func fit(args []string) error {
+func fitConstants(args []string) error {
 	flags := flag.NewFlagSet("fit", flag.ContinueOnError)
 	in := flags.String("in", "-", "`file` with the output of go test -bench, - for standard input")
 	out := flags.String("out", constantsPath, "constants `file` to update")
 	if err := parse(flags, args); err != nil {
-		return done(err)
+		return ignoreHelp(err)
 	}
-	source, err := open(*in)
+	source, err := openInput(*in)
 	if err != nil {
 		return err
 	}
@@ -74,12 +74,12 @@
 	return err
 }
 
-func page(args []string) error {
+func renderPage(args []string) error {
 	flags := flag.NewFlagSet("page", flag.ContinueOnError)
 	constants := flags.String("constants", constantsPath, "constants `file`")
 	out := flags.String("out", pagePath, "page to update, Markdown `file` with markers")
 	if err := parse(flags, args); err != nil {
-		return done(err)
+		return ignoreHelp(err)
 	}
 	return sizing.RenderFile(*constants, *out)
 }
@@ -94,15 +94,15 @@
 	return nil
 }
 
-// done makes a request for help no error.
-func done(err error) error {
+// ignoreHelp maps flag.ErrHelp to nil, since printing the help is no failure.
+func ignoreHelp(err error) error {
 	if errors.Is(err, flag.ErrHelp) {
 		return nil
 	}
 	return err
 }
 
-func open(path string) (io.ReadCloser, error) {
+func openInput(path string) (io.ReadCloser, error) {
 	if path == "-" {
 		return io.NopCloser(os.Stdin), nil
 	}
--- a/cmd/hawthornrill-standin/main.go
+++ b/cmd/hawthornrill-standin/main.go
@@ -1,5 +1,5 @@
-// Command hawthornrill-standin runs one stand-in of what surrounds the system: a
-// model engine, a plain service, or a part of the platform.
+// Command hawthornrill-standin runs a stand-in for one of the system's
+// dependencies: a model engine, a plain service, or a part of the platform.
 package main
 
 import (
