--- a/cmd/hawthornrill-demo/main.go
+++ b/cmd/hawthornrill-demo/main.go
@@ -1,4 +1,4 @@
-// Command hawthornrill-demo runs a whole deployment in one process on loopback.
+// Command hawthornrill-demo runs a complete deployment in one process on loopback.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"hawthornrill.example/hawthornrill/settings"
 )
 
-// startTimeout bounds the start of the whole deployment.
+// startTimeout bounds the startup of the deployment.
 const startTimeout = 30 * time.Second
 
 // Exit codes.
--- a/cmd/hawthornrill-demo/platformsample.go
+++ b/cmd/hawthornrill-demo/platformsample.go
@@ -20,30 +20,31 @@
 )
 
 const (
-	// platformNodes is the number of entry nodes of the sample, platformTurns the requests of each kind.
-	platformNodes = 2
-	platformTurns = 3
-	// samplePatience bounds a request, readyEvery is how often it is asked whether a node takes requests.
-	samplePatience = 10 * time.Second
-	readyEvery     = 50 * time.Millisecond
-	// sampleKey is the organisation's key.
+	// platformNodes is the number of entry nodes, requestsPerKind the number of requests of each kind.
+	platformNodes   = 2
+	requestsPerKind = 3
+	// requestTimeout bounds each request, readyPollInterval is the interval between readiness checks of a node.
+	requestTimeout    = 10 * time.Second
+	readyPollInterval = 50 * time.Millisecond
+	// sampleKey is the API key of the sample's organisation.
 	sampleKey = "sample-key"
 )
 
-// errPlatformSample means that the sample did not go as promised.
-var errPlatformSample = errors.New("demo: the sample on the platform failed")
+// errPlatformSample means that the platform sample failed.
+var errPlatformSample = errors.New("demo: platform sample failed")
 
-// platformSample is a small deployment on the users' platform: its store, endpoints and entry nodes, in this process.
+// platformSample is a small deployment on a stand-in of the users' platform, all in this process: a store, endpoints and
+// entry nodes.
 type platformSample struct {
-	out       io.Writer
-	store     *platformtest.Store
-	server    *httptest.Server
-	endpoints []*platformtest.Endpoint
-	addresses []string
-	ended     []chan error
+	out           io.Writer
+	store         *platformtest.Store
+	storeServer   *httptest.Server
+	endpoints     []*platformtest.Endpoint
+	nodeAddresses []string
+	nodeResults   []chan error
 }
 
-// samplePlatform serves some requests by the path of the users' platform, and checks that each ran once.
+// samplePlatform sends requests through entry nodes on a stand-in of the users' platform and checks that each ran once.
 func samplePlatform(ctx context.Context, out io.Writer, log zerolog.Logger) error {
 	running, stop := context.WithCancel(ctx)
 	s := newPlatformSample(out)
@@ -53,23 +54,23 @@
 		err = s.serve(ctx)
 	}
 	stop()
-	for _, ended := range s.ended {
-		err = errors.Join(err, <-ended)
+	for _, result := range s.nodeResults {
+		err = errors.Join(err, <-result)
 	}
 	return err
 }
 
 func newPlatformSample(out io.Writer) *platformSample {
 	s := &platformSample{out: out, store: platformtest.NewStore()}
-	s.server = httptest.NewServer(s.store)
+	s.storeServer = httptest.NewServer(s.store)
 	s.store.Put("op/config", platformtest.Configuration(1, []platformtest.Route{
 		{
 			Name: "chat", Prefix: "/chat/", Kind: "stream", Service: "llm", MaxEndpoints: 2, Resumable: true,
-			Timeout: samplePatience, FirstByte: time.Second, Gap: time.Second,
+			Timeout: requestTimeout, FirstByte: time.Second, Gap: time.Second,
 		},
 		{
 			Name: "book", Prefix: "/book/", Kind: "non_idempotent", Service: "app", MaxEndpoints: 1,
-			Timeout: samplePatience, FirstByte: time.Second,
+			Timeout: requestTimeout, FirstByte: time.Second,
 		},
 	}, []string{sampleKey}))
 	for _, name := range []string{"llm-0", "llm-1", "app-0"} {
@@ -85,7 +86,7 @@
 	for _, e := range s.endpoints {
 		e.Close()
 	}
-	s.server.Close()
+	s.storeServer.Close()
 }
 
 func (s *platformSample) startNodes(ctx context.Context, log zerolog.Logger) error {
@@ -96,18 +97,18 @@
 		if err != nil {
 			return err
 		}
-		ended := make(chan error, 1)
-		go func() { ended <- node.Run(ctx) }()
-		s.ended = append(s.ended, ended)
-		s.addresses = append(s.addresses, settings.Listen.Callers)
-		if err := awaitReady(ctx, node); err != nil {
+		result := make(chan error, 1)
+		go func() { result <- node.Run(ctx) }()
+		s.nodeResults = append(s.nodeResults, result)
+		s.nodeAddresses = append(s.nodeAddresses, settings.Listen.Callers)
+		if err := waitReady(ctx, node); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func awaitReady(ctx context.Context, node *entrynode.Node) error {
+func waitReady(ctx context.Context, node *entrynode.Node) error {
 	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
@@ -118,14 +119,14 @@
 		select {
 		case <-starting.Done():
 			return fmt.Errorf("%w: node not ready: %s", errPlatformSample, reason)
-		case <-time.After(readyEvery):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
 func (s *platformSample) settings(name string) entrynode.Settings {
 	return entrynode.Settings{
-		Node: domain.NodeID(name), DataCentre: "d", Store: s.server.Listener.Addr().String(),
+		Node: domain.NodeID(name), DataCentre: "d", Store: s.storeServer.Listener.Addr().String(),
 		Listen: entrynode.Listen{
 			Callers: platformtest.FreeAddress(), Ready: platformtest.FreeAddress(), Peers: platformtest.FreeAddress(),
 		},
@@ -135,13 +136,13 @@
 	}
 }
 
-// serve sends requests of both kinds to the nodes in turn.
+// serve sends requests of both kinds to the nodes in round-robin order.
 func (s *platformSample) serve(ctx context.Context) error {
 	paths := []string{"/chat/sample", "/book/sample"}
 	requests := 0
-	for range platformTurns {
+	for range requestsPerKind {
 		for _, path := range paths {
-			id, address := fmt.Sprintf("sample-%d", requests), s.addresses[requests%len(s.addresses)]
+			id, address := fmt.Sprintf("sample-%d", requests), s.nodeAddresses[requests%len(s.nodeAddresses)]
 			requests++
 			if err := s.call(ctx, address, path, id); err != nil {
 				return err
@@ -151,13 +152,13 @@
 			}
 		}
 	}
-	_, err := fmt.Fprintf(s.out, "on the platform: %d requests through %d nodes, each run once\n", requests, len(s.addresses))
+	_, err := fmt.Fprintf(s.out, "on the platform: %d requests through %d nodes, each run once\n", requests, len(s.nodeAddresses))
 	return err
 }
 
 func (s *platformSample) call(ctx context.Context, address, path, id string) error {
 	streamed := strings.HasPrefix(path, "/chat/")
-	request, err := platformtest.NewRequest("http://"+address+path, id, sampleKey, samplePatience, streamed, strings.NewReader("hello"))
+	request, err := platformtest.NewRequest("http://"+address+path, id, sampleKey, requestTimeout, streamed, strings.NewReader("hello"))
 	if err != nil {
 		return fmt.Errorf("%w: %w", errPlatformSample, err)
 	}
@@ -170,7 +171,7 @@
 	if err != nil || response.StatusCode != http.StatusOK {
 		return fmt.Errorf("%w: request %s: status %d: %w", errPlatformSample, id, response.StatusCode, err)
 	}
-	_, err = fmt.Fprintf(s.out, "on the platform: %s %s by %s: %d bytes\n", id, path, address, len(body))
+	_, err = fmt.Fprintf(s.out, "on the platform: %s %s through %s: %d bytes\n", id, path, address, len(body))
 	return err
 }
 
