--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	benchStreams  = 500
-	benchTokens   = 60
-	benchInterval = 50 * time.Millisecond
-	// benchRamp is the time over which the streams begin.
+	benchStreams       = 500
+	benchTokens        = 60
+	benchTokenInterval = 50 * time.Millisecond
+	// benchRamp is the period over which the streams are started.
 	benchRamp = time.Second
 )
 
-// oneNode is a deployment of one node before one engine with room for all streams.
-func oneNode() *deployment.Deployment {
+// singleNodeDeployment returns a deployment of one node and one engine with capacity for all streams.
+func singleNodeDeployment() *deployment.Deployment {
 	d := deployment.Cucine()
 	d.Hosts = d.Hosts[:1]
 	row := d.Table.Endpoints[0]
@@ -41,7 +41,7 @@
 	return d
 }
 
-// latencies are those of many streams, in nanoseconds.
+// latencies collects the latencies of many streams, in nanoseconds: the time to the first event and between events.
 type latencies struct {
 	mu         sync.Mutex
 	first, gap *hdrhistogram.Histogram
@@ -52,8 +52,8 @@
 	return &latencies{first: histogram(), gap: histogram()}
 }
 
-// stream reads one answer and notes the time to its first event and between events.
-func (l *latencies) stream(b *testing.B, url string, number int) {
+// measureStream reads one streamed answer and records the time to its first event and between its events.
+func (l *latencies) measureStream(b *testing.B, url string, number int) {
 	body := fmt.Sprintf(`{"model":"quote","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"stream %d"}]}`, benchTokens, number)
 	request, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 	assert.NilError(b, err)
@@ -78,34 +78,34 @@
 	}
 }
 
-// run has all streams open at a time.
-func (l *latencies) run(b *testing.B, url string) {
+// measureStreams starts all streams over benchRamp and waits for their ends.
+func (l *latencies) measureStreams(b *testing.B, url string) {
 	var group sync.WaitGroup
 	for i := range benchStreams {
 		time.Sleep(benchRamp / benchStreams)
-		group.Go(func() { l.stream(b, url, i) })
+		group.Go(func() { l.measureStream(b, url, i) })
 	}
 	group.Wait()
 }
 
-// BenchmarkNodeAddedLatency compares 500 streams through a whole node with the same
-// streams from the engine stand-in itself.
+// BenchmarkNodeAddedLatency compares the latencies of 500 concurrent streams through
+// a node with those of the same streams read directly from the engine stand-in.
 func BenchmarkNodeAddedLatency(b *testing.B) {
 	http.DefaultTransport.(*http.Transport).MaxIdleConnsPerHost = benchStreams
 	d, err := Start(context.Background(), Options{
-		Deployment: oneNode(),
+		Deployment: singleNodeDeployment(),
 		Log:        zerolog.Nop(),
 		Engine: func(*config.EndpointRow) engine.Options {
-			return engine.Options{Speed: engine.Flat(benchInterval), BatchLimit: 2 * benchStreams, KVTokens: 4 << 20}
+			return engine.Options{Speed: engine.Flat(benchTokenInterval), BatchLimit: 2 * benchStreams, KVTokens: 4 << 20}
 		},
 	})
 	assert.NilError(b, err)
 	defer func() { assert.Check(b, d.Stop()) }()
-	newLatencies().run(b, d.NodeURLs()[0])
+	newLatencies().measureStreams(b, d.NodeURLs()[0])
 	direct, through := newLatencies(), newLatencies()
 	for b.Loop() {
-		direct.run(b, d.table.Endpoints[0].Address)
-		through.run(b, d.NodeURLs()[0])
+		direct.measureStreams(b, d.table.Endpoints[0].Address)
+		through.measureStreams(b, d.NodeURLs()[0])
 	}
 	for _, quantile := range []float64{50, 99} {
 		report := func(name string, a, c *hdrhistogram.Histogram) {
--- a/demo/conversation.go
+++ b/demo/conversation.go
@@ -13,25 +13,24 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// answerTokens is the length of a sample answer.
+// answerTokens is the length of a sample answer in tokens.
 const answerTokens = 40
 
-// maxErrorBytes bounds what is shown of an error's body.
+// maxErrorBytes bounds the part of an error response's body that is shown.
 const maxErrorBytes = 4096
 
-// sessionHeader carries a session's token.
+// sessionHeader is the HTTP header that carries a session token.
 const sessionHeader = "Hawthornrill-Session"
 
-// doneData is the data of the last event of a stream.
-const doneData = "[DONE]"
+// streamEndData is the data of a stream's last event.
+const streamEndData = "[DONE]"
 
-// message is one message of a conversation.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// chatRequest is the body of a chat completion.
+// chatRequest is the body of a chat completion request.
 type chatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []message `json:"messages"`
@@ -39,7 +38,7 @@
 	Stream    bool      `json:"stream"`
 }
 
-// chatEvent is what the sample reads of an event.
+// chatEvent holds the fields of a stream event that the sample reads.
 type chatEvent struct {
 	Choices []struct {
 		Delta struct {
@@ -48,10 +47,10 @@
 	} `json:"choices"`
 }
 
-// conversation is a caller's side of a chat.
+// conversation is the client side of a chat with a model.
 type conversation struct {
 	model, key string
-	// session is the token that the node gave out.
+	// session is the session token issued by the node.
 	session  string
 	messages []message
 }
@@ -60,8 +59,8 @@
 	return &conversation{model: model, key: key}
 }
 
-// open opens the conversation's session.
-func (c *conversation) open(ctx context.Context, url string) error {
+// openSession opens a session at the node and stores its token.
+func (c *conversation) openSession(ctx context.Context, url string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/sessions", nil)
 	if err != nil {
 		return err
@@ -79,30 +78,30 @@
 	return nil
 }
 
-func (c *conversation) ask(text string) {
+func (c *conversation) addQuestion(text string) {
 	c.messages = append(c.messages, message{Role: "user", Content: text})
 }
 
-func (c *conversation) answered(text string) {
+func (c *conversation) addAnswer(text string) {
 	c.messages = append(c.messages, message{Role: "assistant", Content: text})
 }
 
-// streamed is an answer as it was received.
-type streamed struct {
-	text         string
-	events       int
-	first, total time.Duration
+// streamedAnswer is a received answer with its number of events and the times to the first and the last one.
+type streamedAnswer struct {
+	text              string
+	events            int
+	firstEvent, total time.Duration
 }
 
-// send streams the answer to the conversation so far.
-func (c *conversation) send(ctx context.Context, url, requestKey string) (streamed, error) {
+// send sends the conversation so far and reads the streamed answer.
+func (c *conversation) send(ctx context.Context, url, requestKey string) (streamedAnswer, error) {
 	body, err := json.Marshal(chatRequest{Model: c.model, Messages: c.messages, MaxTokens: answerTokens, Stream: true})
 	if err != nil {
-		return streamed{}, err
+		return streamedAnswer{}, err
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		return streamed{}, err
+		return streamedAnswer{}, err
 	}
 	request.Header.Set("Authorization", "Bearer "+c.key)
 	request.Header.Set("Content-Type", "application/json")
@@ -111,39 +110,39 @@
 	sent := time.Now()
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return streamed{}, err
+		return streamedAnswer{}, err
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return streamed{}, statusError(response)
+		return streamedAnswer{}, statusError(response)
 	}
-	return read(response.Body, sent)
+	return readStream(response.Body, sent)
 }
 
-// statusError is the error of a response that is no answer.
+// statusError returns an error with the status and body of an unsuccessful response.
 func statusError(response *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	return fmt.Errorf("%s: %s", response.Status, text)
 }
 
-// read collects a stream's text; a stream without its last event is an error.
-func read(body io.Reader, sent time.Time) (streamed, error) {
-	var s streamed
+// readStream collects the text of a stream. It returns io.ErrUnexpectedEOF if the stream ends without its last event.
+func readStream(body io.Reader, sent time.Time) (streamedAnswer, error) {
+	var s streamedAnswer
 	var text strings.Builder
 	for event, err := range sse.Read(body, nil) {
 		if err != nil {
 			return s, err
 		}
-		if event.Data == doneData {
+		if event.Data == streamEndData {
 			s.text, s.total = text.String(), time.Since(sent)
 			return s, nil
 		}
 		if s.events++; s.events == 1 {
-			s.first = time.Since(sent)
+			s.firstEvent = time.Since(sent)
 		}
 		var e chatEvent
 		if err := json.Unmarshal([]byte(event.Data), &e); err != nil {
-			return s, fmt.Errorf("event %q: %w", event.Data, err)
+			return s, fmt.Errorf("decode event %q: %w", event.Data, err)
 		}
 		for _, choice := range e.Choices {
 			text.WriteString(choice.Delta.Content)
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -25,41 +25,43 @@
 )
 
 const (
-	// OperatorName and OperatorKey are the demonstration operator's. They are no
-	// secret.
+	// OperatorName and OperatorKey are the demo operator's name and key. The key is
+	// public.
 	OperatorName = "demo"
 	OperatorKey  = "demo-operator-key"
 )
 
 const (
-	// readyPoll is the interval at which Start looks whether the nodes are ready.
-	readyPoll = 20 * time.Millisecond
-	// hostListLag is how late the host list is.
-	hostListLag = 2 * time.Second
+	// readyPollInterval is the interval between readiness checks of the nodes, and
+	// between attempts to apply the table.
+	readyPollInterval = 20 * time.Millisecond
+	// hostListDelay is the time after which the host list shows a change.
+	hostListDelay = 2 * time.Second
 )
 
 // Demo is a running deployment.
 type Demo struct {
-	options Options
-	table   config.Table
-	store   string
-	hosts   string
-	files   *files
-	// peers are the nodes' listeners for peers.
-	peers    []net.Listener
-	sites    []*site
-	engines  map[domain.EndpointID]*engine.Engine
-	services map[domain.EndpointID]*service.Service
-	daemons  []*daemon.Daemon
+	options     Options
+	table       config.Table
+	storeURL    string
+	hostListURL string
+	files       *secretFiles
+	// peerListeners are the nodes' listeners for peer connections.
+	peerListeners []net.Listener
+	servers       []*httpServer
+	engines       map[domain.EndpointID]*engine.Engine
+	services      map[domain.EndpointID]*service.Service
+	daemons       []*daemon.Daemon
 
-	// nodes and endpoints are the goroutines that run them; stop ends the nodes.
-	nodes     errgroup.Group
-	endpoints errgroup.Group
-	stop      context.CancelFunc
+	// nodeGroup and standInGroup run the nodes and the stand-ins; cancelNodes stops
+	// the nodes.
+	nodeGroup    errgroup.Group
+	standInGroup errgroup.Group
+	cancelNodes  context.CancelFunc
 }
 
-// Start runs the deployment and returns when all nodes are ready, or fails.
-// Stop must be called.
+// Start starts the deployment and returns when all nodes are ready. The caller must
+// call Stop.
 func Start(ctx context.Context, options Options) (*Demo, error) {
 	d := &Demo{
 		options:  options,
@@ -68,7 +70,7 @@
 		services: make(map[domain.EndpointID]*service.Service),
 	}
 	running, stop := context.WithCancel(context.Background())
-	d.stop = stop
+	d.cancelNodes = stop
 	if err := d.start(ctx, running); err != nil {
 		_ = d.Stop()
 		return nil, fmt.Errorf("demo: %w", err)
@@ -77,7 +79,7 @@
 }
 
 func (d *Demo) start(ctx, running context.Context) error {
-	seeds, err := d.openPeers()
+	seeds, err := d.openPeerListeners()
 	if err != nil {
 		return err
 	}
@@ -90,46 +92,46 @@
 	if err := d.startNodes(running, seeds); err != nil {
 		return err
 	}
-	if err := d.accept(ctx); err != nil {
+	if err := d.applyTable(ctx); err != nil {
 		return err
 	}
-	return d.awaitReady(ctx)
+	return d.waitReady(ctx)
 }
 
-// startPlatform runs the stand-ins of the store and of the host list.
+// startPlatform starts the stand-ins of the store and of the host list.
 func (d *Demo) startPlatform(seeds []settings.Seed) error {
-	store, err := d.serve(storeserver.NewHandler(memstore.New(memstore.Options{}), storeserver.Options{}))
+	store, err := d.serveStandIn(storeserver.NewHandler(memstore.New(memstore.Options{}), storeserver.Options{}))
 	if err != nil {
 		return err
 	}
-	list := hostserver.New(hostListLag)
+	list := hostserver.New(hostListDelay)
 	for _, seed := range seeds {
 		list.Put(hostlist.Host{Node: seed.Node, Address: seed.Address, DataCentre: seed.DataCentre, State: hostlist.StateLive})
 	}
-	hosts, err := d.serve(hostserver.NewHandler(list))
+	hosts, err := d.serveStandIn(hostserver.NewHandler(list))
 	if err != nil {
 		return err
 	}
-	d.store, d.hosts = store.url(), hosts.url()
+	d.storeURL, d.hostListURL = store.url(), hosts.url()
 	return nil
 }
 
-// serve runs a stand-in until Stop.
-func (d *Demo) serve(handler http.Handler) (*site, error) {
-	s, err := newSite(handler)
+// serveStandIn serves a stand-in on a free port until Stop.
+func (d *Demo) serveStandIn(handler http.Handler) (*httpServer, error) {
+	s, err := newHTTPServer(handler)
 	if err != nil {
 		return nil, err
 	}
-	d.sites = append(d.sites, s)
-	d.endpoints.Go(s.serve)
+	d.servers = append(d.servers, s)
+	d.standInGroup.Go(s.serve)
 	return s, nil
 }
 
-// startEndpoints runs a stand-in for each endpoint row and fills in its address.
+// startEndpoints starts a stand-in for each endpoint row and sets the row's address.
 func (d *Demo) startEndpoints() error {
 	for i := range d.table.Endpoints {
 		row := &d.table.Endpoints[i]
-		s, err := d.serve(d.newEndpoint(row, uint64(i)))
+		s, err := d.serveStandIn(d.newEndpoint(row, uint64(i)))
 		if err != nil {
 			return err
 		}
@@ -138,14 +140,14 @@
 	return nil
 }
 
-// newEndpoint makes the stand-in of a row.
+// newEndpoint returns the handler of an endpoint row's stand-in.
 func (d *Demo) newEndpoint(row *config.EndpointRow, seed uint64) http.Handler {
 	if row.Kind == config.KindService {
 		s := service.New(service.Options{})
 		d.services[row.ID] = s
 		return s.Handler()
 	}
-	options := engine.Options{Speed: speed(row.Generation)}
+	options := engine.Options{Speed: speedOf(row.Generation)}
 	if d.options.Engine != nil {
 		options = d.options.Engine(row)
 	}
@@ -156,45 +158,45 @@
 	return engine.NewHandler(e)
 }
 
-func speed(generation string) engine.Speed {
+func speedOf(generation string) engine.Speed {
 	if generation == deployment.GenerationB {
 		return engine.GenerationB()
 	}
 	return engine.GenerationA()
 }
 
-// startNodes runs a daemon for each host.
+// startNodes starts a daemon for each host.
 func (d *Demo) startNodes(running context.Context, seeds []settings.Seed) error {
 	var err error
-	if d.files, err = newFiles(); err != nil {
+	if d.files, err = newSecretFiles(); err != nil {
 		return err
 	}
 	for i := range d.options.Deployment.Hosts {
-		s, err := d.settings(i, seeds)
+		s, err := d.nodeSettings(i, seeds)
 		if err != nil {
 			return err
 		}
-		node, err := daemon.New(daemon.Options{Settings: s, Log: d.options.Log, Peers: d.peers[i]})
+		node, err := daemon.New(daemon.Options{Settings: s, Log: d.options.Log, Peers: d.peerListeners[i]})
 		if err != nil {
 			return err
 		}
 		d.daemons = append(d.daemons, node)
-		d.nodes.Go(func() error { return node.Run(running) })
+		d.nodeGroup.Go(func() error { return node.Run(running) })
 	}
 	return nil
 }
 
-// settings returns what the node's TOML file would say.
-func (d *Demo) settings(i int, seeds []settings.Seed) (settings.Settings, error) {
+// nodeSettings returns the settings that a node would read from its TOML file.
+func (d *Demo) nodeSettings(i int, seeds []settings.Seed) (settings.Settings, error) {
 	s := settings.Default()
 	s.Node, s.DataCentre = seeds[i].Node, seeds[i].DataCentre
 	s.Listen = settings.Listen{Callers: loopback, Operators: loopback, Peers: seeds[i].Address}
-	s.Platform.Store, s.Platform.HostList = d.store, d.hosts
+	s.Platform.Store, s.Platform.HostList = d.storeURL, d.hostListURL
 	s.Operators.Keys = []settings.OperatorKey{{Name: OperatorName, SHA256: deployment.KeyHash(OperatorKey)}}
-	s.Sessions.SecretFiles = []string{d.files.sessionSecret()}
+	s.Sessions.SecretFiles = []string{d.files.sessionSecretPath()}
 	s.Peers.Seeds = seeds
 	s.Shutdown.NoticePeriod.Duration = 0
-	certificate, err := d.files.issue(s.Node)
+	certificate, err := d.files.issueCertificate(s.Node)
 	if err != nil {
 		return s, err
 	}
@@ -205,57 +207,60 @@
 	return s, nil
 }
 
-// openPeers opens the nodes' listeners for peers, so that all addresses are known
-// before the first node starts.
-func (d *Demo) openPeers() ([]settings.Seed, error) {
+// openPeerListeners opens the nodes' listeners for peer connections, so that all seed
+// addresses are known before the first node starts.
+func (d *Demo) openPeerListeners() ([]settings.Seed, error) {
 	var seeds []settings.Seed
 	for _, host := range d.options.Deployment.Hosts {
 		listener, err := net.Listen("tcp", loopback)
 		if err != nil {
 			return nil, err
 		}
-		d.peers = append(d.peers, listener)
+		d.peerListeners = append(d.peerListeners, listener)
 		seeds = append(seeds, settings.Seed{Node: host.Node, DataCentre: host.DataCentre, Address: listener.Addr().String()})
 	}
 	return seeds, nil
 }
 
-// accept has the first node accept the deployment's table.
-func (d *Demo) accept(ctx context.Context) error {
+// applyTable submits the deployment's table to the first node. It retries until the
+// table is accepted or invalid, or the context ends.
+func (d *Demo) applyTable(ctx context.Context) error {
 	changes := config.Diff(config.Table{}, d.table)
 	for {
 		edit := document.Edit{ID: document.NewEditID(), Author: OperatorName, Note: "the demo's table"}
 		_, err := d.daemons[0].Node().Table().Edit(ctx, edit, changes)
-		if err == nil || ctx.Err() != nil || invalid(err) {
+		if err == nil || ctx.Err() != nil || isInvalidTable(err) {
 			return err
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-// invalid reports whether the table can't be accepted, ever.
-func invalid(err error) bool {
+// isInvalidTable reports whether the table was rejected as invalid, so that a retry is
+// useless.
+func isInvalidTable(err error) bool {
 	var problems config.Problems
 	return errors.As(err, &problems)
 }
 
-func (d *Demo) awaitReady(ctx context.Context) error {
+func (d *Demo) waitReady(ctx context.Context) error {
 	for {
-		err := d.notReady()
+		err := d.checkReady()
 		if err == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
 
-// notReady returns why the first node that is not ready is not, nil if all are at
-// once: one that joins later changes what the earlier ones may decide.
-func (d *Demo) notReady() error {
+// checkReady returns the reason why the first unready node is not ready. It returns
+// nil only if all nodes are ready in the same pass, since a node that joins later
+// changes what the earlier ones may decide.
+func (d *Demo) checkReady() error {
 	for _, node := range d.daemons {
 		if err := node.Node().Ready(); err != nil {
 			return fmt.Errorf("%s is not ready: %w", node.Addresses().Callers, err)
@@ -264,7 +269,7 @@
 	return nil
 }
 
-// Callers returns the base URLs of the nodes.
+// NodeURLs returns the base URLs at which the nodes take callers' requests.
 func (d *Demo) NodeURLs() []string {
 	var urls []string
 	for _, node := range d.daemons {
@@ -273,7 +278,8 @@
 	return urls
 }
 
-// Runs counts how often each request was run by the endpoints, the demo's witnesses.
+// RunCounts returns how often the endpoints ran each request, by request key, according
+// to the endpoints' own logs.
 func (d *Demo) RunCounts() map[string]int {
 	counts := make(map[string]int)
 	for _, s := range d.services {
@@ -289,13 +295,13 @@
 	return counts
 }
 
-// Stop drains all nodes, then ends the stand-ins.
+// Stop drains all nodes, then stops the stand-ins.
 func (d *Demo) Stop() error {
-	d.stop()
-	nodes := d.nodes.Wait()
+	d.cancelNodes()
+	nodes := d.nodeGroup.Wait()
 	d.files.remove()
-	for _, s := range d.sites {
+	for _, s := range d.servers {
 		s.close()
 	}
-	return errors.Join(nodes, d.endpoints.Wait())
+	return errors.Join(nodes, d.standInGroup.Wait())
 }
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -10,8 +10,8 @@
 	"hawthornrill.example/hawthornrill/deployment"
 )
 
-// TestSample runs the demo's sample over real sockets; how long it takes does not
-// matter.
+// TestSample runs the demo's sample over real sockets, without any bound on its
+// duration.
 func TestSample(t *testing.T) {
 	for _, name := range deployment.Names() {
 		t.Run(name, func(t *testing.T) {
--- a/demo/endpoints.go
+++ b/demo/endpoints.go
@@ -2,5 +2,5 @@
 
 import "hawthornrill.example/hawthornrill/config"
 
-// Endpoints returns the rows of the stand-ins, with their addresses.
+// Endpoints returns the endpoint rows with the addresses of their stand-ins.
 func (d *Demo) Endpoints() []config.EndpointRow { return d.table.Clone().Endpoints }
--- a/demo/guide.go
+++ b/demo/guide.go
@@ -5,10 +5,10 @@
 	"io"
 )
 
-// Guide writes addresses, keys and ready-made commands.
+// WriteGuide writes the deployment's addresses and keys, and example commands.
 func (d *Demo) WriteGuide(w io.Writer) error {
 	deployment := d.options.Deployment
-	fmt.Fprintf(w, "%s is up: %d nodes before %d engines.\n\nNodes (callers, operators):\n", deployment.Name, len(d.daemons), len(d.engines))
+	fmt.Fprintf(w, "%s is running: %d nodes in front of %d engines.\n\nNodes (callers, operators):\n", deployment.Name, len(d.daemons), len(d.engines))
 	for i, host := range deployment.Hosts {
 		listen := d.daemons[i].Addresses()
 		fmt.Fprintf(w, "  %-12s http://%s  http://%s\n", host.Node, listen.Callers, listen.Operators)
@@ -22,8 +22,8 @@
 	fmt.Fprintf(w, "\nTry:\n  curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' \\\n", listen.Callers, deployment.Keys[org])
 	fmt.Fprintf(w, "    -H 'Content-Type: application/json' -H 'Idempotency-Key: first' \\\n")
 	fmt.Fprintf(w, "    -d '{\"model\":\"%s\",\"stream\":true,\"max_tokens\":30,\"messages\":[{\"role\":\"user\",\"content\":\"Good morning\"}]}'\n", deployment.Model)
-	fmt.Fprintf(w, "  go run ./cmd/hawthornctl status -node http://%s -key-file %s\n", listen.Operators, d.files.operatorKey())
-	fmt.Fprintf(w, "  the operators' page: http://%s/operator with the key %s\n", listen.Operators, OperatorKey)
-	_, err := fmt.Fprintf(w, "  curl http://%s/debug/state\n  curl http://%s/metrics\n\nCtrl-C drains and ends.\n", listen.Operators, listen.Operators)
+	fmt.Fprintf(w, "  go run ./cmd/hawthornctl status -node http://%s -key-file %s\n", listen.Operators, d.files.operatorKeyPath())
+	fmt.Fprintf(w, "  operators' page: http://%s/operator, key %s\n", listen.Operators, OperatorKey)
+	_, err := fmt.Fprintf(w, "  curl http://%s/debug/state\n  curl http://%s/metrics\n\nPress Ctrl-C to drain and exit.\n", listen.Operators, listen.Operators)
 	return err
 }
--- a/demo/loopback.go
+++ b/demo/loopback.go
@@ -6,29 +6,29 @@
 	"net/http"
 )
 
-// loopback is where the demo listens; port 0 stands for any free one.
+// loopback is the address that the demo listens on; port 0 selects a free port.
 const loopback = "127.0.0.1:0"
 
-// site is an HTTP server on a free loopback port.
-type site struct {
+// httpServer is an HTTP server on a free loopback port.
+type httpServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-// newSite opens a listener for the handler.
-func newSite(handler http.Handler) (*site, error) {
+// newHTTPServer opens the listener; serve must be called to answer requests.
+func newHTTPServer(handler http.Handler) (*httpServer, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, err
 	}
-	return &site{server: &http.Server{Handler: handler}, listener: listener}, nil
+	return &httpServer{server: &http.Server{Handler: handler}, listener: listener}, nil
 }
 
-// url returns the site's base URL.
-func (s *site) url() string { return "http://" + s.listener.Addr().String() }
+// url returns the server's base URL.
+func (s *httpServer) url() string { return "http://" + s.listener.Addr().String() }
 
-// serve answers until close.
-func (s *site) serve() error {
+// serve serves requests until close.
+func (s *httpServer) serve() error {
 	err := s.server.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
@@ -36,4 +36,4 @@
 	return err
 }
 
-func (s *site) close() { _ = s.server.Close() }
+func (s *httpServer) close() { _ = s.server.Close() }
--- a/demo/options.go
+++ b/demo/options.go
@@ -8,11 +8,11 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// Options configure a Demo.
+// Options configures a Demo.
 type Options struct {
 	Deployment *deployment.Deployment
 	Log        zerolog.Logger
-	// Engine makes the options of the stand-in of an engine; nil for the speed of its
-	// generation.
+	// Engine returns the options of an engine's stand-in. If nil, a stand-in has the
+	// speed of its hardware generation.
 	Engine func(row *config.EndpointRow) engine.Options
 }
--- a/demo/plaincall.go
+++ b/demo/servicecall.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// plainCall is a caller's POST to a plain service.
-type plainCall struct {
-	// key is the organisation's, requestKey the call's own.
+// serviceCall is a caller's POST to a plain service.
+type serviceCall struct {
+	// key is the organisation's API key, requestKey the call's idempotency key.
 	key, requestKey string
 	path, body      string
 }
 
-// send makes the call at a node and returns the body of the answer.
-func (p plainCall) send(ctx context.Context, url string) (string, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+p.path, strings.NewReader(p.body))
+// send sends the call to a node and returns the response body.
+func (c serviceCall) send(ctx context.Context, url string) (string, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+c.path, strings.NewReader(c.body))
 	if err != nil {
 		return "", err
 	}
-	request.Header.Set("Authorization", "Bearer "+p.key)
+	request.Header.Set("Authorization", "Bearer "+c.key)
 	request.Header.Set("Content-Type", "application/json")
-	request.Header.Set("Idempotency-Key", p.requestKey)
+	request.Header.Set("Idempotency-Key", c.requestKey)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return "", err
