--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// measureStreams starts all streams over benchRamp and waits for their ends.
+// measureStreams starts all streams over benchRamp and waits until they have ended.
 func (l *latencies) measureStreams(b *testing.B, url string) {
 	var group sync.WaitGroup
 	for i := range benchStreams {
