--- a/coordinator/fleet_test.go
+++ b/coordinator/fleet_test.go
@@ -105,7 +105,7 @@
 			r.dc = "p"
 		}
 		s.Table.Endpoints = append(s.Table.Endpoints, config.EndpointRow{ID: id, Kind: config.KindEngine, DataCentre: r.dc, Serves: r.serves, ChecksFencing: !r.ignores})
-		options := engine.Options{IgnoreFencing: r.ignores, Speed: engine.Speed{Load: 4 * time.Second}}
+		options := engine.Options{IgnoreFencing: r.ignores, Speed: engine.Speed{ModelLoad: 4 * time.Second}}
 		if r.has != "" {
 			options.Models = splitModels(r.has)
 		}
--- a/coordinator/service_test.go
+++ b/coordinator/service_test.go
@@ -104,7 +104,7 @@
 			assert.Assert(t, f.holder() == f.other(old))
 			late := f.orders("e1")[0]
 			assert.Equal(t, late.Order.Fence, fence)
-			assert.Equal(t, late.Obeyed, ignores)
+			assert.Equal(t, late.Applied, ignores)
 			if ignores {
 				// Noticed and corrected within a period.
 				again := f.orders("e1")[1]
@@ -131,7 +131,7 @@
 		orders := f.orders("e1")
 		assert.Equal(t, orders[1].Order.Fence, fence)
 		for _, r := range orders {
-			assert.Assert(t, !r.Old, "%v", orders)
+			assert.Assert(t, !r.Stale, "%v", orders)
 		}
 	})
 }
@@ -150,7 +150,7 @@
 		time.Sleep(takeover)
 		for id := range f.engines {
 			for _, r := range f.engines[id].OrderLog() {
-				assert.Assert(t, !r.Old, "%s: %v", id, r)
+				assert.Assert(t, !r.Stale, "%s: %v", id, r)
 			}
 		}
 		for _, id := range []domain.EndpointID{"e1", "e2"} {
--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -96,7 +96,7 @@
 		Deployment: oneNode(),
 		Log:        zerolog.Nop(),
 		Engine: func(*config.EndpointRow) engine.Options {
-			return engine.Options{Speed: engine.Flat(benchInterval), BatchLimit: 2 * benchStreams, KVTokens: 4 << 20}
+			return engine.Options{Speed: engine.FixedInterval(benchInterval), BatchLimit: 2 * benchStreams, KVTokens: 4 << 20}
 		},
 	})
 	assert.NilError(b, err)
--- a/endpoint/httpengine/bench_test.go
+++ b/endpoint/httpengine/bench_test.go
@@ -74,7 +74,7 @@
 		streams  = 500
 		interval = 20 * time.Millisecond
 	)
-	client, _ := newClient(b, engine.Options{Speed: engine.Flat(interval), BatchLimit: streams})
+	client, _ := newClient(b, engine.Options{Speed: engine.FixedInterval(interval), BatchLimit: streams})
 	request := []byte(strings.Replace(body, "20", fmt.Sprint(benchTokens), 1))
 	var number int
 	late := hdrhistogram.New(1, int64(time.Minute), 3)
--- a/load/cost.go
+++ b/load/cost.go
@@ -20,18 +20,18 @@
 // with a batch that is always full and nothing computed twice.
 func Cost(r *Request, batch int) time.Duration {
 	speed := engine.GenerationA()
-	perToken := (speed.Step + time.Duration(batch-1)*speed.PerSequence) / time.Duration(batch)
+	perToken := (speed.DecodeStep + time.Duration(batch-1)*speed.PerSequence) / time.Duration(batch)
 	return time.Duration(r.NewTokens)*speed.Prefill + time.Duration(r.AnswerTokens)*perToken
 }
 
 // Capacity is how many engines of the faster hardware a table's engines make up.
 func Capacity(table *config.Table) float64 {
-	full := engine.GenerationA().Step
+	full := engine.GenerationA().DecodeStep
 	var sum float64
 	for i := range table.Endpoints {
 		row := &table.Endpoints[i]
 		if row.Kind == config.KindEngine {
-			sum += float64(full) / float64(SpeedOf(row.Generation).Step)
+			sum += float64(full) / float64(SpeedOf(row.Generation).DecodeStep)
 		}
 	}
 	return sum
--- a/node/matrix_faults_test.go
+++ b/node/matrix_faults_test.go
@@ -173,7 +173,7 @@
 		set("endpoint answers late", engine.Faults{AnswerDelayMillis: 3000}),
 		set("endpoint answers out of order", engine.Faults{SwapEvery: 3}),
 		set("endpoint answers twice", engine.Faults{DuplicateEvery: 3}),
-		set("endpoint runs a request and breaks off", engine.Faults{LoseStarts: 2, CutAfter: 7}),
+		set("endpoint runs a request and breaks off", engine.Faults{DropStartReplies: 2, DisconnectAfter: 7}),
 	}
 }
 
--- a/node/placement_test.go
+++ b/node/placement_test.go
@@ -23,7 +23,7 @@
 func TestPlacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		speed := engine.GenerationA()
-		speed.Load = 30 * time.Second
+		speed.ModelLoad = 30 * time.Second
 		c := newClusterWith(t, deployment.Cucine(), engine.Options{Speed: speed, RestartDelay: time.Second},
 			func(o *Options) { o.Coordinator = &coordinator.Options{} })
 		defer c.close()
--- a/standin/api/api.go
+++ b/standin/api/api.go
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// QueryNumber reads a whole number from the query, 0 if it is absent.
-func QueryNumber(c echo.Context, name string) (uint64, error) {
+// QueryUint reads a whole number from the query, 0 if it is absent.
+func QueryUint(c echo.Context, name string) (uint64, error) {
 	text := c.QueryParam(name)
 	if text == "" {
 		return 0, nil
--- a/standin/api/router.go
+++ b/standin/api/router.go
@@ -8,12 +8,12 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Rule maps an error to a status; ok is false if the rule does not know it.
-type Rule func(err error) (status int, ok bool)
+// StatusFunc maps an error to a status; ok is false if the rule does not know it.
+type StatusFunc func(err error) (status int, ok bool)
 
-// Abort is the status with which a Rule has the connection broken off in place of
+// AbortConnection is the status with which a Rule has the connection broken off in place of
 // an answer.
-const Abort = -1
+const AbortConnection = -1
 
 // problem is the body of an error; its shape is that of model engines.
 type problem struct {
@@ -27,13 +27,13 @@
 
 // NewRouter returns a router that answers errors by the rule, and by the common
 // ones: echo's own, bodies that are too large, ErrBadRequest.
-func NewRouter(rule Rule) *echo.Echo {
+func NewRouter(rule StatusFunc) *echo.Echo {
 	router := echo.New()
 	router.HTTPErrorHandler = func(err error, c echo.Context) { answerError(rule, err, c) }
 	return router
 }
 
-func answerError(rule Rule, err error, c echo.Context) {
+func answerError(rule StatusFunc, err error, c echo.Context) {
 	if c.Response().Committed || errors.Is(err, context.Canceled) {
 		return
 	}
@@ -41,7 +41,7 @@
 	if !ok {
 		status = commonStatus(err)
 	}
-	if status == Abort {
+	if status == AbortConnection {
 		panic(http.ErrAbortHandler)
 	}
 	_ = c.JSON(status, problem{Error: detail{Message: err.Error(), Code: status}})
--- a/standin/command/engine.go
+++ b/standin/command/engine.go
@@ -19,7 +19,7 @@
 	return map[string]engine.Speed{
 		"gen-a": engine.GenerationA(),
 		"gen-b": engine.GenerationB(),
-		"flat":  engine.Flat(flatInterval),
+		"flat":  engine.FixedInterval(flatInterval),
 		"none":  engine.NoDelay(),
 	}
 }
@@ -51,7 +51,7 @@
 	f.duration("retention", &o.Retention, "`time` for which an ended stream can be resumed, 0s for none")
 	f.duration("load-lag", &o.LoadLag, "`age` of load reports")
 	f.duration("cache-event-delay", &o.CacheEventDelay, "`time` after which cache events appear")
-	f.fraction("cache-event-gap", &o.CacheEventGap, 0, 1, "`share` of the cache events that never appear")
+	f.fraction("cache-event-gap", &o.CacheEventLossRate, 0, 1, "`share` of the cache events that never appear")
 	f.duration("restart", &restart, "`time` for which the engine is down after a crash, 0s for the time to load a model")
 	f.integer("seed", &seed, 0, "`number` that tells this engine's chance events from others'")
 	f.BoolVar(&o.IgnoreFencing, "ignore-fencing", false, "obey orders with an old fencing number")
--- a/standin/command/serve.go
+++ b/standin/command/serve.go
@@ -22,7 +22,7 @@
 	var main *server.Server
 	built := build(func(up bool) {
 		log.Info().Bool("up", up).Msg("availability")
-		main.SetUp(up)
+		main.SetAvailable(up)
 	})
 	if built.close != nil {
 		defer built.close()
--- a/standin/engine/cacheevents.go
+++ b/standin/engine/cacheevents.go
@@ -27,7 +27,7 @@
 func newCacheEvents(o Options) cacheEvents {
 	return cacheEvents{
 		delay:  o.CacheEventDelay,
-		gap:    o.CacheEventGap,
+		gap:    o.CacheEventLossRate,
 		random: rand.New(rand.NewPCG(o.Seed, 1)),
 	}
 }
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -9,13 +9,13 @@
 	"hawthornrill.example/hawthornrill/standin/api"
 )
 
-// FaultOrder is the body of POST /standin/faults: the faults to change, and what
+// FaultRequest is the body of POST /standin/faults: the faults to change, and what
 // happens once.
-type FaultOrder struct {
+type FaultRequest struct {
 	Faults
 	// Crash crashes the engine, Cut breaks all connections that read a stream.
-	Crash bool `json:"crash,omitempty"`
-	Cut   bool `json:"cut,omitempty"`
+	Crash      bool `json:"crash,omitempty"`
+	Disconnect bool `json:"cut,omitempty"`
 	// ForMillis ends all faults after that time; 0 leaves them in force.
 	ForMillis int `json:"for_ms,omitempty"`
 }
@@ -58,7 +58,7 @@
 
 // setFaults changes the faults named in the body and leaves the others.
 func (c *control) setFaults(ctx echo.Context) error {
-	order := FaultOrder{Faults: c.engine.Faults()}
+	order := FaultRequest{Faults: c.engine.Faults()}
 	if err := api.DecodeStrict(ctx, &order); err != nil {
 		return err
 	}
@@ -66,8 +66,8 @@
 	if order.ForMillis > 0 {
 		time.AfterFunc(time.Duration(order.ForMillis)*time.Millisecond, func() { c.engine.SetFaults(Faults{}) })
 	}
-	if order.Cut {
-		c.engine.CutStreams()
+	if order.Disconnect {
+		c.engine.DisconnectStreams()
 	}
 	if order.Crash {
 		c.engine.Crash()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -124,14 +124,14 @@
 // check refuses what can never run here.
 func (e *Engine) check(r request, s *sequence) error {
 	if !e.models.serves(r.Model) {
-		return fmt.Errorf("%w: %q", ErrModel, r.Model)
+		return fmt.Errorf("%w: %q", ErrModelNotLoaded, r.Model)
 	}
 	need := s.prompt + len(s.answer.Tokens)
 	if need > e.options.KVTokens {
 		return fmt.Errorf("%w: %d tokens don't fit into %d of KV cache", ErrBadRequest, need, e.options.KVTokens)
 	}
 	if e.options.WaitingLimit > 0 && len(e.waiting) >= e.options.WaitingLimit {
-		return ErrFull
+		return ErrQueueFull
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 		State:        RunWaiting,
 		Leaving:      e.faults.Leaving,
 		Arrived:      time.Now(),
-		Sum:          s.sum,
+		PromptHash:   s.sum,
 		PromptTokens: s.prompt,
 		AnswerTokens: len(s.answer.Tokens),
 	})
--- a/standin/engine/errors.go
+++ b/standin/engine/errors.go
@@ -10,10 +10,10 @@
 var (
 	// ErrBadRequest means that the body is not a valid request.
 	ErrBadRequest = errors.New("engine: bad request")
-	// ErrModel means that the model is not loaded here.
-	ErrModel = errors.New("engine: model not loaded")
-	// ErrFull means that too many requests wait already.
-	ErrFull      = errors.New("engine: too many waiting requests")
+	// ErrModelNotLoaded means that the model is not loaded here.
+	ErrModelNotLoaded = errors.New("engine: model not loaded")
+	// ErrQueueFull means that too many requests wait already.
+	ErrQueueFull = errors.New("engine: too many waiting requests")
 	errCancelled = errors.New("engine: cancelled")
 	errCrashed   = errors.New("engine: crashed")
 	errCut       = errors.New("engine: connection cut")
--- a/standin/engine/fault_test.go
+++ b/standin/engine/fault_test.go
@@ -21,7 +21,7 @@
 		request := ask("k", "a", 20, 30)
 		start(t, e, request)
 		time.Sleep(150 * time.Millisecond)
-		e.CutStreams()
+		e.DisconnectStreams()
 		for range 2 {
 			s, err := e.Resume(t.Context(), "k", 0)
 			assert.NilError(t, err)
@@ -106,8 +106,8 @@
 		"late":     {engine.Faults{AnswerDelayMillis: 500}, nil, io.EOF, 1, 500 * time.Millisecond},
 		"too late": {engine.Faults{AnswerDelayMillis: 90_000}, endpoint.ErrBroken, nil, 1, time.Minute},
 		"paused":   {engine.Faults{Pause: true}, endpoint.ErrBroken, nil, 0, time.Minute},
-		"lost":     {engine.Faults{LoseStarts: 1}, endpoint.ErrBroken, nil, 1, 0},
-		"cut":      {engine.Faults{CutAfter: 3}, nil, endpoint.ErrBroken, 1, 40 * time.Millisecond},
+		"lost":     {engine.Faults{DropStartReplies: 1}, endpoint.ErrBroken, nil, 1, 0},
+		"cut":      {engine.Faults{DisconnectAfter: 3}, nil, endpoint.ErrBroken, 1, 40 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -175,7 +175,7 @@
 
 func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEngine(t, engine.Options{CacheEventDelay: time.Second, CacheEventGap: 0.3, Seed: 1})
+		e := newEngine(t, engine.Options{CacheEventDelay: time.Second, CacheEventLossRate: 0.3, Seed: 1})
 		finishAll(t, e, ask("k", "a", 100*prefix.BlockTokens, 1))
 		events, err := e.CacheEvents(t.Context(), 0)
 		assert.NilError(t, err)
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -23,11 +23,11 @@
 	// AnswerDelayMillis passes between the acceptance of a request (or of an order)
 	// and the answer that says so.
 	AnswerDelayMillis int `json:"answer_delay_ms"`
-	// LoseStarts runs so many of the next requests but breaks off in place of the
+	// DropStartReplies runs so many of the next requests but breaks off in place of the
 	// answer.
-	LoseStarts int `json:"lose_starts"`
-	// CutAfter breaks every reading of a stream after so many events; 0 for never.
-	CutAfter int `json:"cut_after"`
+	DropStartReplies int `json:"lose_starts"`
+	// DisconnectAfter breaks every reading of a stream after so many events; 0 for never.
+	DisconnectAfter int `json:"cut_after"`
 	// DuplicateEvery sends each n-th event twice, SwapEvery sends it after the one
 	// that follows; 0 for never.
 	DuplicateEvery int `json:"duplicate_every"`
@@ -67,8 +67,8 @@
 	}
 }
 
-// CutStreams breaks all connections that read a stream; the engine goes on.
-func (e *Engine) CutStreams() {
+// DisconnectStreams breaks all connections that read a stream; the engine goes on.
+func (e *Engine) DisconnectStreams() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.streams {
@@ -116,13 +116,13 @@
 	}
 }
 
-// loseStart takes one from the fault LoseStarts.
+// loseStart takes one from the fault DropStartReplies.
 func (e *Engine) loseStart() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.faults.LoseStarts <= 0 {
+	if e.faults.DropStartReplies <= 0 {
 		return false
 	}
-	e.faults.LoseStarts--
+	e.faults.DropStartReplies--
 	return true
 }
--- a/standin/engine/handler.go
+++ b/standin/engine/handler.go
@@ -59,7 +59,7 @@
 }
 
 func (h *handler) resume(c echo.Context) error {
-	from, err := api.QueryNumber(c, "from")
+	from, err := api.QueryUint(c, "from")
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 }
 
 func (h *handler) cacheEvents(c echo.Context) error {
-	after, err := api.QueryNumber(c, "after")
+	after, err := api.QueryUint(c, "after")
 	if err != nil {
 		return err
 	}
--- a/standin/engine/httperror.go
+++ b/standin/engine/httperror.go
@@ -8,19 +8,19 @@
 	"hawthornrill.example/hawthornrill/standin/api"
 )
 
-// statusOf is the engine's api.Rule. To a caller for whom the engine is gone
+// statusOf is the engine's api.StatusFunc. To a caller for whom the engine is gone
 // there is no answer.
 func statusOf(err error) (int, bool) {
 	switch {
 	case errors.Is(err, endpoint.ErrNotDispatched), errors.Is(err, endpoint.ErrBroken):
-		return api.Abort, true
+		return api.AbortConnection, true
 	case errors.Is(err, ErrBadRequest), errors.Is(err, ErrBadOrder):
 		return http.StatusBadRequest, true
-	case errors.Is(err, ErrModel), errors.Is(err, endpoint.ErrStreamNotFound):
+	case errors.Is(err, ErrModelNotLoaded), errors.Is(err, endpoint.ErrStreamNotFound):
 		return http.StatusNotFound, true
 	case errors.Is(err, endpoint.ErrOldFence):
 		return http.StatusConflict, true
-	case errors.Is(err, ErrFull):
+	case errors.Is(err, ErrQueueFull):
 		return http.StatusTooManyRequests, true
 	}
 	return 0, false
--- a/standin/engine/loop.go
+++ b/standin/engine/loop.go
@@ -132,11 +132,11 @@
 func (e *Engine) chunk() int {
 	switch e.models.role {
 	case endpoint.RolePrefill:
-		return roleFactor * e.options.Speed.Chunk
+		return roleFactor * e.options.Speed.PrefillChunk
 	case endpoint.RoleDecode:
-		return max(1, e.options.Speed.Chunk/roleFactor)
+		return max(1, e.options.Speed.PrefillChunk/roleFactor)
 	default:
-		return e.options.Speed.Chunk
+		return e.options.Speed.PrefillChunk
 	}
 }
 
@@ -210,7 +210,7 @@
 	s.private++
 	s.stream.add(s.writer.token(s.answer.Tokens[s.emitted], s.emitted == 0))
 	if s.emitted == 0 {
-		s.run.First = time.Now()
+		s.run.FirstToken = time.Now()
 	}
 	s.emitted++
 	s.run.Emitted = s.emitted
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -24,9 +24,9 @@
 	// LoadLag is how old load reports are. Default 500 ms, negative for none.
 	LoadLag time.Duration
 	// CacheEventDelay is how late cache events appear. Default 1 s, negative for
-	// none. CacheEventGap is the share of them that never do, between 0 and 1.
-	CacheEventDelay time.Duration
-	CacheEventGap   float64
+	// none. CacheEventLossRate is the share of them that never do, between 0 and 1.
+	CacheEventDelay    time.Duration
+	CacheEventLossRate float64
 	// IgnoreFencing obeys orders with an old fencing number.
 	IgnoreFencing bool
 	// RestartDelay is how long the engine is down after a crash. Default Speed.Load;
@@ -64,11 +64,11 @@
 func (o Options) withDefaults() Options {
 	defaults.Set(&o.BatchLimit, defaultBatchLimit)
 	defaults.Set(&o.KVTokens, defaultKVTokens)
-	defaults.Set(&o.Speed.Chunk, defaultChunk)
+	defaults.Set(&o.Speed.PrefillChunk, defaultChunk)
 	defaults.Set(&o.Retention, defaultRetention)
 	defaults.Set(&o.LoadLag, defaultLoadLag)
 	defaults.Set(&o.CacheEventDelay, defaultCacheEventDelay)
-	defaults.Set(&o.RestartDelay, o.Speed.Load)
+	defaults.Set(&o.RestartDelay, o.Speed.ModelLoad)
 	o.LoadLag = max(0, o.LoadLag)
 	o.CacheEventDelay = max(0, o.CacheEventDelay)
 	return o
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -16,9 +16,9 @@
 	Order endpoint.Order `json:"order"`
 	At    time.Time      `json:"at"`
 	// Obeyed is false for a refused order.
-	Obeyed bool `json:"obeyed"`
+	Applied bool `json:"obeyed"`
 	// Old is true if its fencing number was lower than one obeyed before.
-	Old bool `json:"old"`
+	Stale bool `json:"old"`
 }
 
 // Order implements endpoint.Orders.
@@ -57,7 +57,7 @@
 	defer e.mu.Unlock()
 	old := order.Fence < e.models.fence
 	obey := !old || e.options.IgnoreFencing
-	e.orders = append(e.orders, OrderRecord{Order: order, At: time.Now(), Obeyed: obey, Old: old})
+	e.orders = append(e.orders, OrderRecord{Order: order, At: time.Now(), Applied: obey, Stale: old})
 	if !obey {
 		return refused(fmt.Errorf("%w: %d is less than %d", endpoint.ErrOldFence, order.Fence, e.models.fence))
 	}
@@ -113,7 +113,7 @@
 	}
 	loading := e.models.add(name, version)
 	weights := Weights{Model: name, Version: version}
-	go e.load(e.lifeEnd, e.options.Speed.Load, weights, func(loaded bool) {
+	go e.load(e.lifeEnd, e.options.Speed.ModelLoad, weights, func(loaded bool) {
 		if e.models.byName[name] != loading {
 			return
 		}
@@ -127,7 +127,7 @@
 func (e *Engine) loadAdapter(name, adapterName string) error {
 	m, ok := e.models.byName[name]
 	if !ok {
-		return refused(fmt.Errorf("%w: %q", ErrModel, name))
+		return refused(fmt.Errorf("%w: %q", ErrModelNotLoaded, name))
 	}
 	if _, ok := m.adapters[adapterName]; ok {
 		return nil
@@ -135,7 +135,7 @@
 	loading := &adapter{}
 	m.adapters[adapterName] = loading
 	weights := Weights{Model: name, Version: m.version, Adapter: adapterName}
-	go e.load(e.lifeEnd, e.options.Speed.Adapter, weights, func(loaded bool) {
+	go e.load(e.lifeEnd, e.options.Speed.AdapterLoad, weights, func(loaded bool) {
 		if m.adapters[adapterName] != loading {
 			return
 		}
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -28,8 +28,8 @@
 			assert.Equal(t, state.Fence, uint64(5))
 			log := e.OrderLog()
 			assert.Equal(t, len(log), 2)
-			assert.Equal(t, log[1].Obeyed, ignore)
-			assert.Equal(t, log[1].Old, true)
+			assert.Equal(t, log[1].Applied, ignore)
+			assert.Equal(t, log[1].Stale, true)
 		})
 	}
 }
@@ -39,7 +39,7 @@
 		var fetched []engine.Weights
 		e := newEngine(t, engine.Options{
 			Models: []string{"old"},
-			Speed:  engine.Speed{Load: 10 * time.Second, Adapter: time.Second},
+			Speed:  engine.Speed{ModelLoad: 10 * time.Second, AdapterLoad: time.Second},
 			FetchWeights: func(w engine.Weights) error {
 				fetched = append(fetched, w)
 				if w.Version == "missing" {
@@ -58,7 +58,7 @@
 			t.Helper()
 			_, err := e.Start(t.Context(), ask("k", "a", 5, 1))
 			assert.Equal(t, err == nil, want, "%v", err)
-			assert.Equal(t, errors.Is(err, engine.ErrModel), !want)
+			assert.Equal(t, errors.Is(err, engine.ErrModelNotLoaded), !want)
 		}
 		order(endpoint.OrderLoad, "m", "1", "")
 		order(endpoint.OrderLoad, "m", "1", "")
--- a/standin/engine/reader.go
+++ b/standin/engine/reader.go
@@ -58,7 +58,7 @@
 	s := r.stream
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.broken || s.faults.CutAfter > 0 && r.read >= s.faults.CutAfter {
+	if r.broken || s.faults.DisconnectAfter > 0 && r.read >= s.faults.DisconnectAfter {
 		return endpoint.Event{}, false, fmt.Errorf("%w: %w", endpoint.ErrBroken, errCut)
 	}
 	if event, ok = r.take(); ok {
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -19,17 +19,17 @@
 // Run is the witness of one request that the engine accepted. Two runs with one
 // key are two dispatches. Times are by the engine's own clock.
 type Run struct {
-	Key      string    `json:"key"`
-	Model    string    `json:"model"`
-	State    RunState  `json:"state"`
-	Arrived  time.Time `json:"arrived"`
-	Admitted time.Time `json:"admitted,omitzero"`
-	First    time.Time `json:"first_token,omitzero"`
-	Ended    time.Time `json:"ended,omitzero"`
+	Key        string    `json:"key"`
+	Model      string    `json:"model"`
+	State      RunState  `json:"state"`
+	Arrived    time.Time `json:"arrived"`
+	Admitted   time.Time `json:"admitted,omitzero"`
+	FirstToken time.Time `json:"first_token,omitzero"`
+	Ended      time.Time `json:"ended,omitzero"`
 	// Leaving is true if the engine had announced that it is leaving.
 	Leaving bool `json:"leaving,omitempty"`
 	// Sum is the hash of the prompt.
-	Sum uint64 `json:"sum"`
+	PromptHash uint64 `json:"sum"`
 	// PromptTokens and AnswerTokens are the request's size; Emitted counts answer
 	// tokens sent.
 	PromptTokens int `json:"prompt_tokens"`
--- a/standin/engine/scheduling_test.go
+++ b/standin/engine/scheduling_test.go
@@ -15,7 +15,7 @@
 // speed is easy to reckon with: a millisecond a prompt token, ten for a step of
 // one sequence and one more for each further sequence.
 func speed() engine.Speed {
-	return engine.Speed{Prefill: time.Millisecond, Step: 10 * time.Millisecond, PerSequence: time.Millisecond}
+	return engine.Speed{Prefill: time.Millisecond, DecodeStep: 10 * time.Millisecond, PerSequence: time.Millisecond}
 }
 
 // finishAll starts the requests at once and waits for all of them.
@@ -45,7 +45,7 @@
 			}
 			finishAll(t, e, requests...)
 			run := e.Runs()[1]
-			assert.Equal(t, run.Ended.Sub(run.First)/100, want*time.Millisecond, "batch of %d", n)
+			assert.Equal(t, run.Ended.Sub(run.FirstToken)/100, want*time.Millisecond, "batch of %d", n)
 		})
 	}
 }
@@ -81,7 +81,7 @@
 		runs := e.Runs()
 		cached := []int{runs[0].Cached, runs[1].Cached, runs[3].Cached}
 		assert.DeepEqual(t, cached, []int{0, 511, 0})
-		assert.Equal(t, runs[1].First.Sub(runs[1].Admitted), time.Millisecond)
+		assert.Equal(t, runs[1].FirstToken.Sub(runs[1].Admitted), time.Millisecond)
 		counts := e.Counts()
 		assert.Equal(t, counts.PrefillDone, uint64(512+1+950+512))
 		assert.Equal(t, counts.PrefillReused, uint64(511))
@@ -152,8 +152,8 @@
 		"no messages":   {endpoint.EngineRequest{Body: []byte(`{"model":"m"}`)}, engine.ErrBadRequest},
 		"negative":      {endpoint.EngineRequest{Body: []byte(`{"model":"m","messages":[{}],"max_tokens":-1}`)}, engine.ErrBadRequest},
 		"too large":     {ask("k", "a", 500, 600), engine.ErrBadRequest},
-		"another model": {endpoint.EngineRequest{Body: []byte(`{"model":"n","messages":[{}]}`)}, engine.ErrModel},
-		"full":          {ask("k", "a", 5, 6), engine.ErrFull},
+		"another model": {endpoint.EngineRequest{Body: []byte(`{"model":"n","messages":[{}]}`)}, engine.ErrModelNotLoaded},
+		"full":          {ask("k", "a", 5, 6), engine.ErrQueueFull},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	// DefaultGrace is how long open requests may take at the end.
-	DefaultGrace = 10 * time.Second
+	// DefaultShutdownTimeout is how long open requests may take at the end.
+	DefaultShutdownTimeout = 10 * time.Second
 	// listenRetry is the pause between attempts to get the address back.
 	listenRetry       = 100 * time.Millisecond
 	readHeaderTimeout = 10 * time.Second
@@ -41,7 +41,7 @@
 	}
 	return &Server{
 		handler:  handler,
-		grace:    DefaultGrace,
+		grace:    DefaultShutdownTimeout,
 		listener: listener,
 		address:  listener.Addr().String(),
 		up:       true,
@@ -55,8 +55,8 @@
 // URL returns "http://IP:port".
 func (s *Server) URL() string { return "http://" + s.address }
 
-// SetUp says whether the server is to answer. It returns at once.
-func (s *Server) SetUp(up bool) {
+// SetAvailable says whether the server is to answer. It returns at once.
+func (s *Server) SetAvailable(up bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.up == up {
@@ -74,7 +74,7 @@
 }
 
 // Run serves until the context ends; then it lets open requests finish, for at
-// most DefaultGrace.
+// most DefaultShutdownTimeout.
 func (s *Server) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		up, changed := s.state()
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -53,10 +53,10 @@
 
 	go wait()
 	<-entered
-	s.SetUp(false)
+	s.SetAvailable(false)
 	assert.ErrorIs(t, <-waiting, endpoint.ErrBroken)
 	assert.ErrorIs(t, get(transport, s.URL()), endpoint.ErrNotDispatched)
-	s.SetUp(true)
+	s.SetAvailable(true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if err := get(transport, s.URL()); err != nil {
 			return poll.Continue("%v", err)
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -53,7 +53,7 @@
 
 func statusOf(err error) (int, bool) {
 	if errors.Is(err, errGone) {
-		return api.Abort, true
+		return api.AbortConnection, true
 	}
 	return 0, false
 }
--- a/standin/storeserver/handler.go
+++ b/standin/storeserver/handler.go
@@ -64,7 +64,7 @@
 	case errors.Is(err, store.ErrUnavailable):
 		return http.StatusServiceUnavailable, true
 	case errors.Is(err, store.ErrUnknownOutcome):
-		return api.Abort, true
+		return api.AbortConnection, true
 	}
 	return 0, false
 }
@@ -86,11 +86,11 @@
 }
 
 func (h *handler) put(c echo.Context) error {
-	expected, err := api.QueryNumber(c, httpstore.ParameterExpected)
+	expected, err := api.QueryUint(c, httpstore.ParameterExpected)
 	if err != nil {
 		return err
 	}
-	lease, err := api.QueryNumber(c, httpstore.ParameterLease)
+	lease, err := api.QueryUint(c, httpstore.ParameterLease)
 	if err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 }
 
 func (h *handler) delete(c echo.Context) error {
-	expected, err := api.QueryNumber(c, httpstore.ParameterExpected)
+	expected, err := api.QueryUint(c, httpstore.ParameterExpected)
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 }
 
 func (h *handler) watch(c echo.Context) error {
-	after, err := api.QueryNumber(c, httpstore.ParameterAfter)
+	after, err := api.QueryUint(c, httpstore.ParameterAfter)
 	if err != nil {
 		return err
 	}
