--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -2,55 +2,56 @@
 
 import "container/list"
 
-// cache holds the prefix blocks in KV memory. Blocks in use by a sequence stay;
-// the others are evicted, the least recently used first.
+// cache holds the prefix blocks in KV memory. Blocks in use by a sequence are
+// pinned; the others are evicted in least recently used order.
 type cache struct {
 	blocks map[uint64]*block
-	unused *list.List // of *block, the least recently used in front
-	// changed is told of each block stored or evicted.
-	changed func(hash uint64, stored bool)
+	unused *list.List // of *block, least recently used first
+	// onChange is called for each block that is stored or evicted.
+	onChange func(hash uint64, stored bool)
 }
 
 type block struct {
-	hash  uint64
-	users int
-	place *list.Element // in unused, nil while in use
+	hash          uint64
+	users         int
+	unusedElement *list.Element // element of cache.unused, nil while in use
 }
 
-func newCache(changed func(hash uint64, stored bool)) *cache {
-	return &cache{blocks: make(map[uint64]*block), unused: list.New(), changed: changed}
+func newCache(onChange func(hash uint64, stored bool)) *cache {
+	return &cache{blocks: make(map[uint64]*block), unused: list.New(), onChange: onChange}
 }
 
-// acquire takes the block into use if it is there.
+// acquire adds a user to the block and reports whether the block is cached.
 func (c *cache) acquire(hash uint64) bool {
 	b, ok := c.blocks[hash]
 	if !ok {
 		return false
 	}
-	if b.place != nil {
-		c.unused.Remove(b.place)
-		b.place = nil
+	if b.unusedElement != nil {
+		c.unused.Remove(b.unusedElement)
+		b.unusedElement = nil
 	}
 	b.users++
 	return true
 }
 
-// store adds a block that is not there yet, in use once.
+// store adds a block that is not cached yet, with one user.
 func (c *cache) store(hash uint64) {
 	c.blocks[hash] = &block{hash: hash, users: 1}
-	c.changed(hash, true)
+	c.onChange(hash, true)
 }
 
-// release ends one use.
+// release removes one user of the block.
 func (c *cache) release(hash uint64) {
 	b := c.blocks[hash]
 	b.users--
 	if b.users == 0 {
-		b.place = c.unused.PushBack(b)
+		b.unusedElement = c.unused.PushBack(b)
 	}
 }
 
-// evict removes the least recently used block; false if all are in use.
+// evict removes the least recently used block. It returns false if all blocks are
+// in use.
 func (c *cache) evict() bool {
 	front := c.unused.Front()
 	if front == nil {
@@ -58,11 +59,11 @@
 	}
 	b := c.unused.Remove(front).(*block)
 	delete(c.blocks, b.hash)
-	c.changed(b.hash, false)
+	c.onChange(b.hash, false)
 	return true
 }
 
-// len is the number of blocks, used the number of those in use.
+// len returns the number of cached blocks, used the number of those in use.
 func (c *cache) len() int  { return len(c.blocks) }
 func (c *cache) used() int { return len(c.blocks) - c.unused.Len() }
 
--- a/standin/engine/cacheevents.go
+++ b/standin/engine/cacheevents.go
@@ -7,10 +7,11 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// cacheEvents is the log of the prompt cache, seen late and with gaps.
+// cacheEvents is the event log of the prompt cache. Readers see events after a
+// delay, and a fraction of the events is lost.
 type cacheEvents struct {
 	delay    time.Duration
-	gap      float64
+	lossRate float64
 	random   *rand.Rand
 	sequence uint64
 	log      []cacheEvent
@@ -21,20 +22,21 @@
 	event endpoint.CacheEvent
 }
 
-// cacheEventLimit bounds the log; older events are lost.
+// cacheEventLimit is the number of events that the log retains at least; older
+// events are dropped.
 const cacheEventLimit = 8192
 
 func newCacheEvents(o Options) cacheEvents {
 	return cacheEvents{
-		delay:  o.CacheEventDelay,
-		gap:    o.CacheEventLossRate,
-		random: rand.New(rand.NewPCG(o.Seed, 1)),
+		delay:    o.CacheEventDelay,
+		lossRate: o.CacheEventLossRate,
+		random:   rand.New(rand.NewPCG(o.Seed, 1)),
 	}
 }
 
 func (c *cacheEvents) add(now time.Time, hash uint64, stored bool) {
 	c.sequence++
-	if c.gap > 0 && c.random.Float64() < c.gap {
+	if c.lossRate > 0 && c.random.Float64() < c.lossRate {
 		return
 	}
 	if len(c.log) >= 2*cacheEventLimit {
@@ -44,7 +46,7 @@
 	c.log = append(c.log, cacheEvent{at: now, event: event})
 }
 
-// after returns the visible events with greater sequence numbers.
+// after returns the events past the delay whose sequence number is greater.
 func (c *cacheEvents) after(now time.Time, sequence uint64) []endpoint.CacheEvent {
 	var events []endpoint.CacheEvent
 	for _, e := range c.log {
@@ -58,12 +60,12 @@
 	return events
 }
 
-// restart forgets the log. Sequence numbers go on from a round number, so that a
-// reader sees a gap.
-func (c *cacheEvents) restart(life uint64) {
+// restart clears the log. Sequence numbers continue from a value above all earlier
+// ones, so that a reader sees a gap.
+func (c *cacheEvents) restart(incarnation uint64) {
 	c.log = nil
-	c.sequence = life << restartShift
+	c.sequence = incarnation << sequenceBits
 }
 
-// restartShift leaves room for the events of one life.
-const restartShift = 32
+// sequenceBits is the number of bits for the events of one incarnation.
+const sequenceBits = 32
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -9,19 +9,20 @@
 	"hawthornrill.example/hawthornrill/standin/api"
 )
 
-// FaultRequest is the body of POST /standin/faults: the faults to change, and what
-// happens once.
+// FaultRequest is the body of POST /standin/faults: the faults to set, and actions
+// to take once.
 type FaultRequest struct {
 	Faults
-	// Crash crashes the engine, Cut breaks all connections that read a stream.
+	// Crash crashes the engine; Disconnect closes all connections that read a
+	// stream.
 	Crash      bool `json:"crash,omitempty"`
 	Disconnect bool `json:"cut,omitempty"`
-	// ForMillis ends all faults after that time; 0 leaves them in force.
+	// ForMillis clears all faults after that time; 0 leaves them set.
 	ForMillis int `json:"for_ms,omitempty"`
 }
 
-// NewControlHandler returns the tests' side of the engine's HTTP interface
-// alone, for a listener that stays up while the engine itself is down.
+// NewControlHandler returns only the control routes of the engine's HTTP
+// interface (/standin/...), for a listener that stays up while the engine is down.
 func NewControlHandler(e *Engine) http.Handler {
 	router := api.NewRouter(statusOf)
 	addControl(router, e)
@@ -37,7 +38,7 @@
 	router.POST("/standin/faults", c.setFaults)
 }
 
-// control serves the tests' side.
+// control serves the control routes.
 type control struct{ engine *Engine }
 
 func (c *control) runs(ctx echo.Context) error {
@@ -56,20 +57,20 @@
 	return ctx.JSON(http.StatusOK, c.engine.Faults())
 }
 
-// setFaults changes the faults named in the body and leaves the others.
+// setFaults sets the faults named in the body and leaves the others unchanged.
 func (c *control) setFaults(ctx echo.Context) error {
-	order := FaultRequest{Faults: c.engine.Faults()}
-	if err := api.DecodeStrict(ctx, &order); err != nil {
+	body := FaultRequest{Faults: c.engine.Faults()}
+	if err := api.DecodeStrict(ctx, &body); err != nil {
 		return err
 	}
-	c.engine.SetFaults(order.Faults)
-	if order.ForMillis > 0 {
-		time.AfterFunc(time.Duration(order.ForMillis)*time.Millisecond, func() { c.engine.SetFaults(Faults{}) })
+	c.engine.SetFaults(body.Faults)
+	if body.ForMillis > 0 {
+		time.AfterFunc(time.Duration(body.ForMillis)*time.Millisecond, func() { c.engine.SetFaults(Faults{}) })
 	}
-	if order.Disconnect {
+	if body.Disconnect {
 		c.engine.DisconnectStreams()
 	}
-	if order.Crash {
+	if body.Crash {
 		c.engine.Crash()
 	}
 	return ctx.JSON(http.StatusOK, c.engine.Faults())
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -9,35 +9,38 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Engine is a stand-in for a model engine. Its methods may be called at any
-// time. It runs a goroutine only while it has work.
+// Engine is a simulated model engine. Its methods are safe for concurrent use.
+// A goroutine runs only while there are requests to compute.
 type Engine struct {
 	options Options
 
-	mu      sync.Mutex
-	waiting []*sequence
-	batch   []*sequence
-	memory  memory
-	streams map[string]*stream
-	ended   []endedStream
-	history history
-	events  cacheEvents
-	seen    map[uint64]struct{}
-	counts  Counts
-	runs    runLog
-	orders  []OrderRecord
-	models  models
-	faults  Faults
-	// unpaused is not nil while the engine is paused; it is closed at the end.
-	unpaused chan struct{}
-	busy     bool
-	// down is true between a crash and the restart. up is what Options.OnUp knows.
-	down, up bool
-	closed   bool
-	// lifeEnd is closed by the next crash.
-	lifeEnd chan struct{}
-	// life counts crashes; a step begun in an earlier life has no effect.
-	life uint64
+	mu              sync.Mutex
+	waiting         []*sequence
+	batch           []*sequence
+	memory          memory
+	streams         map[string]*stream
+	endedStreams    []endedStream
+	loadHistory     loadHistory
+	events          cacheEvents
+	prefilledBlocks map[uint64]struct{}
+	counts          Counts
+	runs            runLog
+	orders          []OrderRecord
+	models          models
+	faults          Faults
+	// unpaused is non-nil while the engine is paused and is closed when the pause
+	// ends.
+	unpaused    chan struct{}
+	loopRunning bool
+	// down is true between a crash and the restart. reportedUp is the state last
+	// passed to Options.OnUp.
+	down, reportedUp bool
+	closed           bool
+	// incarnationEnd is closed when the engine crashes.
+	incarnationEnd chan struct{}
+	// incarnation counts crashes; a step that began in an earlier incarnation is
+	// discarded.
+	incarnation uint64
 }
 
 var _ endpoint.Engine = (*Engine)(nil)
@@ -46,29 +49,30 @@
 func New(options Options) *Engine {
 	options = options.withDefaults()
 	e := &Engine{
-		options: options,
-		streams: make(map[string]*stream),
-		history: history{lag: options.LoadLag},
-		events:  newCacheEvents(options),
-		seen:    make(map[uint64]struct{}),
-		models:  newModels(options.Models),
-		up:      true,
-		lifeEnd: make(chan struct{}),
+		options:         options,
+		streams:         make(map[string]*stream),
+		loadHistory:     loadHistory{lag: options.LoadLag},
+		events:          newCacheEvents(options),
+		prefilledBlocks: make(map[uint64]struct{}),
+		models:          newModels(options.Models),
+		reportedUp:      true,
+		incarnationEnd:  make(chan struct{}),
 	}
-	e.memory = e.emptyMemory()
-	e.noteLoad()
+	e.memory = e.newMemory()
+	e.recordLoad()
 	return e
 }
 
-func (e *Engine) emptyMemory() memory {
+func (e *Engine) newMemory() memory {
 	return memory{limit: e.options.KVTokens, cache: newCache(func(hash uint64, stored bool) {
 		e.events.add(time.Now(), hash, stored)
 	})}
 }
 
-// Start implements endpoint.Engine. It returns at once; the request waits its
-// turn in the order of arrival. The key names the stream; a second Start with
-// the same key runs the request again, as an engine does that trusts its callers.
+// Start implements endpoint.Engine. It returns without waiting for the request to
+// be admitted; requests are admitted in order of arrival. The key names the
+// stream. Keys are not deduplicated: a second Start with the same key runs the
+// request again, as engines do that rely on their callers for this.
 func (e *Engine) Start(ctx context.Context, er endpoint.EngineRequest) (endpoint.Stream, error) {
 	_, stream, err := e.start(ctx, er)
 	if err != nil {
@@ -78,57 +82,58 @@
 }
 
 func (e *Engine) start(ctx context.Context, er endpoint.EngineRequest) (request, *reader, error) {
-	if err := e.enter(ctx); err != nil {
+	if err := e.awaitReachable(ctx); err != nil {
 		return request{}, nil, err
 	}
 	r, stream, err := e.accept(er)
 	if err != nil {
 		return request{}, nil, err
 	}
-	if err := e.answerLate(ctx); err != nil {
+	if err := e.delayReply(ctx); err != nil {
 		return request{}, nil, err
 	}
-	if e.loseStart() {
-		return request{}, nil, fmt.Errorf("%w: %w", endpoint.ErrBroken, errCut)
+	if e.dropStartReply() {
+		return request{}, nil, fmt.Errorf("%w: %w", endpoint.ErrBroken, errDisconnected)
 	}
 	return r, stream, nil
 }
 
-// accept takes a request into the engine.
+// accept parses, validates and enqueues a request.
 func (e *Engine) accept(er endpoint.EngineRequest) (request, *reader, error) {
 	r, err := parseRequest(er.Body)
 	if err != nil {
-		return request{}, nil, e.refuse(err)
+		return request{}, nil, e.countRefusal(err)
 	}
 	s := newSequence(er.Key, r, e.options.Poison)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.refuses() {
+	if e.unreachable() {
 		return request{}, nil, fmt.Errorf("%w: connection refused", endpoint.ErrNotDispatched)
 	}
-	if err := e.check(r, s); err != nil {
+	if err := e.validate(r, s); err != nil {
 		e.counts.Refused++
-		return request{}, nil, refused(err)
+		return request{}, nil, wrapRefused(err)
 	}
 	e.enqueue(s)
 	return r, s.stream.reader(0), nil
 }
 
-func (e *Engine) refuse(err error) error {
+func (e *Engine) countRefusal(err error) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts.Refused++
-	return refused(err)
+	return wrapRefused(err)
 }
 
-// check refuses what can never run here.
-func (e *Engine) check(r request, s *sequence) error {
+// validate returns an error if the request can't run on this engine or the queue
+// is full.
+func (e *Engine) validate(r request, s *sequence) error {
 	if !e.models.serves(r.Model) {
 		return fmt.Errorf("%w: %q", ErrModelNotLoaded, r.Model)
 	}
-	need := s.prompt + len(s.answer.Tokens)
-	if need > e.options.KVTokens {
-		return fmt.Errorf("%w: %d tokens don't fit into %d of KV cache", ErrBadRequest, need, e.options.KVTokens)
+	required := s.promptTokens + len(s.answer.Tokens)
+	if required > e.options.KVTokens {
+		return fmt.Errorf("%w: %d tokens don't fit into %d of KV cache", ErrBadRequest, required, e.options.KVTokens)
 	}
 	if e.options.WaitingLimit > 0 && len(e.waiting) >= e.options.WaitingLimit {
 		return ErrQueueFull
@@ -143,8 +148,8 @@
 		State:        RunWaiting,
 		Leaving:      e.faults.Leaving,
 		Arrived:      time.Now(),
-		PromptHash:   s.sum,
-		PromptTokens: s.prompt,
+		PromptHash:   s.promptHash,
+		PromptTokens: s.promptTokens,
 		AnswerTokens: len(s.answer.Tokens),
 	})
 	e.counts.Arrived++
@@ -152,11 +157,11 @@
 	s.stream.sequence = s
 	s.stream.setFaults(e.faults)
 	if e.faults.Poison != "" && s.request.contains(e.faults.Poison) {
-		s.poison = true
+		s.poisoned = true
 	}
 	e.waiting = append(e.waiting, s)
-	e.noteLoad()
-	e.work()
+	e.recordLoad()
+	e.startLoop()
 }
 
 // Resume implements endpoint.Engine.
@@ -169,12 +174,12 @@
 }
 
 func (e *Engine) resume(ctx context.Context, key string, from uint64) (*reader, error) {
-	if err := e.enter(ctx); err != nil {
+	if err := e.awaitReachable(ctx); err != nil {
 		return nil, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.forgetEnded()
+	e.pruneEndedStreams()
 	s, ok := e.streams[key]
 	if !ok {
 		return nil, endpoint.ErrStreamNotFound
@@ -182,10 +187,10 @@
 	return s.reader(from), nil
 }
 
-// Cancel implements endpoint.Engine. It frees the sequence's place and memory at
-// once and forgets the stream.
+// Cancel implements endpoint.Engine. It removes the sequence from the batch or
+// queue, frees its KV memory and deletes the stream.
 func (e *Engine) Cancel(ctx context.Context, key string) error {
-	if err := e.enter(ctx); err != nil {
+	if err := e.awaitReachable(ctx); err != nil {
 		return err
 	}
 	e.mu.Lock()
@@ -195,29 +200,29 @@
 		return nil
 	}
 	delete(e.streams, key)
-	if s.sequence.gone {
+	if s.sequence.ended {
 		return nil
 	}
 	e.counts.Cancelled++
 	e.abandon(s.sequence, RunCancelled, errCancelled)
 	e.remove(s.sequence)
-	e.noteLoad()
+	e.recordLoad()
 	return nil
 }
 
 // Load implements endpoint.Engine.
 func (e *Engine) Load(ctx context.Context) (endpoint.LoadReport, error) {
-	if err := e.enter(ctx); err != nil {
+	if err := e.awaitReachable(ctx); err != nil {
 		return endpoint.LoadReport{}, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.history.report(time.Now()), nil
+	return e.loadHistory.report(time.Now()), nil
 }
 
 // CacheEvents implements endpoint.Engine.
 func (e *Engine) CacheEvents(ctx context.Context, after uint64) ([]endpoint.CacheEvent, error) {
-	if err := e.enter(ctx); err != nil {
+	if err := e.awaitReachable(ctx); err != nil {
 		return nil, err
 	}
 	e.mu.Lock()
@@ -225,21 +230,21 @@
 	return e.events.after(time.Now(), after), nil
 }
 
-// Counts returns the sums so far.
+// Counts returns the totals since the engine was created.
 func (e *Engine) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-// Runs returns all requests that the engine accepted, in order of arrival.
+// Runs returns the requests that the engine accepted, in order of arrival.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs.copy()
 }
 
-// usage returns the account of a finished request.
+// usage returns the token usage of a finished request.
 func (e *Engine) usage(s *stream) usage {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -247,9 +252,9 @@
 	return newUsage(run.PromptTokens, run.Emitted, run.Cached)
 }
 
-// noteLoad keeps the present load for later reports.
-func (e *Engine) noteLoad() {
-	e.history.add(time.Now(), endpoint.LoadReport{
+// recordLoad adds the current load to the history from which reports are made.
+func (e *Engine) recordLoad() {
+	e.loadHistory.add(time.Now(), endpoint.LoadReport{
 		Running:      len(e.batch),
 		Waiting:      len(e.waiting),
 		KVTokensUsed: e.memory.pinned(),
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -17,8 +17,8 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// ask makes a request whose prompt has about the given number of tokens.
-func ask(key, topic string, prompt, answer int) endpoint.EngineRequest {
+// chatRequest returns a request whose prompt has about the given number of tokens.
+func chatRequest(key, topic string, prompt, answer int) endpoint.EngineRequest {
 	text := topic + strings.Repeat("x", max(0, 4*prompt-len(topic)-6))
 	body, err := json.Marshal(map[string]any{
 		"model":      "m",
@@ -32,13 +32,13 @@
 	return endpoint.EngineRequest{Key: key, Body: body}
 }
 
-// followUp makes the next turn of a conversation.
-func followUp(t *testing.T, key string, before endpoint.EngineRequest, text string) endpoint.EngineRequest {
+// followUpRequest returns the next turn of a conversation.
+func followUpRequest(t *testing.T, key string, before endpoint.EngineRequest, text string) endpoint.EngineRequest {
 	t.Helper()
 	var body map[string]any
 	assert.NilError(t, json.Unmarshal(before.Body, &body))
 	messages := append(body["messages"].([]any),
-		map[string]string{"role": "assistant", "content": expected(t, before)},
+		map[string]string{"role": "assistant", "content": expectedText(t, before)},
 		map[string]string{"role": "user", "content": text})
 	body["messages"] = messages
 	data, err := json.Marshal(body)
@@ -46,7 +46,7 @@
 	return endpoint.EngineRequest{Key: key, Body: data}
 }
 
-func endpointRequest(body []byte) endpoint.EngineRequest {
+func requestWithBody(body []byte) endpoint.EngineRequest {
 	return endpoint.EngineRequest{Key: "k", Body: body}
 }
 
@@ -64,8 +64,8 @@
 	return s
 }
 
-// read reads a stream to its end and returns the text and that end.
-func read(ctx context.Context, s endpoint.Stream) (string, error) {
+// readAll reads a stream to its end and returns its text and the final error.
+func readAll(ctx context.Context, s endpoint.Stream) (string, error) {
 	var text strings.Builder
 	for next := uint64(0); ; next++ {
 		event, err := s.Next(ctx)
@@ -73,7 +73,7 @@
 			return text.String(), err
 		}
 		if event.Offset != next {
-			return "", fmt.Errorf("offset %d in place of %d", event.Offset, next)
+			return "", fmt.Errorf("event offset %d, want %d", event.Offset, next)
 		}
 		if string(event.Data) == "[DONE]" {
 			continue
@@ -88,21 +88,21 @@
 	}
 }
 
-func expected(t *testing.T, r endpoint.EngineRequest) string {
+func expectedText(t *testing.T, r endpoint.EngineRequest) string {
 	t.Helper()
 	answer, err := engine.ExpectedAnswer(r.Body)
 	assert.NilError(t, err)
 	return answer.Text()
 }
 
-func TestWholeAnswer(t *testing.T) {
+func TestCompleteAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Options{Speed: engine.GenerationA()})
-		request := ask("k", "a", 100, 50)
+		request := chatRequest("k", "a", 100, 50)
 		begun := time.Now()
-		text, err := read(t.Context(), start(t, e, request))
+		text, err := readAll(t.Context(), start(t, e, request))
 		assert.Assert(t, errors.Is(err, io.EOF), err)
-		assert.Equal(t, text, expected(t, request))
+		assert.Equal(t, text, expectedText(t, request))
 		assert.Equal(t, time.Since(begun), 100*60*time.Microsecond+49*10*time.Millisecond)
 		runs := e.Runs()
 		assert.Equal(t, len(runs), 1)
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -8,32 +8,32 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// Faults are what is wrong with an engine, until they are set anew. The zero
-// value is a sound engine.
+// Faults are the injected faults, in force until they are replaced. The zero value
+// means no faults.
 type Faults struct {
-	// Straggle makes every step so many times as long; 0 and 1 are the normal speed.
+	// Straggle multiplies the duration of every step; 0 and 1 mean normal speed.
 	Straggle float64 `json:"straggle"`
-	// Pause stops everything, as if the process were stopped.
+	// Pause suspends all work and calls, as if the process were stopped.
 	Pause bool `json:"pause"`
 	// Refuse refuses connections.
 	Refuse bool `json:"refuse"`
-	// Leaving is announced in load reports. The engine still takes requests, and
-	// its runs show it.
+	// Leaving is announced in load reports. The engine still accepts requests; their
+	// runs record that they arrived while it was leaving.
 	Leaving bool `json:"leaving"`
-	// AnswerDelayMillis passes between the acceptance of a request (or of an order)
-	// and the answer that says so.
+	// AnswerDelayMillis delays the acknowledgement of an accepted request or order.
 	AnswerDelayMillis int `json:"answer_delay_ms"`
-	// DropStartReplies runs so many of the next requests but breaks off in place of the
-	// answer.
+	// DropStartReplies is the number of following requests that are run but whose
+	// caller gets a broken connection in place of the reply.
 	DropStartReplies int `json:"lose_starts"`
-	// DisconnectAfter breaks every reading of a stream after so many events; 0 for never.
+	// DisconnectAfter closes each connection that reads a stream after that many
+	// events; 0 means never.
 	DisconnectAfter int `json:"cut_after"`
-	// DuplicateEvery sends each n-th event twice, SwapEvery sends it after the one
-	// that follows; 0 for never.
+	// DuplicateEvery sends each n-th event twice; SwapEvery swaps each n-th event
+	// with the one that follows. 0 means never.
 	DuplicateEvery int `json:"duplicate_every"`
 	SwapEvery      int `json:"swap_every"`
-	// Poison crashes the engine that computes a prompt with this text in it,
-	// besides Options.Poison.
+	// Poison crashes the engine when it computes a prompt that contains this text,
+	// in addition to Options.Poison.
 	Poison string `json:"poison"`
 }
 
@@ -53,8 +53,8 @@
 	for _, s := range e.streams {
 		s.setFaults(f)
 	}
-	e.noteLoad()
-	e.noteUp()
+	e.recordLoad()
+	e.notifyUp()
 }
 
 func (e *Engine) setPaused(paused bool) {
@@ -67,23 +67,24 @@
 	}
 }
 
-// DisconnectStreams breaks all connections that read a stream; the engine goes on.
+// DisconnectStreams closes all connections that read a stream. The requests keep
+// running.
 func (e *Engine) DisconnectStreams() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.streams {
-		s.cut()
+		s.disconnect()
 	}
 }
 
-// enter is the way into the engine for every call: it waits while the engine is
-// paused, and finds nobody while it is down or refuses connections.
-func (e *Engine) enter(ctx context.Context) error {
+// awaitReachable is called first by every call to the engine. It blocks while the
+// engine is paused and fails while it is down or refuses connections.
+func (e *Engine) awaitReachable(ctx context.Context) error {
 	for {
 		e.mu.Lock()
-		unpaused, refuse := e.unpaused, e.refuses()
+		unpaused, refused := e.unpaused, e.unreachable()
 		e.mu.Unlock()
-		if refuse {
+		if refused {
 			return fmt.Errorf("%w: connection refused", endpoint.ErrNotDispatched)
 		}
 		if unpaused == nil {
@@ -97,11 +98,11 @@
 	}
 }
 
-// refuses reports whether nobody listens at the engine's address.
-func (e *Engine) refuses() bool { return e.down || e.faults.Refuse }
+// unreachable reports whether connections to the engine are refused.
+func (e *Engine) unreachable() bool { return e.down || e.faults.Refuse }
 
-// answerLate waits out the fault AnswerDelayMillis.
-func (e *Engine) answerLate(ctx context.Context) error {
+// delayReply waits for Faults.AnswerDelayMillis.
+func (e *Engine) delayReply(ctx context.Context) error {
 	delay := time.Duration(e.Faults().AnswerDelayMillis) * time.Millisecond
 	if delay <= 0 {
 		return nil
@@ -116,8 +117,9 @@
 	}
 }
 
-// loseStart takes one from the fault DropStartReplies.
-func (e *Engine) loseStart() bool {
+// dropStartReply reports whether to drop this reply, and decrements
+// Faults.DropStartReplies if so.
+func (e *Engine) dropStartReply() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.DropStartReplies <= 0 {
--- a/standin/engine/handler.go
+++ b/standin/engine/handler.go
@@ -12,10 +12,10 @@
 	"hawthornrill.example/hawthornrill/standin/api"
 )
 
-// headerRequestKey names the stream of a request.
+// headerRequestKey carries the request key, which names the stream.
 const headerRequestKey = "X-Request-Key"
 
-// maxBodyBytes bounds a request's body.
+// maxBodyBytes is the maximum size of a request body.
 const maxBodyBytes = 16 << 20
 
 // handler serves an engine over HTTP.
--- a/standin/engine/handler_test.go
+++ b/standin/engine/handler_test.go
@@ -13,7 +13,7 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-func request(handler http.Handler, method, path, body string) (int, string) {
+func doRequest(handler http.Handler, method, path, body string) (int, string) {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("X-Request-Key", "k")
 	w := httptest.NewRecorder()
@@ -39,12 +39,12 @@
 		{"GET", "/v1/streams/k?from=-1", "", 400, "whole number"},
 		{"GET", "/v1/streams/other", "", 404, "not found"},
 		{"DELETE", "/v1/streams/k", "", 204, ""},
-		{"POST", "/v1/orders", `{"kind":"king"}`, 400, "bad order"},
+		{"POST", "/v1/orders", `{"kind":"unknown"}`, 400, "bad order"},
 		{"POST", "/v1/kv/import", `{"blocks":[1]}`, 400, "KV cache"},
 		{"POST", "/standin/faults", `{"leaving":true}`, 200, `"leaving":true`},
 		{"POST", "/standin/faults", `{"straggle":2}`, 200, `{"straggle":2,"pause":false,"refuse":false,"leaving":true`},
 		{"POST", "/standin/faults", `{"straggle":"much"}`, 400, "straggle"},
-		{"POST", "/standin/faults", `{"sorrow":1}`, 400, "sorrow"},
+		{"POST", "/standin/faults", `{"no_such_fault":1}`, 400, "no_such_fault"},
 		{"GET", "/standin/faults", "", 200, `"straggle":2`},
 		{"GET", "/standin/counts", "", 200, `"finished":1`},
 		{"GET", "/standin/runs", "", 200, `"key":"k","model":"m","state":"finished"`},
@@ -53,15 +53,15 @@
 	}
 	handler := engine.NewHandler(e)
 	for _, step := range steps {
-		status, got := request(handler, step.method, step.path, step.body)
+		status, got := doRequest(handler, step.method, step.path, step.body)
 		assert.Equal(t, status, step.status, "%s %s: %s", step.method, step.path, got)
 		assert.Assert(t, strings.Contains(got, step.want), "%s %s: %s", step.method, step.path, got)
 	}
 	assert.Equal(t, len(e.Runs()), 1)
 }
 
-// FuzzRequest holds the engine to answering anything that is sent to it: what it
-// accepts it runs to the end that ExpectedAnswer foretells.
+// FuzzRequest checks that the engine handles any request body: a request that it
+// accepts runs to its end with the answer that ExpectedAnswer predicts.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"hi"}],"max_tokens":3}`))
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":[{"text":"hi"}]}],"seed":7}`))
@@ -72,14 +72,14 @@
 		answer, expectedErr := engine.ExpectedAnswer(body)
 		e := engine.New(engine.Options{KVTokens: 10_000})
 		defer e.Close()
-		s, err := e.Start(t.Context(), endpointRequest(body))
+		s, err := e.Start(t.Context(), requestWithBody(body))
 		if err != nil {
-			// What parses may still be too large.
+			// A valid request may still be too large for the KV cache.
 			assert.Assert(t, expectedErr != nil || len(answer.Tokens) > 9000 || len(body) > 3000, "%v", err)
 			return
 		}
 		assert.NilError(t, expectedErr)
-		text, err := read(t.Context(), s)
+		text, err := readAll(t.Context(), s)
 		assert.Assert(t, err == io.EOF, "%v", err)
 		assert.Equal(t, text, answer.Text())
 		assert.Assert(t, json.Valid(body))
--- a/standin/engine/httperror.go
+++ b/standin/engine/httperror.go
@@ -8,8 +8,8 @@
 	"hawthornrill.example/hawthornrill/standin/api"
 )
 
-// statusOf is the engine's api.StatusFunc. To a caller for whom the engine is gone
-// there is no answer.
+// statusOf is the engine's api.StatusFunc. If the engine is unreachable or
+// the stream breaks, the connection is closed without a response.
 func statusOf(err error) (int, bool) {
 	switch {
 	case errors.Is(err, endpoint.ErrNotDispatched), errors.Is(err, endpoint.ErrBroken):
--- a/standin/engine/kv.go
+++ b/standin/engine/kv.go
@@ -12,45 +12,47 @@
 
 var _ endpoint.KVTransfer = (*Engine)(nil)
 
-// exported is the stand-in's own form of KV cache. A real one has the tensors
-// here; ours has the hashes again, so that an import of nonsense is found out.
-type exported struct {
+// kvPayload is the data of an exported KV cache. A real engine transfers tensors;
+// the simulated one repeats the block hashes, so that an import of corrupt data is
+// detected.
+type kvPayload struct {
 	Blocks []uint64 `json:"blocks"`
 }
 
-// ExportKV implements endpoint.KVTransfer. It takes the time of a transfer.
+// ExportKV implements endpoint.KVTransfer. It takes the transfer time of the
+// blocks.
 func (e *Engine) ExportKV(ctx context.Context, blocks []uint64) (endpoint.KVCache, error) {
-	if err := e.enter(ctx); err != nil {
+	if err := e.awaitReachable(ctx); err != nil {
 		return endpoint.KVCache{}, err
 	}
 	held := e.leadingBlocks(blocks)
-	if err := e.transfer(ctx, len(held)); err != nil {
+	if err := e.simulateTransfer(ctx, len(held)); err != nil {
 		return endpoint.KVCache{}, err
 	}
-	data, err := json.Marshal(exported{Blocks: held})
+	data, err := json.Marshal(kvPayload{Blocks: held})
 	return endpoint.KVCache{Blocks: held, Data: data}, err
 }
 
-// ImportKV implements endpoint.KVTransfer. It takes the time of a transfer and
-// imports no more than fits beside what is in use.
+// ImportKV implements endpoint.KVTransfer. It takes the transfer time of the
+// blocks and imports the leading ones that fit beside the memory in use.
 func (e *Engine) ImportKV(ctx context.Context, cache endpoint.KVCache) (int, error) {
-	if err := e.enter(ctx); err != nil {
+	if err := e.awaitReachable(ctx); err != nil {
 		return 0, err
 	}
-	var data exported
+	var data kvPayload
 	if err := json.Unmarshal(cache.Data, &data); err != nil {
-		return 0, refused(fmt.Errorf("%w: KV cache: %w", ErrBadRequest, err))
+		return 0, wrapRefused(fmt.Errorf("%w: KV cache: %w", ErrBadRequest, err))
 	}
-	if err := e.transfer(ctx, len(data.Blocks)); err != nil {
+	if err := e.simulateTransfer(ctx, len(data.Blocks)); err != nil {
 		return 0, err
 	}
 	return e.importBlocks(data.Blocks), nil
 }
 
-// transfer passes the time that so many blocks take.
-func (e *Engine) transfer(ctx context.Context, blocks int) error {
-	takes := time.Duration(blocks*prefix.BlockTokens) * e.options.Speed.Transfer
-	timer := time.NewTimer(takes)
+// simulateTransfer waits for the transfer time of the given number of blocks.
+func (e *Engine) simulateTransfer(ctx context.Context, blocks int) error {
+	duration := time.Duration(blocks*prefix.BlockTokens) * e.options.Speed.Transfer
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -74,8 +76,8 @@
 func (e *Engine) importBlocks(blocks []uint64) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	held := e.memory.hold(blocks)
-	e.counts.Imported += uint64(held.stored * prefix.BlockTokens)
-	e.noteLoad()
-	return held.total
+	result := e.memory.insert(blocks)
+	e.counts.Imported += uint64(result.stored * prefix.BlockTokens)
+	e.recordLoad()
+	return result.total
 }
--- a/standin/engine/lifecycle.go
+++ b/standin/engine/lifecycle.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Crash ends everything at once, as a dying process does: streams, waiting
-// requests, KV cache, orders obeyed. The engine refuses connections until it has
+// Crash simulates a process crash: streams, queued requests, the KV cache and the
+// effects of orders are lost. The engine refuses connections until it has
 // restarted.
 func (e *Engine) Crash() {
 	e.mu.Lock()
@@ -17,28 +17,28 @@
 	if e.down {
 		return
 	}
-	e.life++
-	close(e.lifeEnd)
+	e.incarnation++
+	close(e.incarnationEnd)
 	e.down = true
-	e.busy = false
+	e.loopRunning = false
 	e.counts.Crashes++
 	for _, s := range append(e.batch, e.waiting...) {
 		e.counts.Crashed++
 		e.abandon(s, RunCrashed, errCrashed)
 	}
 	for _, s := range e.streams {
-		s.cut()
+		s.disconnect()
 	}
-	e.batch, e.waiting, e.ended = nil, nil, nil
+	e.batch, e.waiting, e.endedStreams = nil, nil, nil
 	clear(e.streams)
-	e.noteUp()
+	e.notifyUp()
 	if e.options.RestartDelay >= 0 {
 		time.AfterFunc(e.options.RestartDelay, e.restart)
 	}
 }
 
-// Close ends the engine as a crash does, for good. Tests under testing/synctest
-// need it, since the engine's goroutine must not outlive them.
+// Close crashes the engine without a restart. Tests under testing/synctest must
+// call it, since the engine's goroutine must not outlive them.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -46,7 +46,8 @@
 	e.crash()
 }
 
-// restart brings a crashed engine back as it was when new.
+// restart starts a crashed engine with empty memory and the configured models.
+// Faults, counts and logs are kept.
 func (e *Engine) restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,28 +55,28 @@
 		return
 	}
 	e.down = false
-	e.lifeEnd = make(chan struct{})
-	e.memory = e.emptyMemory()
-	e.events.restart(e.life)
+	e.incarnationEnd = make(chan struct{})
+	e.memory = e.newMemory()
+	e.events.restart(e.incarnation)
 	e.models = newModels(e.options.Models)
-	e.history = history{lag: e.options.LoadLag}
-	e.noteLoad()
-	e.noteUp()
+	e.loadHistory = loadHistory{lag: e.options.LoadLag}
+	e.recordLoad()
+	e.notifyUp()
 }
 
-// noteUp tells the owner of the listener whether there should be one.
-func (e *Engine) noteUp() {
-	up := !e.refuses()
-	if up == e.up {
+// notifyUp calls Options.OnUp if the engine has become reachable or unreachable.
+func (e *Engine) notifyUp() {
+	up := !e.unreachable()
+	if up == e.reportedUp {
 		return
 	}
-	e.up = up
+	e.reportedUp = up
 	if e.options.OnUp != nil {
 		e.options.OnUp(up)
 	}
 }
 
-// sleep returns false if the life ended first.
+// sleep waits for d. It returns false if end is closed first.
 func sleep(d time.Duration, end <-chan struct{}) bool {
 	if d <= 0 {
 		return true
--- a/standin/engine/memory.go
+++ b/standin/engine/memory.go
@@ -2,21 +2,21 @@
 
 import "hawthornrill.example/hawthornrill/prefix"
 
-// memory accounts for the KV tokens: those in cached blocks, which sequences
-// share, and those that belong to one sequence.
+// memory accounts for KV tokens: those in cached blocks, which sequences share,
+// and private tokens, which belong to one sequence.
 type memory struct {
-	limit   int
-	private int
-	cache   *cache
+	limit         int
+	privateTokens int
+	cache         *cache
 }
 
-func (m *memory) free() int { return m.limit - m.private - m.cache.len()*prefix.BlockTokens }
+func (m *memory) free() int { return m.limit - m.privateTokens - m.cache.len()*prefix.BlockTokens }
 
-// pinned is the number of tokens that can't be evicted.
-func (m *memory) pinned() int { return m.private + m.cache.used()*prefix.BlockTokens }
+// pinned returns the number of tokens that can't be evicted.
+func (m *memory) pinned() int { return m.privateTokens + m.cache.used()*prefix.BlockTokens }
 
-// reserve takes private tokens, evicting unused blocks as need be; it takes
-// nothing and returns false if there is no room.
+// reserve allocates private tokens, evicting unused blocks as needed. If there is
+// not enough memory it allocates nothing and returns false.
 func (m *memory) reserve(tokens int) bool {
 	if m.limit-m.pinned() < tokens {
 		return false
@@ -24,30 +24,32 @@
 	for m.free() < tokens {
 		m.cache.evict()
 	}
-	m.private += tokens
+	m.privateTokens += tokens
 	return true
 }
 
-// heldBlocks tells how many blocks hold found or stored, and how many it stored.
-type heldBlocks struct{ total, stored int }
+// insertResult counts the blocks that are cached after insert (total) and those of
+// them that insert added (stored).
+type insertResult struct{ total, stored int }
 
-// hold puts leading blocks into the cache, unused, as far as they fit.
-func (m *memory) hold(blocks []uint64) heldBlocks {
-	var held heldBlocks
+// insert adds the leading blocks that fit to the cache, without users.
+func (m *memory) insert(blocks []uint64) insertResult {
+	var result insertResult
 	for _, hash := range blocks {
 		if !m.cache.acquire(hash) {
 			if !m.reserve(prefix.BlockTokens) {
 				break
 			}
-			m.private -= prefix.BlockTokens
+			m.privateTokens -= prefix.BlockTokens
 			m.cache.store(hash)
-			held.stored++
+			result.stored++
 		}
-		held.total++
+		result.total++
 	}
-	// In use until here, so that the blocks don't evict each other.
-	for i := held.total - 1; i >= 0; i-- {
+	// The blocks stay in use until all are inserted, so that they don't evict each
+	// other.
+	for i := result.total - 1; i >= 0; i-- {
 		m.cache.release(blocks[i])
 	}
-	return held
+	return result
 }
--- a/standin/engine/models.go
+++ b/standin/engine/models.go
@@ -7,17 +7,17 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// models is what an engine serves.
+// models holds the models that an engine serves, and its role.
 type models struct {
-	// any is true until the first order about models to an engine without models
-	// of its own: it serves whatever is asked.
-	any    bool
-	fence  uint64
-	role   endpoint.Role
-	byName map[string]*model
+	// servesAny is true for an engine without configured models until its first
+	// load or unload order: it then serves requests for any model.
+	servesAny bool
+	fence     uint64
+	role      endpoint.Role
+	byName    map[string]*model
 }
 
-// model is a model that is served or loading.
+// model is a model that is loaded or loading.
 type model struct {
 	version  string
 	ready    bool
@@ -27,7 +27,7 @@
 type adapter struct{ ready bool }
 
 func newModels(names []string) models {
-	m := models{any: len(names) == 0, role: endpoint.RoleMixed, byName: make(map[string]*model)}
+	m := models{servesAny: len(names) == 0, role: endpoint.RoleMixed, byName: make(map[string]*model)}
 	for _, name := range names {
 		m.add(name, "").ready = true
 	}
@@ -40,10 +40,10 @@
 	return added
 }
 
-// serves reports whether a request may name the model: a ready one, or a ready
-// adapter of one.
+// serves reports whether name is a ready model or a ready adapter of a ready
+// model.
 func (m *models) serves(name string) bool {
-	if m.any {
+	if m.servesAny {
 		return true
 	}
 	for modelName, model := range m.byName {
@@ -58,7 +58,7 @@
 	return false
 }
 
-// state describes the models to outsiders.
+// state returns the models, sorted by name, as reported to callers.
 func (m *models) state() endpoint.EngineState {
 	state := endpoint.EngineState{Fence: m.fence, Role: m.role, Models: []endpoint.ModelState{}}
 	for name, model := range m.byName {
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -6,48 +6,50 @@
 	"hawthornrill.example/hawthornrill/defaults"
 )
 
-// Options describe an engine. New fills in the defaults.
+// Options configure an engine. New fills in the defaults.
 type Options struct {
 	Speed Speed
-	// BatchLimit is the number of sequences computed at a time. Default 32.
+	// BatchLimit is the maximum number of sequences in the batch. Default 32.
 	BatchLimit int
 	// KVTokens is the size of the KV cache in tokens. Default 131072.
 	KVTokens int
-	// WaitingLimit bounds the requests that wait for the batch; further ones are
-	// refused. Default 0, no bound.
+	// WaitingLimit is the maximum number of requests that wait for the batch;
+	// further ones are refused. Default 0, no limit.
 	WaitingLimit int
-	// Models are loaded from the start. With none, the engine serves any model
-	// until the first order.
+	// Models are loaded from the start. If empty, the engine serves any model until
+	// its first order that loads or unloads a model.
 	Models []string
-	// Retention is for how long an ended stream can be resumed. Default 60 s.
+	// Retention is how long an ended stream can be resumed. Default 60 s.
 	Retention time.Duration
-	// LoadLag is how old load reports are. Default 500 ms, negative for none.
+	// LoadLag is the age of load reports. Default 500 ms, negative for none.
 	LoadLag time.Duration
-	// CacheEventDelay is how late cache events appear. Default 1 s, negative for
-	// none. CacheEventLossRate is the share of them that never do, between 0 and 1.
+	// CacheEventDelay is the delay after which cache events become visible. Default
+	// 1 s, negative for none. CacheEventLossRate is the fraction of events that are
+	// lost, between 0 and 1.
 	CacheEventDelay    time.Duration
 	CacheEventLossRate float64
-	// IgnoreFencing obeys orders with an old fencing number.
+	// IgnoreFencing makes the engine apply orders with an old fencing number.
 	IgnoreFencing bool
-	// RestartDelay is how long the engine is down after a crash. Default Speed.Load;
-	// negative for ever.
+	// RestartDelay is how long the engine is down after a crash. Default
+	// Speed.ModelLoad; if negative, it does not restart.
 	RestartDelay time.Duration
-	// Poison crashes the engine that computes a prompt with this text in it.
+	// Poison crashes the engine when it computes a prompt that contains this text.
 	Poison string
-	// Seed makes the gaps in cache events differ between engines.
+	// Seed seeds the choice of lost cache events, so that it differs between
+	// engines.
 	Seed uint64
-	// FetchWeights, if set, gets weights before they are loaded, such as from the
-	// weight store. If it fails, the model or adapter is not there.
+	// FetchWeights, if set, fetches weights before they are loaded, for example from
+	// the weight store. If it fails, the model or adapter is not loaded.
 	FetchWeights func(Weights) error
-	// OnUp, if set, is told when the engine begins and ceases to refuse
+	// OnUp, if set, is called when the engine starts or stops accepting
 	// connections. It must not call the engine.
 	OnUp func(up bool)
-	// OnPrefill, if set, is told of each prompt block that is computed. It must
+	// OnPrefill, if set, is called for each prompt block that is computed. It must
 	// not call the engine.
 	OnPrefill func(block uint64)
 }
 
-// Weights names weights to load; Adapter is empty for a model's own.
+// Weights identifies the weights to load. Adapter is empty for the base model.
 type Weights struct{ Model, Version, Adapter string }
 
 const (
@@ -58,7 +60,7 @@
 	defaultCacheEventDelay = time.Second
 )
 
-// DefaultOptions returns the options with their defaults, of no speed.
+// DefaultOptions returns the default options. Speed has only its PrefillChunk set.
 func DefaultOptions() Options { return Options{}.withDefaults() }
 
 func (o Options) withDefaults() Options {
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -11,30 +11,30 @@
 
 var _ endpoint.Orders = (*Engine)(nil)
 
-// OrderRecord is the witness of an order that the engine got.
+// OrderRecord records an order that the engine received.
 type OrderRecord struct {
 	Order endpoint.Order `json:"order"`
 	At    time.Time      `json:"at"`
-	// Obeyed is false for a refused order.
+	// Applied is false if the order was refused for its fencing number.
 	Applied bool `json:"obeyed"`
-	// Old is true if its fencing number was lower than one obeyed before.
+	// Stale is true if its fencing number was lower than one applied before.
 	Stale bool `json:"old"`
 }
 
 // Order implements endpoint.Orders.
 func (e *Engine) Order(ctx context.Context, order endpoint.Order) error {
-	if err := e.enter(ctx); err != nil {
+	if err := e.awaitReachable(ctx); err != nil {
 		return err
 	}
-	if err := e.order(order); err != nil {
+	if err := e.submitOrder(order); err != nil {
 		return err
 	}
-	return e.answerLate(ctx)
+	return e.delayReply(ctx)
 }
 
 // State implements endpoint.Orders.
 func (e *Engine) State(ctx context.Context) (endpoint.EngineState, error) {
-	if err := e.enter(ctx); err != nil {
+	if err := e.awaitReachable(ctx); err != nil {
 		return endpoint.EngineState{}, err
 	}
 	e.mu.Lock()
@@ -42,30 +42,31 @@
 	return e.models.state(), nil
 }
 
-// OrderLog returns all orders that the engine got, over all its lives.
+// OrderLog returns the valid orders that the engine received, including those
+// before a crash.
 func (e *Engine) OrderLog() []OrderRecord {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]OrderRecord{}, e.orders...)
 }
 
-func (e *Engine) order(order endpoint.Order) error {
-	if err := checkOrder(order); err != nil {
-		return refused(err)
+func (e *Engine) submitOrder(order endpoint.Order) error {
+	if err := validateOrder(order); err != nil {
+		return wrapRefused(err)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	old := order.Fence < e.models.fence
-	obey := !old || e.options.IgnoreFencing
-	e.orders = append(e.orders, OrderRecord{Order: order, At: time.Now(), Applied: obey, Stale: old})
-	if !obey {
-		return refused(fmt.Errorf("%w: %d is less than %d", endpoint.ErrOldFence, order.Fence, e.models.fence))
+	stale := order.Fence < e.models.fence
+	apply := !stale || e.options.IgnoreFencing
+	e.orders = append(e.orders, OrderRecord{Order: order, At: time.Now(), Applied: apply, Stale: stale})
+	if !apply {
+		return wrapRefused(fmt.Errorf("%w: %d is less than %d", endpoint.ErrOldFence, order.Fence, e.models.fence))
 	}
 	e.models.fence = max(e.models.fence, order.Fence)
-	return e.obey(order)
+	return e.applyOrder(order)
 }
 
-func checkOrder(o endpoint.Order) error {
+func validateOrder(o endpoint.Order) error {
 	switch o.Kind {
 	case endpoint.OrderLoad, endpoint.OrderUnload:
 		if o.Model == "" {
@@ -85,12 +86,12 @@
 	return nil
 }
 
-func (e *Engine) obey(o endpoint.Order) error {
+func (e *Engine) applyOrder(o endpoint.Order) error {
 	switch o.Kind {
 	case endpoint.OrderLoad:
 		e.loadModel(o.Model, o.Version)
 	case endpoint.OrderUnload:
-		e.models.any = false
+		e.models.servesAny = false
 		delete(e.models.byName, o.Model)
 	case endpoint.OrderLoadAdapter:
 		return e.loadAdapter(o.Model, o.Adapter)
@@ -104,16 +105,16 @@
 	return nil
 }
 
-// loadModel begins to load a model; one that is loaded or loading already at
-// that version is left alone.
+// loadModel starts loading a model, unless that version is loaded or loading
+// already.
 func (e *Engine) loadModel(name, version string) {
-	e.models.any = false
+	e.models.servesAny = false
 	if m, ok := e.models.byName[name]; ok && m.version == version {
 		return
 	}
 	loading := e.models.add(name, version)
 	weights := Weights{Model: name, Version: version}
-	go e.load(e.lifeEnd, e.options.Speed.ModelLoad, weights, func(loaded bool) {
+	go e.load(e.incarnationEnd, e.options.Speed.ModelLoad, weights, func(loaded bool) {
 		if e.models.byName[name] != loading {
 			return
 		}
@@ -127,7 +128,7 @@
 func (e *Engine) loadAdapter(name, adapterName string) error {
 	m, ok := e.models.byName[name]
 	if !ok {
-		return refused(fmt.Errorf("%w: %q", ErrModelNotLoaded, name))
+		return wrapRefused(fmt.Errorf("%w: %q", ErrModelNotLoaded, name))
 	}
 	if _, ok := m.adapters[adapterName]; ok {
 		return nil
@@ -135,7 +136,7 @@
 	loading := &adapter{}
 	m.adapters[adapterName] = loading
 	weights := Weights{Model: name, Version: m.version, Adapter: adapterName}
-	go e.load(e.lifeEnd, e.options.Speed.AdapterLoad, weights, func(loaded bool) {
+	go e.load(e.incarnationEnd, e.options.Speed.AdapterLoad, weights, func(loaded bool) {
 		if m.adapters[adapterName] != loading {
 			return
 		}
@@ -147,11 +148,11 @@
 	return nil
 }
 
-// load fetches weights and then takes the time to load them. If the engine's
-// life ends meanwhile, done is not called.
-func (e *Engine) load(end <-chan struct{}, takes time.Duration, weights Weights, done func(loaded bool)) {
+// load fetches weights and then waits for the load time. done is not called if the
+// engine crashes meanwhile.
+func (e *Engine) load(end <-chan struct{}, duration time.Duration, weights Weights, done func(loaded bool)) {
 	loaded := e.options.FetchWeights == nil || e.options.FetchWeights(weights) == nil
-	if !sleep(takes, end) {
+	if !sleep(duration, end) {
 		return
 	}
 	e.mu.Lock()
--- a/standin/engine/orders_test.go
+++ b/standin/engine/orders_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestLoadingTakesTimeAndTheLastOrderCounts(t *testing.T) {
+func TestLoadTimeAndLastOrderWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var fetched []engine.Weights
 		e := newEngine(t, engine.Options{
@@ -56,7 +56,7 @@
 		}
 		serves := func(want bool) {
 			t.Helper()
-			_, err := e.Start(t.Context(), ask("k", "a", 5, 1))
+			_, err := e.Start(t.Context(), chatRequest("k", "a", 5, 1))
 			assert.Equal(t, err == nil, want, "%v", err)
 			assert.Equal(t, errors.Is(err, engine.ErrModelNotLoaded), !want)
 		}
@@ -94,13 +94,13 @@
 	})
 }
 
-func TestBadOrders(t *testing.T) {
+func TestInvalidOrders(t *testing.T) {
 	e := newEngine(t, engine.Options{Models: []string{"m"}})
 	for _, order := range []endpoint.Order{
 		{},
 		{Kind: endpoint.OrderLoad},
 		{Kind: endpoint.OrderLoadAdapter, Model: "m"},
-		{Kind: endpoint.OrderSetRole, Role: "king"},
+		{Kind: endpoint.OrderSetRole, Role: "unknown"},
 		{Kind: endpoint.OrderLoadAdapter, Model: "absent", Adapter: "a"},
 	} {
 		assert.ErrorIs(t, e.Order(t.Context(), order), endpoint.ErrRefused)
@@ -109,10 +109,10 @@
 
 func TestImportedCacheSavesPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		options := engine.Options{Speed: speed()}
+		options := engine.Options{Speed: testSpeed()}
 		options.Speed.Transfer = 10 * time.Microsecond
 		to := newEngine(t, options)
-		request := ask("k", "a", 10*prefix.BlockTokens, 2)
+		request := chatRequest("k", "a", 10*prefix.BlockTokens, 2)
 		var blocks []uint64
 		options.OnPrefill = func(block uint64) { blocks = append(blocks, block) }
 		from := newEngine(t, options)
@@ -126,7 +126,7 @@
 		assert.Equal(t, time.Since(begun), 2*640*10*time.Microsecond)
 		finishAll(t, to, request)
 		assert.Equal(t, to.Counts().PrefillDone, uint64(1))
-		_, err = to.ImportKV(t.Context(), endpoint.KVCache{Data: []byte("nonsense")})
+		_, err = to.ImportKV(t.Context(), endpoint.KVCache{Data: []byte("not JSON")})
 		assert.ErrorIs(t, err, endpoint.ErrRefused)
 	})
 }
--- a/standin/engine/reader.go
+++ b/standin/engine/reader.go
@@ -9,16 +9,16 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// reader reads a stream from an offset; it implements endpoint.Stream. Its
-// fields but wake are guarded by the stream's mutex.
+// reader reads a stream from an offset; it implements endpoint.Stream. All fields
+// but wake are guarded by the stream's mutex.
 type reader struct {
 	stream *stream
 	wake   chan struct{}
 	next   uint64
-	// again holds events that a fault delivers twice or late.
-	again  []endpoint.Event
-	read   int
-	broken bool
+	// pending holds events that a fault delivers a second time or late.
+	pending      []endpoint.Event
+	delivered    int
+	disconnected bool
 }
 
 func (s *stream) reader(from uint64) *reader {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Close implements endpoint.Stream. The engine goes on with the request.
+// Close implements endpoint.Stream. The request keeps running.
 func (r *reader) Close() error {
 	s := r.stream
 	s.mu.Lock()
@@ -53,22 +53,22 @@
 	return nil
 }
 
-// poll returns the next event if there is one already.
+// poll returns the next event if one is available.
 func (r *reader) poll() (event endpoint.Event, ok bool, err error) {
 	s := r.stream
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.broken || s.faults.DisconnectAfter > 0 && r.read >= s.faults.DisconnectAfter {
-		return endpoint.Event{}, false, fmt.Errorf("%w: %w", endpoint.ErrBroken, errCut)
+	if r.disconnected || s.faults.DisconnectAfter > 0 && r.delivered >= s.faults.DisconnectAfter {
+		return endpoint.Event{}, false, fmt.Errorf("%w: %w", endpoint.ErrBroken, errDisconnected)
 	}
-	if event, ok = r.take(); ok {
-		r.read++
+	if event, ok = r.nextEvent(); ok {
+		r.delivered++
 		return event, true, nil
 	}
 	return endpoint.Event{}, false, s.endError()
 }
 
-// endError is nil while the stream goes on.
+// endError returns why the stream ended, or nil while it is open.
 func (s *stream) endError() error {
 	if s.end == nil || s.end == io.EOF {
 		return s.end
@@ -76,34 +76,35 @@
 	return fmt.Errorf("%w: %w", endpoint.ErrBroken, s.end)
 }
 
-// take returns the next event, under the faults that repeat or swap events.
-func (r *reader) take() (endpoint.Event, bool) {
-	if len(r.again) > 0 {
-		event := r.again[0]
-		r.again = r.again[1:]
+// nextEvent returns the next event, after applying the faults that duplicate or
+// swap events.
+func (r *reader) nextEvent() (endpoint.Event, bool) {
+	if len(r.pending) > 0 {
+		event := r.pending[0]
+		r.pending = r.pending[1:]
 		return event, true
 	}
-	event, ok := r.stream.event(r.next)
+	event, ok := r.stream.eventAt(r.next)
 	if !ok {
 		return endpoint.Event{}, false
 	}
 	r.next++
 	f := r.stream.faults
-	if isEvery(f.DuplicateEvery, event.Offset) {
-		r.again = append(r.again, event)
+	if isNth(f.DuplicateEvery, event.Offset) {
+		r.pending = append(r.pending, event)
 	}
-	following, ok := r.stream.event(r.next)
-	if !ok || !isEvery(f.SwapEvery, event.Offset) {
+	following, ok := r.stream.eventAt(r.next)
+	if !ok || !isNth(f.SwapEvery, event.Offset) {
 		return event, true
 	}
 	r.next++
-	r.again = append(r.again, event)
+	r.pending = append(r.pending, event)
 	return following, true
 }
 
-func isEvery(n int, offset uint64) bool { return n > 0 && (offset+1)%uint64(n) == 0 }
+func isNth(n int, offset uint64) bool { return n > 0 && (offset+1)%uint64(n) == 0 }
 
-func (s *stream) event(offset uint64) (endpoint.Event, bool) {
+func (s *stream) eventAt(offset uint64) (endpoint.Event, bool) {
 	if offset >= uint64(len(s.events)) {
 		return endpoint.Event{}, false
 	}
--- a/standin/engine/request.go
+++ b/standin/engine/request.go
@@ -9,7 +9,7 @@
 	"hawthornrill.example/hawthornrill/prefix"
 )
 
-// request is a chat completion request, as far as the engine looks at it.
+// request holds the fields of a chat completion request that the engine uses.
 type request struct {
 	Model     string    `json:"model"`
 	Messages  []message `json:"messages"`
@@ -18,8 +18,8 @@
 	MaxCompletionTokens int    `json:"max_completion_tokens"`
 	Seed                uint64 `json:"seed"`
 	Stream              bool   `json:"stream"`
-	// AnswerTokens is the stand-in's own extension: the answer's true length,
-	// which a scheduler that looks at max_tokens alone can't know.
+	// AnswerTokens is an extension of this simulated engine: the actual length of
+	// the answer, which a scheduler that reads only max_tokens can't know.
 	AnswerTokens int `json:"answer_tokens"`
 }
 
@@ -28,13 +28,14 @@
 	Content content `json:"content"`
 }
 
-// content is a text, or a list of parts of which the texts count.
+// content is the text of a message. In JSON it is a string, or a list of parts
+// whose texts are joined.
 type content string
 
-// maxAnswerTokens bounds what one request may ask for.
+// maxAnswerTokens is the maximum number of answer tokens of one request.
 const maxAnswerTokens = 1 << 17
 
-// UnmarshalJSON takes both shapes.
+// UnmarshalJSON implements json.Unmarshaler for both forms.
 func (c *content) UnmarshalJSON(data []byte) error {
 	data = bytes.TrimSpace(data)
 	if len(data) == 0 || data[0] != '[' {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// parseRequest reads a body; its error wraps ErrBadRequest.
+// parseRequest decodes and validates a body. Its error wraps ErrBadRequest.
 func parseRequest(body []byte) (request, error) {
 	var r request
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -79,7 +80,7 @@
 	return r, nil
 }
 
-// chain returns the conversation's block hashes.
+// chain returns the prefix hash chain of the conversation.
 func (r request) chain() *prefix.Chain {
 	c := prefix.NewChain(r.Model)
 	for _, m := range r.Messages {
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// RunState tells how far a run came.
+// RunState is the state of a run.
 type RunState string
 
 // States of a run.
@@ -16,8 +16,8 @@
 	RunCrashed   RunState = "crashed"
 )
 
-// Run is the witness of one request that the engine accepted. Two runs with one
-// key are two dispatches. Times are by the engine's own clock.
+// Run records one request that the engine accepted. Two runs with the same key are
+// two dispatches. Times are taken from the engine's clock.
 type Run struct {
 	Key        string    `json:"key"`
 	Model      string    `json:"model"`
@@ -26,17 +26,17 @@
 	Admitted   time.Time `json:"admitted,omitzero"`
 	FirstToken time.Time `json:"first_token,omitzero"`
 	Ended      time.Time `json:"ended,omitzero"`
-	// Leaving is true if the engine had announced that it is leaving.
-	Leaving bool `json:"leaving,omitempty"`
-	// Sum is the hash of the prompt.
+	// Leaving is true if the engine had announced that it is leaving when the
+	// request arrived.
+	Leaving    bool   `json:"leaving,omitempty"`
 	PromptHash uint64 `json:"sum"`
-	// PromptTokens and AnswerTokens are the request's size; Emitted counts answer
-	// tokens sent.
+	// PromptTokens and AnswerTokens are the size of the request; Emitted counts the
+	// answer tokens generated so far.
 	PromptTokens int `json:"prompt_tokens"`
 	AnswerTokens int `json:"answer_tokens"`
 	Emitted      int `json:"emitted"`
-	// Cached prompt tokens were reused, Prefilled ones computed, preemptions
-	// included.
+	// Cached counts prompt tokens reused from the cache, Prefilled those computed.
+	// Both include recomputation after preemptions.
 	Cached    int `json:"cached"`
 	Prefilled int `json:"prefilled"`
 }
--- a/standin/engine/runlog.go
+++ b/standin/engine/runlog.go
@@ -1,11 +1,12 @@
 package engine
 
-// runLog keeps the runs in order of arrival, up to a bound.
+// runLog keeps runs in order of arrival, up to runLimit.
 type runLog struct {
 	runs []*Run
 }
 
-// runLimit bounds the log; beyond it the oldest half is forgotten.
+// runLimit is the maximum size of the log; when it is reached the oldest half is
+// dropped.
 const runLimit = 1 << 20
 
 func (l *runLog) add(r Run) *Run {
--- a/standin/engine/scheduling_test.go
+++ b/standin/engine/scheduling_test.go
@@ -12,9 +12,9 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// speed is easy to reckon with: a millisecond a prompt token, ten for a step of
-// one sequence and one more for each further sequence.
-func speed() engine.Speed {
+// testSpeed returns round figures: 1 ms for a prompt token, 10 ms for a decode step
+// with one sequence and 1 ms more for each further sequence.
+func testSpeed() engine.Speed {
 	return engine.Speed{Prefill: time.Millisecond, DecodeStep: 10 * time.Millisecond, PerSequence: time.Millisecond}
 }
 
@@ -28,20 +28,21 @@
 	for _, r := range requests {
 		s, err := e.Resume(t.Context(), r.Key, 0)
 		assert.NilError(t, err)
-		text, _ := read(t.Context(), s)
-		assert.Equal(t, text, expected(t, r), r.Key)
+		text, _ := readAll(t.Context(), s)
+		assert.Equal(t, text, expectedText(t, r), r.Key)
 	}
 }
 
-func TestDecodingSlowsDownWithTheBatch(t *testing.T) {
+func TestDecodeStepGrowsWithBatch(t *testing.T) {
 	for n, want := range map[int]time.Duration{1: 10, 4: 13, 8: 17} {
 		synctest.Test(t, func(t *testing.T) {
-			e := newEngine(t, engine.Options{Speed: speed(), KVTokens: 1000})
-			// The others find no memory beside this one and then enter together.
-			start(t, e, ask("plug", "plug", 999, 1))
+			e := newEngine(t, engine.Options{Speed: testSpeed(), KVTokens: 1000})
+			// Fills the memory, so that the other requests are admitted together once it
+			// ends.
+			start(t, e, chatRequest("blocker", "blocker", 999, 1))
 			requests := []endpoint.EngineRequest{}
 			for i := range n {
-				requests = append(requests, ask(fmt.Sprint(i), fmt.Sprint(i), 8, 101))
+				requests = append(requests, chatRequest(fmt.Sprint(i), fmt.Sprint(i), 8, 101))
 			}
 			finishAll(t, e, requests...)
 			run := e.Runs()[1]
@@ -50,18 +51,18 @@
 	}
 }
 
-func TestAdmitsInOrderOfArrivalUpToTheLimits(t *testing.T) {
+func TestAdmissionIsFIFOWithinLimits(t *testing.T) {
 	tests := map[string]engine.Options{
-		"batch limit": {Speed: speed(), BatchLimit: 1},
-		// The second request does not fit beside the first; the third would, and has
-		// to wait behind it all the same.
-		"KV memory": {Speed: speed(), KVTokens: 900},
+		"batch limit": {Speed: testSpeed(), BatchLimit: 1},
+		// The second request does not fit beside the first. The third would, but must
+		// not overtake the second.
+		"KV memory": {Speed: testSpeed(), KVTokens: 900},
 	}
 	for name, options := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e := newEngine(t, options)
-				finishAll(t, e, ask("a", "a", 400, 50), ask("b", "b", 700, 5), ask("c", "c", 8, 5))
+				finishAll(t, e, chatRequest("a", "a", 400, 50), chatRequest("b", "b", 700, 5), chatRequest("c", "c", 8, 5))
 				runs := e.Runs()
 				assert.Assert(t, !runs[1].Admitted.Before(runs[0].Ended))
 				assert.Assert(t, !runs[2].Admitted.Before(runs[1].Admitted))
@@ -71,13 +72,13 @@
 	}
 }
 
-func TestPrefixCacheIsReusedAndEvicted(t *testing.T) {
+func TestPrefixCacheReuseAndEviction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEngine(t, engine.Options{Speed: speed(), KVTokens: 1000})
-		finishAll(t, e, ask("first", "a", 512, 1))
-		finishAll(t, e, ask("same", "a", 512, 1))
-		finishAll(t, e, ask("other", "b", 950, 1))
-		finishAll(t, e, ask("evicted", "a", 512, 1))
+		e := newEngine(t, engine.Options{Speed: testSpeed(), KVTokens: 1000})
+		finishAll(t, e, chatRequest("first", "a", 512, 1))
+		finishAll(t, e, chatRequest("same", "a", 512, 1))
+		finishAll(t, e, chatRequest("other", "b", 950, 1))
+		finishAll(t, e, chatRequest("evicted", "a", 512, 1))
 		runs := e.Runs()
 		cached := []int{runs[0].Cached, runs[1].Cached, runs[3].Cached}
 		assert.DeepEqual(t, cached, []int{0, 511, 0})
@@ -89,22 +90,22 @@
 	})
 }
 
-func TestNextTurnReusesTheAnswer(t *testing.T) {
+func TestNextTurnReusesAnswerBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEngine(t, engine.Options{Speed: speed()})
-		first := ask("1", "a", 500, 600)
+		e := newEngine(t, engine.Options{Speed: testSpeed()})
+		first := chatRequest("1", "a", 500, 600)
 		finishAll(t, e, first)
-		second := followUp(t, "2", first, "and then?")
+		second := followUpRequest(t, "2", first, "and then?")
 		finishAll(t, e, second)
 		run := e.Runs()[1]
 		assert.Assert(t, run.Cached > run.PromptTokens-100, "%d of %d", run.Cached, run.PromptTokens)
 	})
 }
 
-func TestPreemptsTheLastWhenMemoryRunsOut(t *testing.T) {
+func TestPreemptsLastAdmittedWhenMemoryRunsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEngine(t, engine.Options{Speed: speed(), KVTokens: 1000})
-		finishAll(t, e, ask("a", "a", 300, 400), ask("b", "b", 300, 400))
+		e := newEngine(t, engine.Options{Speed: testSpeed(), KVTokens: 1000})
+		finishAll(t, e, chatRequest("a", "a", 300, 400), chatRequest("b", "b", 300, 400))
 		counts := e.Counts()
 		assert.Assert(t, counts.Preempted > 0)
 		assert.Assert(t, counts.PrefillAbandoned >= 300)
@@ -113,18 +114,18 @@
 	})
 }
 
-func TestCancelFreesThePlace(t *testing.T) {
+func TestCancelFreesBatchSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEngine(t, engine.Options{Speed: speed(), BatchLimit: 1, LoadLag: -1})
-		long := start(t, e, ask("long", "a", 100, 1000))
-		start(t, e, ask("next", "b", 100, 10))
-		gone := start(t, e, ask("waiting", "c", 100, 10))
+		e := newEngine(t, engine.Options{Speed: testSpeed(), BatchLimit: 1, LoadLag: -1})
+		long := start(t, e, chatRequest("long", "a", 100, 1000))
+		start(t, e, chatRequest("next", "b", 100, 10))
+		queued := start(t, e, chatRequest("waiting", "c", 100, 10))
 		time.Sleep(500 * time.Millisecond)
 		assert.NilError(t, e.Cancel(t.Context(), "long"))
 		assert.NilError(t, e.Cancel(t.Context(), "waiting"))
 		assert.NilError(t, e.Cancel(t.Context(), "long"))
-		for _, s := range []endpoint.Stream{long, gone} {
-			_, err := read(t.Context(), s)
+		for _, s := range []endpoint.Stream{long, queued} {
+			_, err := readAll(t.Context(), s)
 			assert.ErrorIs(t, err, endpoint.ErrBroken)
 		}
 		time.Sleep(time.Second)
@@ -142,8 +143,8 @@
 	})
 }
 
-func TestRefuses(t *testing.T) {
-	options := engine.Options{Models: []string{"m"}, KVTokens: 1000, WaitingLimit: 1, BatchLimit: 1, Speed: speed()}
+func TestRefusedRequests(t *testing.T) {
+	options := engine.Options{Models: []string{"m"}, KVTokens: 1000, WaitingLimit: 1, BatchLimit: 1, Speed: testSpeed()}
 	tests := map[string]struct {
 		request endpoint.EngineRequest
 		want    error
@@ -151,17 +152,17 @@
 		"not JSON":      {endpoint.EngineRequest{Body: []byte("{")}, engine.ErrBadRequest},
 		"no messages":   {endpoint.EngineRequest{Body: []byte(`{"model":"m"}`)}, engine.ErrBadRequest},
 		"negative":      {endpoint.EngineRequest{Body: []byte(`{"model":"m","messages":[{}],"max_tokens":-1}`)}, engine.ErrBadRequest},
-		"too large":     {ask("k", "a", 500, 600), engine.ErrBadRequest},
+		"too large":     {chatRequest("k", "a", 500, 600), engine.ErrBadRequest},
 		"another model": {endpoint.EngineRequest{Body: []byte(`{"model":"n","messages":[{}]}`)}, engine.ErrModelNotLoaded},
-		"full":          {ask("k", "a", 5, 6), engine.ErrQueueFull},
+		"full":          {chatRequest("k", "a", 5, 6), engine.ErrQueueFull},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e := newEngine(t, options)
-				start(t, e, ask("1", "a", 100, 10))
+				start(t, e, chatRequest("1", "a", 100, 10))
 				synctest.Wait()
-				start(t, e, ask("2", "a", 100, 10))
+				start(t, e, chatRequest("2", "a", 100, 10))
 				_, err := e.Start(t.Context(), test.request)
 				assert.ErrorIs(t, err, test.want)
 				assert.ErrorIs(t, err, endpoint.ErrRefused)
--- a/standin/engine/speed.go
+++ b/standin/engine/speed.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Speed is how fast an engine's hardware is. The zero value takes no time.
+// Speed describes the performance of an engine's hardware. With the zero value all
+// work takes no time.
 type Speed struct {
 	// Prefill is the time for one uncached prompt token.
 	Prefill time.Duration
-	// Step is the time to decode one token for a batch of one; PerSequence is
+	// DecodeStep is the time to decode one token with a batch of one; PerSequence is
 	// added for each further sequence in the batch.
 	DecodeStep  time.Duration
 	PerSequence time.Duration
-	// Chunk is the number of prompt tokens that one step computes at most.
+	// PrefillChunk is the maximum number of prompt tokens that one step computes.
 	PrefillChunk int
-	// Load is the time to load a model's weights, Adapter an adapter's.
+	// ModelLoad is the time to load a model's weights, AdapterLoad an adapter's.
 	ModelLoad   time.Duration
 	AdapterLoad time.Duration
 	// Transfer is the time to export or import one token of KV cache.
@@ -21,7 +22,8 @@
 
 const defaultChunk = 256
 
-// GenerationB is the older hardware, which takes 2.5 times as long.
+// GenerationB returns the speed of the older hardware, which takes 2.5 times as
+// long.
 func GenerationB() Speed {
 	return Speed{
 		Prefill:      150 * time.Microsecond,
@@ -34,7 +36,7 @@
 	}
 }
 
-// GenerationA is the newer hardware.
+// GenerationA returns the speed of the newer hardware.
 func GenerationA() Speed {
 	return Speed{
 		Prefill:      60 * time.Microsecond,
@@ -47,16 +49,18 @@
 	}
 }
 
-// NoDelay takes no time for anything; it serves to measure what others add.
+// NoDelay returns a speed with which all work takes no time. It is used to measure
+// the overhead of other components.
 func NoDelay() Speed { return Speed{PrefillChunk: defaultChunk} }
 
-// FixedInterval yields a token every interval whatever the batch and the prompt, so that
-// what others add to it can be told from its own delays.
+// FixedInterval returns a speed that yields one token every interval, whatever the
+// batch and the prompt, so that delays added by other components can be told from
+// those of the engine.
 func FixedInterval(interval time.Duration) Speed {
 	return Speed{DecodeStep: interval, PrefillChunk: 1 << 20}
 }
 
-// step is the time of one step of the batch.
+// step returns the duration of one step of the batch.
 func (s Speed) step(decoding, prefill int) time.Duration {
 	d := time.Duration(prefill) * s.Prefill
 	if decoding > 0 {
--- a/standin/engine/sse.go
+++ b/standin/engine/sse.go
@@ -15,8 +15,8 @@
 )
 
 // writeEvents sends a stream as server-sent events; an event's id is its offset.
-// A stream that breaks breaks the connection, so that its reader can't take it
-// for complete.
+// If the stream fails, the connection is aborted, so that the client can't mistake
+// the answer for complete.
 func writeEvents(c echo.Context, stream *reader) error {
 	header := c.Response().Header()
 	header.Set(echo.HeaderContentType, "text/event-stream")
@@ -35,7 +35,7 @@
 	}
 }
 
-// writeReady waits for an event and writes it and all others that are there.
+// writeReady waits for an event, then writes it and all others available.
 func writeReady(ctx context.Context, w io.Writer, stream *reader) error {
 	event, err := stream.Next(ctx)
 	if err != nil {
@@ -45,7 +45,7 @@
 		if err := writeEvent(w, event); err != nil {
 			return err
 		}
-		// An error here comes again from the next call of Next.
+		// The error can be ignored: the next call of Next returns it again.
 		event, ok, _ = stream.poll()
 	}
 	return nil
@@ -58,7 +58,7 @@
 	return err
 }
 
-// completion is the whole answer to a request without "stream".
+// completion is the response to a request without "stream".
 type completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// stream holds the events of one answer, from the first on.
+// stream holds all events of one answer.
 type stream struct {
 	key      string
 	sequence *sequence // guarded by the engine's mutex
@@ -26,7 +26,7 @@
 	s.wake()
 }
 
-// finish ends the stream; only the first call counts.
+// finish ends the stream. Only the first call has an effect on the end error.
 func (s *stream) finish(end error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,24 +45,24 @@
 	}
 }
 
-// setFaults makes the stream's readers see the faults.
+// setFaults applies the faults to the stream's readers.
 func (s *stream) setFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// cut breaks all readers that there are.
-func (s *stream) cut() {
+// disconnect breaks all current readers.
+func (s *stream) disconnect() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.readers {
-		r.broken = true
+		r.disconnected = true
 	}
 	s.wake()
 }
 
-// endedStream is a stream that is kept for a while after its end.
+// endedStream is a stream kept for Options.Retention after its end.
 type endedStream struct {
 	stream *stream
 	at     time.Time
--- a/standin/engine/text.go
+++ b/standin/engine/text.go
@@ -5,20 +5,21 @@
 	"strings"
 )
 
-// Answer is the whole answer that an engine gives to a request. It depends on
-// the body alone, so that a test knows what each caller must get.
+// Answer is the complete answer to a request. It depends on the request body
+// alone, so that a test can compute what each caller must receive.
 type Answer struct {
-	// Tokens are the pieces of text in order, each four characters long. The
-	// first four are a hash of the request.
+	// Tokens are the pieces of text in order, each four characters long. The first
+	// four tokens are a hash of the request.
 	Tokens []string
-	// FinishReason is "length" if max_tokens cut the answer, else "stop".
+	// FinishReason is "length" if max_tokens truncated the answer, else "stop".
 	FinishReason string
 }
 
-// Text is the answer's whole text.
+// Text returns the tokens joined into one string.
 func (a Answer) Text() string { return strings.Join(a.Tokens, "") }
 
-// ExpectedAnswer returns the answer to a body; its error wraps ErrBadRequest.
+// ExpectedAnswer returns the answer to a request body. Its error wraps
+// ErrBadRequest.
 func ExpectedAnswer(body []byte) (Answer, error) {
 	r, err := parseRequest(body)
 	if err != nil {
@@ -28,15 +29,16 @@
 }
 
 const (
-	hashTokens = 4
-	hexDigits  = 16
-	// Answers without a given length have between shortest and shortest<<doublings
-	// tokens, short ones being as frequent as long ones on a logarithmic scale.
-	shortest  = 16
-	doublings = 5
+	hashTokenCount = 4
+	hexDigits      = 16
+	// Answers without a requested length have at least minAnswerTokens and fewer
+	// than minAnswerTokens<<lengthDoublings tokens, evenly distributed on a
+	// logarithmic scale.
+	minAnswerTokens = 16
+	lengthDoublings = 5
 )
 
-// answer makes up the answer to a prompt with the given hash.
+// answer generates the answer to a prompt with the given hash.
 func (r request) answer(sum uint64) Answer {
 	state := sum ^ mix(r.Seed+uint64(len(r.Messages)))
 	n, reason := r.answerLength(mix(state)), "stop"
@@ -46,7 +48,7 @@
 	tokens := make([]string, n)
 	hash := strconv.FormatUint(mix(state)|1<<63, 16)[:hexDigits]
 	for i := range tokens {
-		if i < hashTokens {
+		if i < hashTokenCount {
 			tokens[i] = hash[4*i : 4*i+4]
 			continue
 		}
@@ -56,7 +58,7 @@
 	return Answer{Tokens: tokens, FinishReason: reason}
 }
 
-// answerLength is the number of tokens before max_tokens cuts.
+// answerLength returns the number of tokens before max_tokens is applied.
 func (r request) answerLength(random uint64) int {
 	switch {
 	case r.AnswerTokens > 0:
@@ -64,7 +66,7 @@
 	case r.MaxTokens > 0:
 		return r.MaxTokens
 	}
-	base := shortest << (random % doublings)
+	base := minAnswerTokens << (random % lengthDoublings)
 	return base + int(random>>8)%base
 }
 
@@ -89,7 +91,7 @@
 
 func word(random uint64) string { return words[random%uint64(len(words))] }
 
-// mix is the finaliser of SplitMix64: a fixed scrambling of the bits.
+// mix is one step of SplitMix64 (increment and finaliser), used as a hash.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
