--- a/standin/api/api.go
+++ b/standin/api/api.go
@@ -1,4 +1,5 @@
-// Package api holds what the HTTP interfaces of all stand-ins share.
+// Package api holds helpers shared by the HTTP interfaces of the simulated
+// services.
 package api
 
 import (
@@ -13,14 +14,14 @@
 	"github.com/labstack/echo/v4"
 )
 
-// ErrBadRequest means that a request makes no sense; it is answered with 400.
+// ErrBadRequest means that a request is invalid; the response status is 400.
 var ErrBadRequest = errors.New("api: bad request")
 
-// maxControlBytes bounds the body of a control call.
+// maxControlBytes is the maximum body size of a control request.
 const maxControlBytes = 1 << 20
 
-// DecodeStrict reads a small JSON body into value, whose present content stands
-// for what the body leaves out. Unknown members are errors.
+// DecodeStrict decodes a JSON body of at most 1 MiB into value. Members that the
+// body omits keep their current values; unknown members are errors.
 func DecodeStrict(c echo.Context, value any) error {
 	body := http.MaxBytesReader(c.Response(), c.Request().Body, maxControlBytes)
 	decoder := json.NewDecoder(body)
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// QueryUint reads a whole number from the query, 0 if it is absent.
+// QueryUint returns a non-negative integer from the query, or 0 if it is absent.
 func QueryUint(c echo.Context, name string) (uint64, error) {
 	text := c.QueryParam(name)
 	if text == "" {
@@ -47,8 +48,9 @@
 	return n, nil
 }
 
-// PathValue returns a part of the path, unescaped. The router leaves it escaped
-// if the path as a whole can't be told from its unescaped form.
+// PathValue returns a path parameter, unescaped. The router leaves parameters
+// escaped if the request's URL has a RawPath, that is, if the escaped path can't
+// be derived from the unescaped one.
 func PathValue(c echo.Context, name string) string {
 	value := c.Param(name)
 	if c.Request().URL.RawPath == "" {
--- a/standin/api/router.go
+++ b/standin/api/router.go
@@ -8,51 +8,53 @@
 	"github.com/labstack/echo/v4"
 )
 
-// StatusFunc maps an error to a status; ok is false if the rule does not know it.
+// StatusFunc maps an error to an HTTP status. ok is false for errors that it does
+// not handle.
 type StatusFunc func(err error) (status int, ok bool)
 
-// AbortConnection is the status with which a Rule has the connection broken off in place of
-// an answer.
+// AbortConnection is the status with which a StatusFunc has the connection closed
+// without a response.
 const AbortConnection = -1
 
-// problem is the body of an error; its shape is that of model engines.
-type problem struct {
-	Error detail `json:"error"`
+// errorBody is the body of an error response, in the format of model engines.
+type errorBody struct {
+	Error errorDetail `json:"error"`
 }
 
-type detail struct {
+type errorDetail struct {
 	Message string `json:"message"`
 	Code    int    `json:"code"`
 }
 
-// NewRouter returns a router that answers errors by the rule, and by the common
-// ones: echo's own, bodies that are too large, ErrBadRequest.
-func NewRouter(rule StatusFunc) *echo.Echo {
+// NewRouter returns a router that maps errors to statuses with statusOf, and those
+// that it does not handle with the defaults: echo's errors, bodies that are too
+// large, ErrBadRequest.
+func NewRouter(statusOf StatusFunc) *echo.Echo {
 	router := echo.New()
-	router.HTTPErrorHandler = func(err error, c echo.Context) { answerError(rule, err, c) }
+	router.HTTPErrorHandler = func(err error, c echo.Context) { writeError(statusOf, err, c) }
 	return router
 }
 
-func answerError(rule StatusFunc, err error, c echo.Context) {
+func writeError(statusOf StatusFunc, err error, c echo.Context) {
 	if c.Response().Committed || errors.Is(err, context.Canceled) {
 		return
 	}
-	status, ok := rule(err)
+	status, ok := statusOf(err)
 	if !ok {
-		status = commonStatus(err)
+		status = defaultStatus(err)
 	}
 	if status == AbortConnection {
 		panic(http.ErrAbortHandler)
 	}
-	_ = c.JSON(status, problem{Error: detail{Message: err.Error(), Code: status}})
+	_ = c.JSON(status, errorBody{Error: errorDetail{Message: err.Error(), Code: status}})
 }
 
-func commonStatus(err error) int {
-	var own *echo.HTTPError
+func defaultStatus(err error) int {
+	var httpError *echo.HTTPError
 	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &own):
-		return own.Code
+	case errors.As(err, &httpError):
+		return httpError.Code
 	case errors.As(err, &tooLarge):
 		return http.StatusRequestEntityTooLarge
 	case errors.Is(err, ErrBadRequest):
