--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -1,6 +1,6 @@
-// Package server runs a stand-in's HTTP interface so that it can go away and
-// come back as a process does: while it is down its address refuses connections,
-// and going down cuts all that were open.
+// Package server runs the HTTP interface of a simulated service and can simulate
+// process restarts: while the server is down its address refuses connections, and
+// going down closes all open ones.
 package server
 
 import (
@@ -15,8 +15,8 @@
 
 // Server serves a handler at an address.
 type Server struct {
-	handler http.Handler
-	grace   time.Duration
+	handler         http.Handler
+	shutdownTimeout time.Duration
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -26,26 +26,27 @@
 }
 
 const (
-	// DefaultShutdownTimeout is how long open requests may take at the end.
+	// DefaultShutdownTimeout is how long open requests may take at shutdown.
 	DefaultShutdownTimeout = 10 * time.Second
-	// listenRetry is the pause between attempts to get the address back.
-	listenRetry       = 100 * time.Millisecond
-	readHeaderTimeout = 10 * time.Second
+	// listenRetryInterval is the pause between attempts to listen at the address
+	// again.
+	listenRetryInterval = 100 * time.Millisecond
+	readHeaderTimeout   = 10 * time.Second
 )
 
-// Listen opens the address, "IP:port"; port 0 stands for any free one.
+// Listen listens at the address, "IP:port"; port 0 picks a free port.
 func Listen(address string, handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("server: %w", err)
 	}
 	return &Server{
-		handler:  handler,
-		grace:    DefaultShutdownTimeout,
-		listener: listener,
-		address:  listener.Addr().String(),
-		up:       true,
-		changed:  make(chan struct{}),
+		handler:         handler,
+		shutdownTimeout: DefaultShutdownTimeout,
+		listener:        listener,
+		address:         listener.Addr().String(),
+		up:              true,
+		changed:         make(chan struct{}),
 	}, nil
 }
 
@@ -55,7 +56,8 @@
 // URL returns "http://IP:port".
 func (s *Server) URL() string { return "http://" + s.address }
 
-// SetAvailable says whether the server is to answer. It returns at once.
+// SetAvailable sets whether the server accepts connections. It returns without
+// waiting for the change.
 func (s *Server) SetAvailable(up bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +75,7 @@
 	return s.up, s.changed
 }
 
-// Run serves until the context ends; then it lets open requests finish, for at
+// Run serves until the context ends. It then waits for open requests to finish, at
 // most DefaultShutdownTimeout.
 func (s *Server) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
@@ -94,11 +96,11 @@
 	return nil
 }
 
-// serve answers until the server is to go down or the context ends.
+// serve accepts connections until the server must go down or the context ends.
 func (s *Server) serve(ctx context.Context, changed <-chan struct{}) error {
 	listener, err := s.listen(ctx)
 	if err != nil {
-		return nil // The context has ended.
+		return nil // Only when the context has ended.
 	}
 	server := &http.Server{Handler: s.handler, ReadHeaderTimeout: readHeaderTimeout}
 	served := make(chan error, 1)
@@ -118,14 +120,15 @@
 }
 
 func (s *Server) shutdown(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), s.grace)
+	ctx, cancel := context.WithTimeout(context.Background(), s.shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		_ = server.Close()
 	}
 }
 
-// listen takes the listener that is open, or gets the address back.
+// listen returns the listener opened by Listen, or listens at the address again,
+// retrying until that succeeds or the context ends.
 func (s *Server) listen(ctx context.Context) (net.Listener, error) {
 	if l := s.takeListener(); l != nil {
 		return l, nil
@@ -136,7 +139,7 @@
 			return listener, nil
 		}
 		select {
-		case <-time.After(listenRetry):
+		case <-time.After(listenRetryInterval):
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
 		}
@@ -151,7 +154,7 @@
 	return l
 }
 
-// closeListener closes the first listener if it was never served.
+// closeListener closes the listener opened by Listen if it was never served.
 func (s *Server) closeListener() {
 	if l := s.takeListener(); l != nil {
 		_ = l.Close()
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -30,7 +30,7 @@
 	return err
 }
 
-func TestGoesDownAndComesBack(t *testing.T) {
+func TestUnavailableThenAvailable(t *testing.T) {
 	entered := make(chan struct{})
 	release := make(chan struct{})
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
