--- a/standin/command/platform.go
+++ b/standin/command/platform.go
@@ -20,13 +20,13 @@
 
 func defineStore(f *flagSet) builder {
 	writes, reads := writesPerSecond, readsPerSecond
-	hold := storeserver.DefaultHold
+	hold := storeserver.DefaultWatchTimeout
 	f.integer("writes", &writes, 0, "writes `a second`, 0 for no bound")
 	f.integer("reads", &reads, 0, "reads `a second`, a waiting watch counting as one, 0 for no bound")
 	f.duration("hold", &hold, "`time` after which a waiting watch is told that nothing has happened")
 	return func(func(bool)) stand {
 		memory := memstore.New(memstore.Options{WritesPerSecond: float64(writes), ReadsPerSecond: float64(reads)})
-		return stand{handler: storeserver.NewHandler(memory, storeserver.Options{Hold: hold})}
+		return stand{handler: storeserver.NewHandler(memory, storeserver.Options{WatchTimeout: hold})}
 	}
 }
 
@@ -50,7 +50,7 @@
 	f.integer("bytes-per-second", &o.BytesPerSecond, 1, "`bytes` a second, shared by all transfers")
 	f.integer("model-bytes", &o.ModelBytes, 1, "`size` of a model's weights")
 	f.integer("adapter-bytes", &o.AdapterBytes, 1, "`size` of an adapter's weights")
-	f.integer("transfers", &o.Transfers, 1, "`transfers` at a time, further ones being refused")
+	f.integer("transfers", &o.MaxTransfers, 1, "`transfers` at a time, further ones being refused")
 	return func(func(bool)) stand {
 		return stand{handler: weightserver.NewHandler(weightserver.New(o))}
 	}
--- a/standin/command/service.go
+++ b/standin/command/service.go
@@ -9,11 +9,11 @@
 func defineService(f *flagSet) builder {
 	o := service.DefaultOptions()
 	f.integer("workers", &o.Workers, 1, "`calls` that run at a time")
-	f.duration("work", &o.Work, "`time` that a call takes")
+	f.duration("work", &o.ProcessingTime, "`time` that a call takes")
 	f.duration("restart", &o.RestartDelay, "`time` for which the service is down after a crash")
 	return func(onUp func(up bool)) stand {
-		o.OnUp = onUp
-		o.Work = orNone(o.Work)
+		o.OnAvailabilityChange = onUp
+		o.ProcessingTime = orNone(o.ProcessingTime)
 		o.RestartDelay = max(o.RestartDelay, time.Nanosecond)
 		s := service.New(o)
 		return stand{handler: s.Handler(), control: service.NewControlHandler(s)}
--- a/standin/hostserver/handler.go
+++ b/standin/hostserver/handler.go
@@ -74,7 +74,7 @@
 
 func (h *handler) setFaults(c echo.Context) error {
 	f := h.list.Faults()
-	f.Lies = nil
+	f.StateOverrides = nil
 	if err := api.DecodeStrict(c, &f); err != nil {
 		return err
 	}
--- a/standin/hostserver/list.go
+++ b/standin/hostserver/list.go
@@ -21,7 +21,7 @@
 	Down        bool `json:"down"`
 	DelayMillis int  `json:"delay_ms"`
 	// Lies gives hosts a state other than the true one; Absent leaves them out.
-	Lies map[domain.NodeID]hostlist.State `json:"lies,omitempty"`
+	StateOverrides map[domain.NodeID]hostlist.State `json:"lies,omitempty"`
 }
 
 // Absent in Faults.Lies leaves a host out of the list.
@@ -130,7 +130,7 @@
 func (l *List) seen(now time.Time) []hostlist.Host {
 	hosts := []hostlist.Host{}
 	for _, h := range l.past[l.shown(now)].hosts {
-		if lie, ok := l.faults.Lies[h.Node]; ok {
+		if lie, ok := l.faults.StateOverrides[h.Node]; ok {
 			h.State = lie
 		}
 		if h.State != Absent {
--- a/standin/hostserver/list_test.go
+++ b/standin/hostserver/list_test.go
@@ -35,7 +35,7 @@
 		shows(host("a", hostlist.StateLive), host("b", hostlist.StateLive))
 		time.Sleep(5 * time.Second)
 		shows(host("a", hostlist.StateLeaving), host("b", hostlist.StateLive))
-		list.SetFaults(hostserver.Faults{Lies: map[domain.NodeID]hostlist.State{"a": hostlist.StateLive, "b": hostserver.Absent}})
+		list.SetFaults(hostserver.Faults{StateOverrides: map[domain.NodeID]hostlist.State{"a": hostlist.StateLive, "b": hostserver.Absent}})
 		shows(host("a", hostlist.StateLive))
 		list.SetFaults(hostserver.Faults{})
 		list.Remove("a")
--- a/standin/service/control.go
+++ b/standin/service/control.go
@@ -9,9 +9,9 @@
 	"hawthornrill.example/hawthornrill/standin/api"
 )
 
-// FaultOrder is the body of POST /standin/faults: the faults to change, and what
+// FaultRequest is the body of POST /standin/faults: the faults to change, and what
 // happens once.
-type FaultOrder struct {
+type FaultRequest struct {
 	Faults
 	Crash bool `json:"crash,omitempty"`
 	// ForMillis ends all faults after that time; 0 leaves them in force.
@@ -28,7 +28,7 @@
 func (s *Service) getFaults(c echo.Context) error { return c.JSON(http.StatusOK, s.Faults()) }
 
 func (s *Service) orderFaults(c echo.Context) error {
-	order := FaultOrder{Faults: s.Faults()}
+	order := FaultRequest{Faults: s.Faults()}
 	if err := api.DecodeStrict(c, &order); err != nil {
 		return err
 	}
--- a/standin/service/data.go
+++ b/standin/service/data.go
@@ -35,25 +35,25 @@
 	Clue string `json:"clue"`
 }
 
-// Unlocked answers an unlock. Uses greater than 1 is what must never happen.
-type Unlocked struct {
+// UnlockResponse answers an unlock. Uses greater than 1 is what must never happen.
+type UnlockResponse struct {
 	Unlock
 	Uses int `json:"uses"`
 }
 
-// Points are added to a team's score.
-type Points struct {
+// Score are added to a team's score.
+type Score struct {
 	Team   string `json:"team"`
 	Points int    `json:"points"`
 }
 
 // scoreboard is sorted by points, the most first, then by team.
-func (d *data) scoreboard() []Points {
-	board := []Points{}
+func (d *data) scoreboard() []Score {
+	board := []Score{}
 	for team, points := range d.scores {
-		board = append(board, Points{Team: team, Points: points})
+		board = append(board, Score{Team: team, Points: points})
 	}
-	slices.SortFunc(board, func(a, b Points) int {
+	slices.SortFunc(board, func(a, b Score) int {
 		return cmp.Or(cmp.Compare(b.Points, a.Points), cmp.Compare(a.Team, b.Team))
 	})
 	return board
--- a/standin/service/faults.go
+++ b/standin/service/faults.go
@@ -79,8 +79,8 @@
 		return
 	}
 	s.up = up
-	if s.options.OnUp != nil {
-		s.options.OnUp(up)
+	if s.options.OnAvailabilityChange != nil {
+		s.options.OnAvailabilityChange(up)
 	}
 }
 
--- a/standin/service/options.go
+++ b/standin/service/options.go
@@ -7,13 +7,13 @@
 	// Workers bounds the calls that run at a time; further ones wait. Default 64.
 	Workers int
 	// Work is how long a call takes. Default 2 ms, negative for no time.
-	Work time.Duration
+	ProcessingTime time.Duration
 	// RestartDelay is how long the service is down after a crash. Default 5 s;
 	// negative for ever.
 	RestartDelay time.Duration
-	// OnUp, if set, is told when the service begins and ceases to refuse
+	// OnAvailabilityChange, if set, is told when the service begins and ceases to refuse
 	// connections. It must not call the service.
-	OnUp func(up bool)
+	OnAvailabilityChange func(up bool)
 }
 
 const (
@@ -29,8 +29,8 @@
 	if o.Workers <= 0 {
 		o.Workers = defaultWorkers
 	}
-	if o.Work == 0 {
-		o.Work = defaultWork
+	if o.ProcessingTime == 0 {
+		o.ProcessingTime = defaultWork
 	}
 	if o.RestartDelay == 0 {
 		o.RestartDelay = defaultRestartDelay
--- a/standin/service/routes.go
+++ b/standin/service/routes.go
@@ -91,7 +91,7 @@
 }
 
 func (s *Service) addScore(c echo.Context) error {
-	var points Points
+	var points Score
 	if err := api.DecodeStrict(c, &points); err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 	}
 	s.mu.Lock()
 	s.data.unlocks[unlock]++
-	answer := Unlocked{Unlock: unlock, Uses: s.data.unlocks[unlock]}
+	answer := UnlockResponse{Unlock: unlock, Uses: s.data.unlocks[unlock]}
 	s.mu.Unlock()
 	return c.JSON(http.StatusOK, answer)
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -131,7 +131,7 @@
 		return errGone
 	}
 	defer func() { <-s.workers }()
-	takes := s.options.Work
+	takes := s.options.ProcessingTime
 	if f := s.Faults(); f.Straggle > 0 {
 		takes = time.Duration(float64(takes) * f.Straggle)
 	}
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestRoutes(t *testing.T) {
-	s := service.New(service.Options{Work: -1})
+	s := service.New(service.Options{ProcessingTime: -1})
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
 	remote := httpservice.New(server.URL, onesend.New(onesend.Options{}))
@@ -105,7 +105,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := service.New(service.Options{Work: 10 * time.Millisecond})
+				s := service.New(service.Options{ProcessingTime: 10 * time.Millisecond})
 				s.SetFaults(test.faults)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
@@ -122,7 +122,7 @@
 
 func TestCrashForgetsAndBreaksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := service.New(service.Options{Work: time.Second, RestartDelay: time.Minute, Workers: 1})
+		s := service.New(service.Options{ProcessingTime: time.Second, RestartDelay: time.Minute, Workers: 1})
 		_, _, err := do(t.Context(), s, "POST", "/jobs", "before")
 		assert.NilError(t, err)
 		time.AfterFunc(500*time.Millisecond, s.Crash)
@@ -140,7 +140,7 @@
 
 func TestWorkersBoundTheCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := service.New(service.Options{Work: time.Second, Workers: 2})
+		s := service.New(service.Options{ProcessingTime: time.Second, Workers: 2})
 		done := make(chan error)
 		begun := time.Now()
 		for range 4 {
--- a/standin/storeserver/control.go
+++ b/standin/storeserver/control.go
@@ -16,8 +16,8 @@
 	// Down refuses all calls, DelayMillis delays their effect.
 	Down        bool `json:"down"`
 	DelayMillis int  `json:"delay_ms"`
-	// OldByMillis makes reads answer as of so long ago.
-	OldByMillis int `json:"old_by_ms"`
+	// StaleByMillis makes reads answer as of so long ago.
+	StaleByMillis int `json:"old_by_ms"`
 	// LoseAnswers lets so many of the next writes take effect and then breaks off.
 	LoseAnswers int `json:"lose_answers"`
 	// ForMillis ends all faults after that time; 0 leaves them in force.
@@ -58,7 +58,7 @@
 
 func (c *control) apply(f Faults) {
 	c.memory.SetDelay(millis(f.DelayMillis))
-	c.memory.SetOldBy(millis(f.OldByMillis))
+	c.memory.SetOldBy(millis(f.StaleByMillis))
 	c.memory.LoseNext(f.LoseAnswers)
 	c.memory.SetDown(f.Down)
 }
--- a/standin/storeserver/handler.go
+++ b/standin/storeserver/handler.go
@@ -18,14 +18,14 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// DefaultHold is how long a watch waits before it is answered that nothing has
+// DefaultWatchTimeout is how long a watch waits before it is answered that nothing has
 // happened.
-const DefaultHold = 30 * time.Second
+const DefaultWatchTimeout = 30 * time.Second
 
 // Options are a handler's settings.
 type Options struct {
-	// Hold is how long a watch waits; 0 for DefaultHold.
-	Hold time.Duration
+	// Hold is how long a watch waits; 0 for DefaultWatchTimeout.
+	WatchTimeout time.Duration
 }
 
 type handler struct {
@@ -36,9 +36,9 @@
 
 // NewHandler returns the service's HTTP interface; see package httpstore.
 func NewHandler(memory *memstore.Store, options Options) http.Handler {
-	h := &handler{memory: memory, client: memory.NewClient(), hold: options.Hold}
+	h := &handler{memory: memory, client: memory.NewClient(), hold: options.WatchTimeout}
 	if h.hold == 0 {
-		h.hold = DefaultHold
+		h.hold = DefaultWatchTimeout
 	}
 	router := api.NewRouter(statusOf)
 	router.GET(httpstore.PathKey, h.get)
--- a/standin/weightserver/store.go
+++ b/standin/weightserver/store.go
@@ -34,7 +34,7 @@
 	ModelBytes   int
 	AdapterBytes int
 	// Transfers bounds the transfers at a time; further ones are refused. Default 8.
-	Transfers int
+	MaxTransfers int
 }
 
 const (
@@ -79,7 +79,7 @@
 	defaults.Set(&o.BytesPerSecond, defaultRate)
 	defaults.Set(&o.ModelBytes, defaultModelBytes)
 	defaults.Set(&o.AdapterBytes, defaultAdapterBytes)
-	defaults.Set(&o.Transfers, defaultTransfers)
+	defaults.Set(&o.MaxTransfers, defaultTransfers)
 	return o
 }
 
@@ -150,7 +150,7 @@
 	switch {
 	case s.faults.Down:
 		return ErrUnavailable
-	case s.running >= s.options.Transfers:
+	case s.running >= s.options.MaxTransfers:
 		return ErrBusy
 	}
 	name := weights.Model + "@" + weights.Version
--- a/standin/weightserver/store_test.go
+++ b/standin/weightserver/store_test.go
@@ -17,7 +17,7 @@
 
 func TestTransfersShareTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := weightserver.New(weightserver.Options{BytesPerSecond: 1 << 20, ModelBytes: 10 << 20, Transfers: 2})
+		s := weightserver.New(weightserver.Options{BytesPerSecond: 1 << 20, ModelBytes: 10 << 20, MaxTransfers: 2})
 		done := make(chan error)
 		begun := time.Now()
 		for range 2 {
--- a/store/httpstore/client_test.go
+++ b/store/httpstore/client_test.go
@@ -19,7 +19,7 @@
 func newClient(t *testing.T) (*httpstore.Client, *memstore.Store) {
 	t.Helper()
 	memory := memstore.New(memstore.Options{})
-	server := httptest.NewServer(storeserver.NewHandler(memory, storeserver.Options{Hold: time.Millisecond}))
+	server := httptest.NewServer(storeserver.NewHandler(memory, storeserver.Options{WatchTimeout: time.Millisecond}))
 	t.Cleanup(server.Close)
 	return httpstore.New(httpstore.Options{BaseURL: server.URL}), memory
 }
