--- a/standin/service/call.go
+++ b/standin/service/call.go
@@ -12,10 +12,10 @@
 
 var _ endpoint.Service = (*Service)(nil)
 
-// Call implements endpoint.Service in process, without a network between. The
-// answer's body streams.
+// Call implements endpoint.Service in process, without a network connection. The
+// response body is streamed.
 func (s *Service) Call(ctx context.Context, call endpoint.ServiceRequest) (endpoint.ServiceResponse, error) {
-	if !s.isUp() {
+	if !s.isAvailable() {
 		return endpoint.ServiceResponse{}, fmt.Errorf("%w: connection refused", endpoint.ErrNotDispatched)
 	}
 	request, err := http.NewRequestWithContext(ctx, call.Method, "http://service"+call.Path, call.Body)
@@ -29,9 +29,9 @@
 	}
 	request.Header.Set(headerRequestKey, call.Key)
 	w := newPipeWriter()
-	go s.run(w, request)
+	go s.servePipe(w, request)
 	select {
-	case <-w.headed:
+	case <-w.headersReady:
 		return w.response()
 	case <-ctx.Done():
 		_ = w.reader.Close()
@@ -39,42 +39,42 @@
 	}
 }
 
-func (s *Service) isUp() bool {
+func (s *Service) isAvailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.up
+	return s.available
 }
 
-// run lets the router answer through the pipe. A handler that breaks off breaks
-// the pipe.
-func (s *Service) run(w *pipeWriter, request *http.Request) {
+// servePipe has the router write its response to the pipe. A handler that aborts
+// closes the pipe with an error.
+func (s *Service) servePipe(w *pipeWriter, request *http.Request) {
 	defer func() {
 		if r := recover(); r != nil {
 			if r != any(http.ErrAbortHandler) {
 				panic(r)
 			}
-			w.finish(errGone)
+			w.finish(errAborted)
 		}
 	}()
 	s.router.ServeHTTP(w, request)
 	w.finish(nil)
 }
 
-// pipeWriter is a http.ResponseWriter whose body is read by a caller in the same
-// process.
+// pipeWriter is an http.ResponseWriter whose body is read through a pipe by a
+// caller in the same process.
 type pipeWriter struct {
-	header http.Header
-	status int
-	sent   http.Header
-	err    error
-	// headed is closed when status, sent and err are there to be read.
-	headed chan struct{}
-	reader *io.PipeReader
-	writer *io.PipeWriter
+	header     http.Header
+	status     int
+	sentHeader http.Header
+	err        error
+	// headersReady is closed once status, sentHeader and err may be read.
+	headersReady chan struct{}
+	reader       *io.PipeReader
+	writer       *io.PipeWriter
 }
 
 func newPipeWriter() *pipeWriter {
-	w := &pipeWriter{header: make(http.Header), headed: make(chan struct{})}
+	w := &pipeWriter{header: make(http.Header), headersReady: make(chan struct{})}
 	w.reader, w.writer = io.Pipe()
 	return w
 }
@@ -88,8 +88,8 @@
 		return
 	}
 	w.status = status
-	w.sent = w.header.Clone()
-	close(w.headed)
+	w.sentHeader = w.header.Clone()
+	close(w.headersReady)
 }
 
 // Write implements http.ResponseWriter.
@@ -98,14 +98,16 @@
 	return w.writer.Write(p)
 }
 
-// Flush implements http.Flusher; nothing is held back.
+// Flush implements http.Flusher. Writes are not buffered, so that only the header
+// remains to be sent.
 func (w *pipeWriter) Flush() { w.WriteHeader(http.StatusOK) }
 
-// finish ends the answer. Without a status there is none.
+// finish ends the response. If err is not nil and no status was written, the
+// caller gets err in place of a response.
 func (w *pipeWriter) finish(err error) {
 	if w.status == 0 && err != nil {
 		w.err = err
-		close(w.headed)
+		close(w.headersReady)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
@@ -120,5 +122,5 @@
 	if w.err != nil {
 		return endpoint.ServiceResponse{}, fmt.Errorf("%w: %w", endpoint.ErrBroken, w.err)
 	}
-	return endpoint.ServiceResponse{Status: w.status, Header: w.sent, Body: w.reader}, nil
+	return endpoint.ServiceResponse{Status: w.status, Header: w.sentHeader, Body: w.reader}, nil
 }
--- a/standin/service/data.go
+++ b/standin/service/data.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// data is what the service remembers.
+// data is the service's state, which a crash erases.
 type data struct {
 	jobs    []Job
 	quotes  int
@@ -23,38 +23,40 @@
 	Text string `json:"text"`
 }
 
-// Quote is a priced quote; Number counts the quotes billed so far.
+// Quote is a priced quote. Number is the count of quotes billed so far.
 type Quote struct {
 	Number int    `json:"number"`
 	Text   string `json:"text"`
 }
 
-// Unlock names a clue that a team unlocks.
+// Unlock identifies a clue unlocked by a team.
 type Unlock struct {
 	Team string `json:"team"`
 	Clue string `json:"clue"`
 }
 
-// UnlockResponse answers an unlock. Uses greater than 1 is what must never happen.
+// UnlockResponse is the response to an unlock. Uses counts the calls that unlocked
+// the clue for the team; more than 1 means that a non-idempotent call was executed
+// again.
 type UnlockResponse struct {
 	Unlock
 	Uses int `json:"uses"`
 }
 
-// Score are added to a team's score.
+// Score is a team's points: in a request those to add, in a response the total.
 type Score struct {
 	Team   string `json:"team"`
 	Points int    `json:"points"`
 }
 
-// scoreboard is sorted by points, the most first, then by team.
+// scoreboard returns the scores by points in descending order, then by team.
 func (d *data) scoreboard() []Score {
-	board := []Score{}
+	scores := []Score{}
 	for team, points := range d.scores {
-		board = append(board, Score{Team: team, Points: points})
+		scores = append(scores, Score{Team: team, Points: points})
 	}
-	slices.SortFunc(board, func(a, b Score) int {
+	slices.SortFunc(scores, func(a, b Score) int {
 		return cmp.Or(cmp.Compare(b.Points, a.Points), cmp.Compare(a.Team, b.Team))
 	})
-	return board
+	return scores
 }
--- a/standin/service/faults.go
+++ b/standin/service/faults.go
@@ -4,24 +4,24 @@
 	"time"
 )
 
-// Faults are what is wrong with a service, until they are set anew. The zero
-// value is a sound service.
+// Faults are the faults injected into a service. They last until they are replaced;
+// the zero value injects none.
 type Faults struct {
-	// Straggle makes every call so many times as long; 0 and 1 are the normal speed.
+	// Straggle multiplies the processing time of each call; 0 and 1 are normal speed.
 	Straggle float64 `json:"straggle"`
-	// Pause stops everything, as if the process were stopped.
+	// Pause blocks all new calls, as if the process were stopped.
 	Pause bool `json:"pause"`
 	// Refuse refuses connections.
 	Refuse bool `json:"refuse"`
-	// Leaving is shown in the runs. Calls are taken all the same.
+	// Leaving is recorded in Run.Leaving. Calls are still accepted.
 	Leaving bool `json:"leaving"`
-	// AnswerDelayMillis passes between a call's effect and its answer.
+	// AnswerDelayMillis is the delay between a call's effect and its response.
 	AnswerDelayMillis int `json:"answer_delay_ms"`
-	// LoseAnswers runs so many of the next calls and breaks off in place of the
-	// answer.
+	// LoseAnswers is the number of next calls that are executed but whose connection
+	// is aborted in place of a response.
 	LoseAnswers int `json:"lose_answers"`
-	// Status answers all calls with this status in place of running them; 0 for
-	// none.
+	// Status is returned for all calls, which are then not executed; 0 disables the
+	// fault.
 	Status int `json:"status"`
 }
 
@@ -38,27 +38,27 @@
 	defer s.mu.Unlock()
 	s.faults = f
 	switch {
-	case f.Pause && s.unpaused == nil:
-		s.unpaused = make(chan struct{})
-	case !f.Pause && s.unpaused != nil:
-		close(s.unpaused)
-		s.unpaused = nil
+	case f.Pause && s.resumed == nil:
+		s.resumed = make(chan struct{})
+	case !f.Pause && s.resumed != nil:
+		close(s.resumed)
+		s.resumed = nil
 	}
-	s.noteUp()
+	s.updateAvailability()
 }
 
-// Crash ends all calls at once and forgets everything that was saved. The
-// service refuses connections until it has restarted.
+// Crash aborts the calls being processed or waiting for a worker, and erases the
+// saved data. The service refuses connections until it has restarted.
 func (s *Service) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down {
+	if s.crashed {
 		return
 	}
-	s.down = true
-	close(s.lifeEnd)
+	s.crashed = true
+	close(s.crashSignal)
 	s.data = newData()
-	s.noteUp()
+	s.updateAvailability()
 	if s.options.RestartDelay >= 0 {
 		time.AfterFunc(s.options.RestartDelay, s.restart)
 	}
@@ -67,25 +67,27 @@
 func (s *Service) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = false
-	s.lifeEnd = make(chan struct{})
-	s.noteUp()
+	s.crashed = false
+	s.crashSignal = make(chan struct{})
+	s.updateAvailability()
 }
 
-// noteUp tells the owner of the listener whether there should be one.
-func (s *Service) noteUp() {
-	up := !s.down && !s.faults.Refuse
-	if up == s.up {
+// updateAvailability reports a change of availability to
+// Options.OnAvailabilityChange. The caller must hold s.mu.
+func (s *Service) updateAvailability() {
+	available := !s.crashed && !s.faults.Refuse
+	if available == s.available {
 		return
 	}
-	s.up = up
+	s.available = available
 	if s.options.OnAvailabilityChange != nil {
-		s.options.OnAvailabilityChange(up)
+		s.options.OnAvailabilityChange(available)
 	}
 }
 
-// loseAnswer takes one from the fault LoseAnswers.
-func (s *Service) loseAnswer() bool {
+// consumeLostAnswer decrements Faults.LoseAnswers. It returns false if the count
+// is already 0.
+func (s *Service) consumeLostAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseAnswers <= 0 {
--- a/standin/service/options.go
+++ b/standin/service/options.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// Options describe a service. New fills in the defaults.
+// Options configure a service. New replaces zero values by the defaults.
 type Options struct {
-	// Workers bounds the calls that run at a time; further ones wait. Default 64.
+	// Workers is the maximum number of calls executed at a time; further calls wait.
+	// Default 64.
 	Workers int
-	// Work is how long a call takes. Default 2 ms, negative for no time.
+	// ProcessingTime is the duration of a call. Default 2 ms; negative means none.
 	ProcessingTime time.Duration
-	// RestartDelay is how long the service is down after a crash. Default 5 s;
-	// negative for ever.
+	// RestartDelay is the downtime after a crash. Default 5 s; with a negative delay
+	// the service never restarts.
 	RestartDelay time.Duration
-	// OnAvailabilityChange, if set, is told when the service begins and ceases to refuse
-	// connections. It must not call the service.
-	OnAvailabilityChange func(up bool)
+	// OnAvailabilityChange, if set, is called when the service starts or stops
+	// accepting connections. It is called with the service's mutex held, so it must
+	// not call the service.
+	OnAvailabilityChange func(available bool)
 }
 
 const (
-	defaultWorkers      = 64
-	defaultWork         = 2 * time.Millisecond
-	defaultRestartDelay = 5 * time.Second
+	defaultWorkers        = 64
+	defaultProcessingTime = 2 * time.Millisecond
+	defaultRestartDelay   = 5 * time.Second
 )
 
-// DefaultOptions returns the options with their defaults.
+// DefaultOptions returns the options that New uses for zero values.
 func DefaultOptions() Options { return Options{}.withDefaults() }
 
 func (o Options) withDefaults() Options {
@@ -30,7 +32,7 @@
 		o.Workers = defaultWorkers
 	}
 	if o.ProcessingTime == 0 {
-		o.ProcessingTime = defaultWork
+		o.ProcessingTime = defaultProcessingTime
 	}
 	if o.RestartDelay == 0 {
 		o.RestartDelay = defaultRestartDelay
--- a/standin/service/routes.go
+++ b/standin/service/routes.go
@@ -10,11 +10,11 @@
 	"hawthornrill.example/hawthornrill/standin/api"
 )
 
-// maxTextBytes bounds a job's or quote's text.
+// maxTextBytes is the maximum length of the text of a job or quote.
 const maxTextBytes = 1 << 20
 
 func (s *Service) addRoutes() {
-	s.router.Use(s.serve)
+	s.router.Use(s.simulateCall)
 	s.router.GET("/catalogue/:item", s.getItem)
 	s.router.GET("/jobs", s.listJobs)
 	s.router.GET("/jobs/:id", s.getJob)
@@ -26,7 +26,7 @@
 	s.router.Any("/echo", s.echo)
 }
 
-// item is a made-up entry of the catalogue.
+// item is a catalogue entry generated from its name.
 type item struct {
 	Item       string `json:"item"`
 	PriceCents int    `json:"price_cents"`
@@ -47,13 +47,13 @@
 func (s *Service) getJob(c echo.Context) error {
 	id, err := strconv.Atoi(c.Param("id"))
 	s.mu.Lock()
-	known := err == nil && id >= 1 && id <= len(s.data.jobs)
+	found := err == nil && id >= 1 && id <= len(s.data.jobs)
 	var job Job
-	if known {
+	if found {
 		job = s.data.jobs[id-1]
 	}
 	s.mu.Unlock()
-	if !known {
+	if !found {
 		return echo.NewHTTPError(http.StatusNotFound, "no such job")
 	}
 	return c.JSON(http.StatusOK, job)
@@ -85,21 +85,21 @@
 
 func (s *Service) getScoreboard(c echo.Context) error {
 	s.mu.Lock()
-	board := s.data.scoreboard()
+	scores := s.data.scoreboard()
 	s.mu.Unlock()
-	return c.JSON(http.StatusOK, board)
+	return c.JSON(http.StatusOK, scores)
 }
 
 func (s *Service) addScore(c echo.Context) error {
-	var points Score
-	if err := api.DecodeStrict(c, &points); err != nil {
+	var score Score
+	if err := api.DecodeStrict(c, &score); err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.data.scores[points.Team] += points.Points
-	points.Points = s.data.scores[points.Team]
+	s.data.scores[score.Team] += score.Points
+	score.Points = s.data.scores[score.Team]
 	s.mu.Unlock()
-	return c.JSON(http.StatusOK, points)
+	return c.JSON(http.StatusOK, score)
 }
 
 func (s *Service) unlock(c echo.Context) error {
@@ -109,14 +109,15 @@
 	}
 	s.mu.Lock()
 	s.data.unlocks[unlock]++
-	answer := UnlockResponse{Unlock: unlock, Uses: s.data.unlocks[unlock]}
+	response := UnlockResponse{Unlock: unlock, Uses: s.data.unlocks[unlock]}
 	s.mu.Unlock()
-	return c.JSON(http.StatusOK, answer)
+	return c.JSON(http.StatusOK, response)
 }
 
-// echo streams the body back.
+// echo streams the request body back.
 func (s *Service) echo(c echo.Context) error {
-	// Not every writer can do both ways at once; the others read first.
+	// The error is ignored: without full-duplex support the request body is read
+	// before the response is written.
 	_ = http.NewResponseController(c.Response()).EnableFullDuplex()
 	contentType := c.Request().Header.Get(echo.HeaderContentType)
 	return c.Stream(http.StatusOK, contentType, c.Request().Body)
--- a/standin/service/run.go
+++ b/standin/service/run.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Run is the witness of one call that the service ran. Two runs with one key are
-// two dispatches.
+// Run records one call that reached the service. Two runs with the same key mean
+// that the request was dispatched twice.
 type Run struct {
 	Key    string    `json:"key"`
 	Method string    `json:"method"`
 	Path   string    `json:"path"`
 	At     time.Time `json:"at"`
-	// Status is that of the answer, 0 if there was none (yet).
+	// Status is the response's status, 0 if none has been written.
 	Status int `json:"status"`
-	// Leaving is true if the service had been told that it is leaving.
+	// Leaving is the value of Faults.Leaving when the call arrived.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// runLimit bounds the log; beyond it the oldest half is forgotten.
-const runLimit = 1 << 20
+// maxRuns is the maximum length of the run log. When it is reached, the older half
+// is discarded.
+const maxRuns = 1 << 20
 
-// Runs returns all calls that the service ran, in order.
+// Runs returns the logged calls in order of arrival.
 func (s *Service) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,10 +30,10 @@
 	return runs
 }
 
-// addRun needs the mutex.
+// addRun appends a run to the log. The caller must hold s.mu.
 func (s *Service) addRun(r Run) *Run {
-	if len(s.runs) >= runLimit {
-		s.runs = append(s.runs[:0], s.runs[runLimit/2:]...)
+	if len(s.runs) >= maxRuns {
+		s.runs = append(s.runs[:0], s.runs[maxRuns/2:]...)
 	}
 	s.runs = append(s.runs, &r)
 	return &r
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -12,8 +12,7 @@
 	"hawthornrill.example/hawthornrill/standin/api"
 )
 
-// Service is a stand-in for a plain service. Its methods may be called at any
-// time.
+// Service simulates a plain service. Its methods are safe for concurrent use.
 type Service struct {
 	options Options
 	router  *echo.Echo
@@ -23,28 +22,28 @@
 	data   data
 	runs   []*Run
 	faults Faults
-	// unpaused is not nil while the service is paused; it is closed at the end.
-	unpaused chan struct{}
-	down, up bool
-	// lifeEnd is closed by the next crash.
-	lifeEnd chan struct{}
+	// resumed is non-nil while the service is paused and is closed when it resumes.
+	resumed            chan struct{}
+	crashed, available bool
+	// crashSignal is closed by the next crash.
+	crashSignal chan struct{}
 }
 
-// headerRequestKey names the call.
+// headerRequestKey is the header with the request key.
 const headerRequestKey = "X-Request-Key"
 
-// errGone means that there is no answer for this caller.
-var errGone = errors.New("service: gone")
+// errAborted means that a call ends without a complete response.
+var errAborted = errors.New("service: call aborted")
 
 // New returns a service.
 func New(options Options) *Service {
 	options = options.withDefaults()
 	s := &Service{
-		options: options,
-		workers: make(chan struct{}, options.Workers),
-		data:    newData(),
-		up:      true,
-		lifeEnd: make(chan struct{}),
+		options:     options,
+		workers:     make(chan struct{}, options.Workers),
+		data:        newData(),
+		available:   true,
+		crashSignal: make(chan struct{}),
 	}
 	s.router = api.NewRouter(statusOf)
 	s.addRoutes()
@@ -52,34 +51,34 @@
 }
 
 func statusOf(err error) (int, bool) {
-	if errors.Is(err, errGone) {
+	if errors.Is(err, errAborted) {
 		return api.Abort, true
 	}
 	return 0, false
 }
 
-// Handler returns the service's HTTP interface, the tests' side included.
+// Handler returns the service's HTTP interface, including the control paths.
 func (s *Service) Handler() http.Handler {
 	router := api.NewRouter(statusOf)
-	s.addControl(router)
+	s.addControlRoutes(router)
 	router.Any("/*", echo.WrapHandler(s.router))
 	return router
 }
 
-// NewControlHandler returns the tests' side alone, for a listener that stays up
-// while the service itself is down.
+// NewControlHandler returns a handler of the control paths alone, for a listener
+// that stays open while the service itself is down.
 func NewControlHandler(s *Service) http.Handler {
 	router := api.NewRouter(statusOf)
-	s.addControl(router)
+	s.addControlRoutes(router)
 	return router
 }
 
-// serve runs a call: it logs it, takes a worker and some time, and then lets the
-// handler answer.
-func (s *Service) serve(next echo.HandlerFunc) echo.HandlerFunc {
+// simulateCall is the middleware around the service's handlers. It logs the call,
+// holds a worker for the processing time and applies the faults.
+func (s *Service) simulateCall(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		ctx := c.Request().Context()
-		run, lifeEnd, err := s.enter(ctx, c.Request())
+		run, crashSignal, err := s.admit(ctx, c.Request())
 		if err != nil {
 			return err
 		}
@@ -87,22 +86,22 @@
 			s.setStatus(run, status)
 			return c.NoContent(status)
 		}
-		if err := s.work(ctx, lifeEnd); err != nil {
+		if err := s.process(ctx, crashSignal); err != nil {
 			return err
 		}
 		c.Response().Before(func() {
-			s.answerFaults(ctx)
+			s.applyAnswerFaults(ctx)
 			s.setStatus(run, c.Response().Status)
 		})
 		return next(c)
 	}
 }
 
-// enter waits while the service is paused and logs the call.
-func (s *Service) enter(ctx context.Context, request *http.Request) (*Run, <-chan struct{}, error) {
+// admit waits while the service is paused, then logs the call.
+func (s *Service) admit(ctx context.Context, request *http.Request) (*Run, <-chan struct{}, error) {
 	for {
 		s.mu.Lock()
-		if s.unpaused == nil {
+		if s.resumed == nil {
 			defer s.mu.Unlock()
 			return s.addRun(Run{
 				Key:     request.Header.Get(headerRequestKey),
@@ -110,43 +109,43 @@
 				Path:    request.URL.RequestURI(),
 				At:      time.Now(),
 				Leaving: s.faults.Leaving,
-			}), s.lifeEnd, nil
+			}), s.crashSignal, nil
 		}
-		unpaused := s.unpaused
+		resumed := s.resumed
 		s.mu.Unlock()
 		select {
-		case <-unpaused:
+		case <-resumed:
 		case <-ctx.Done():
-			return nil, nil, errGone
+			return nil, nil, errAborted
 		}
 	}
 }
 
-// work takes a worker for the time of a call. A call that runs already is not
-// stopped by its caller's hanging up.
-func (s *Service) work(ctx context.Context, lifeEnd <-chan struct{}) error {
+// process holds a worker for the processing time. A call that is being processed
+// is not cancelled when its caller disconnects.
+func (s *Service) process(ctx context.Context, crashSignal <-chan struct{}) error {
 	select {
 	case s.workers <- struct{}{}:
-	case <-lifeEnd:
-		return errGone
+	case <-crashSignal:
+		return errAborted
 	}
 	defer func() { <-s.workers }()
-	takes := s.options.ProcessingTime
+	duration := s.options.ProcessingTime
 	if f := s.Faults(); f.Straggle > 0 {
-		takes = time.Duration(float64(takes) * f.Straggle)
+		duration = time.Duration(float64(duration) * f.Straggle)
 	}
-	return sleep(takes, lifeEnd)
+	return sleep(duration, crashSignal)
 }
 
-// answerFaults delays or breaks off an answer after the call's effect.
-func (s *Service) answerFaults(ctx context.Context) {
+// applyAnswerFaults delays or aborts the response after the call's effect.
+func (s *Service) applyAnswerFaults(ctx context.Context) {
 	delay := time.Duration(s.Faults().AnswerDelayMillis) * time.Millisecond
-	if sleep(delay, ctx.Done()) != nil || s.loseAnswer() {
+	if sleep(delay, ctx.Done()) != nil || s.consumeLostAnswer() {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func sleep(d time.Duration, end <-chan struct{}) error {
+func sleep(d time.Duration, interrupt <-chan struct{}) error {
 	if d <= 0 {
 		return nil
 	}
@@ -155,7 +154,7 @@
 	select {
 	case <-timer.C:
 		return nil
-	case <-end:
-		return errGone
+	case <-interrupt:
+		return errAborted
 	}
 }
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -18,7 +18,7 @@
 	"hawthornrill.example/hawthornrill/standin/service"
 )
 
-// do makes a call and returns the status and the body.
+// do calls the service and returns the response's status and body.
 func do(ctx context.Context, s endpoint.Service, method, path, body string) (int, string, error) {
 	request := endpoint.ServiceRequest{Key: "k", Method: method, Path: path, Body: strings.NewReader(body), Length: int64(len(body))}
 	response, err := s.Call(ctx, request)
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestLargeBodiesComeBack(t *testing.T) {
+func TestLargeBodiesAreEchoed(t *testing.T) {
 	s := service.New(service.Options{})
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
@@ -87,11 +87,11 @@
 
 func TestFaults(t *testing.T) {
 	tests := map[string]struct {
-		faults service.Faults
-		status int
-		err    error
-		runs   int
-		takes  time.Duration
+		faults   service.Faults
+		status   int
+		err      error
+		runs     int
+		duration time.Duration
 	}{
 		"none":     {service.Faults{}, 201, nil, 1, 10 * time.Millisecond},
 		"straggle": {service.Faults{Straggle: 5}, 201, nil, 1, 50 * time.Millisecond},
@@ -109,18 +109,18 @@
 				s.SetFaults(test.faults)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
-				begun := time.Now()
+				start := time.Now()
 				status, _, err := do(ctx, s, "POST", "/quotes", "q")
 				assert.ErrorIs(t, err, test.err)
 				assert.Equal(t, status, test.status)
-				assert.Equal(t, time.Since(begun), test.takes)
+				assert.Equal(t, time.Since(start), test.duration)
 				assert.Equal(t, len(s.Runs()), test.runs)
 			})
 		})
 	}
 }
 
-func TestCrashForgetsAndBreaksOff(t *testing.T) {
+func TestCrashErasesDataAndAbortsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := service.New(service.Options{ProcessingTime: time.Second, RestartDelay: time.Minute, Workers: 1})
 		_, _, err := do(t.Context(), s, "POST", "/jobs", "before")
@@ -138,11 +138,11 @@
 	})
 }
 
-func TestWorkersBoundTheCalls(t *testing.T) {
+func TestWorkersLimitConcurrentCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := service.New(service.Options{ProcessingTime: time.Second, Workers: 2})
 		done := make(chan error)
-		begun := time.Now()
+		start := time.Now()
 		for range 4 {
 			go func() {
 				_, _, err := do(t.Context(), s, "GET", "/jobs", "")
@@ -152,6 +152,6 @@
 		for range 4 {
 			assert.NilError(t, <-done)
 		}
-		assert.Equal(t, time.Since(begun), 2*time.Second)
+		assert.Equal(t, time.Since(start), 2*time.Second)
 	})
 }
