--- a/standin/hostserver/handler.go
+++ b/standin/hostserver/handler.go
@@ -15,10 +15,10 @@
 
 // NewHandler returns the list's HTTP interface:
 //
-//	GET    /hosts                 the list as it is shown
-//	PUT    /standin/hosts         replaces the truth
+//	GET    /hosts                 the list with lag and faults applied
+//	PUT    /standin/hosts         replaces the hosts
 //	POST   /standin/hosts         adds or replaces one host
-//	DELETE /standin/hosts/{node}  takes one away
+//	DELETE /standin/hosts/{node}  removes one host
 //	GET, POST /standin/faults
 func NewHandler(list *List) http.Handler {
 	h := &handler{list: list}
--- a/standin/hostserver/list.go
+++ b/standin/hostserver/list.go
@@ -1,7 +1,7 @@
-// Package hostserver is a stand-in for the platform's list of the system's
-// hosts. The list lags behind the truth and can be made to lie. A List runs on
-// package time and can be used in process as a hostlist.List under
-// testing/synctest.
+// Package hostserver simulates the platform's list of the system's hosts. Changes
+// appear in the list after a configurable lag, and faults can override the reported
+// states. A List takes its time from package time and implements hostlist.List in
+// process, so that it can be used under testing/synctest.
 package hostserver
 
 import (
@@ -15,58 +15,59 @@
 	"hawthornrill.example/hawthornrill/hostlist"
 )
 
-// Faults are what is wrong with the list, until they are set anew.
+// Faults are the faults injected into the list. They last until they are replaced.
 type Faults struct {
-	// Down makes the list unavailable, DelayMillis delays the answers.
+	// Down makes the list unavailable; DelayMillis delays each listing.
 	Down        bool `json:"down"`
 	DelayMillis int  `json:"delay_ms"`
-	// Lies gives hosts a state other than the true one; Absent leaves them out.
+	// StateOverrides are states reported in place of the actual ones; Absent omits the
+	// host.
 	StateOverrides map[domain.NodeID]hostlist.State `json:"lies,omitempty"`
 }
 
-// Absent in Faults.Lies leaves a host out of the list.
+// Absent in Faults.StateOverrides omits a host from the list.
 const Absent hostlist.State = "absent"
 
-// List is a list of hosts.
+// List is a simulated host list. Its methods are safe for concurrent use.
 type List struct {
 	lag time.Duration
 
-	mu     sync.Mutex
-	past   []version // in order of time, never empty
-	faults Faults
+	mu      sync.Mutex
+	history []snapshot // in order of time, never empty
+	faults  Faults
 }
 
-// version is the truth from some time on.
-type version struct {
+// snapshot is the set of hosts from a point in time on.
+type snapshot struct {
 	at    time.Time
 	hosts []hostlist.Host
 }
 
 var _ hostlist.List = (*List)(nil)
 
-// New returns a list that shows each change after the lag. The hosts it begins
-// with are shown at once.
+// New returns a list in which each change appears after the lag. The initial hosts
+// are listed at once.
 func New(lag time.Duration, hosts ...hostlist.Host) *List {
 	l := &List{lag: lag}
-	l.past = []version{{at: time.Now().Add(-lag), hosts: slices.Clone(hosts)}}
+	l.history = []snapshot{{at: time.Now().Add(-lag), hosts: slices.Clone(hosts)}}
 	return l
 }
 
-// Set replaces the truth.
+// Set replaces all hosts.
 func (l *List) Set(hosts ...hostlist.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.set(slices.Clone(hosts))
 }
 
-// Put adds a host or replaces the one with its node's name.
+// Put adds a host, or replaces the one of the same node.
 func (l *List) Put(host hostlist.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.set(append(l.without(host.Node), host))
 }
 
-// Remove takes a host away.
+// Remove removes a node's host.
 func (l *List) Remove(node domain.NodeID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,21 +75,21 @@
 }
 
 func (l *List) without(node domain.NodeID) []hostlist.Host {
-	hosts := slices.Clone(l.past[len(l.past)-1].hosts)
+	hosts := slices.Clone(l.history[len(l.history)-1].hosts)
 	return slices.DeleteFunc(hosts, func(h hostlist.Host) bool { return h.Node == node })
 }
 
 func (l *List) set(hosts []hostlist.Host) {
 	slices.SortFunc(hosts, func(a, b hostlist.Host) int { return cmp.Compare(a.Node, b.Node) })
 	now := time.Now()
-	l.past = append(l.past, version{at: now, hosts: hosts})
-	l.past = l.past[l.shown(now):]
+	l.history = append(l.history, snapshot{at: now, hosts: hosts})
+	l.history = l.history[l.visibleIndex(now):]
 }
 
-// shown is the index of the version that is seen now.
-func (l *List) shown(now time.Time) int {
-	i := len(l.past) - 1
-	for i > 0 && l.past[i].at.After(now.Add(-l.lag)) {
+// visibleIndex returns the index of the newest snapshot that is older than the lag.
+func (l *List) visibleIndex(now time.Time) int {
+	i := len(l.history) - 1
+	for i > 0 && l.history[i].at.After(now.Add(-l.lag)) {
 		i--
 	}
 	return i
@@ -123,15 +124,15 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen(time.Now()), nil
+	return l.visible(time.Now()), nil
 }
 
-// seen is the list as it is shown, lag and lies included.
-func (l *List) seen(now time.Time) []hostlist.Host {
+// visible returns the hosts as listed, with the lag and the overrides applied.
+func (l *List) visible(now time.Time) []hostlist.Host {
 	hosts := []hostlist.Host{}
-	for _, h := range l.past[l.shown(now)].hosts {
-		if lie, ok := l.faults.StateOverrides[h.Node]; ok {
-			h.State = lie
+	for _, h := range l.history[l.visibleIndex(now)].hosts {
+		if state, ok := l.faults.StateOverrides[h.Node]; ok {
+			h.State = state
 		}
 		if h.State != Absent {
 			hosts = append(hosts, h)
--- a/standin/hostserver/list_test.go
+++ b/standin/hostserver/list_test.go
@@ -18,10 +18,10 @@
 	return hostlist.Host{Node: node, Address: "127.0.0.1:1", DataCentre: "taf", State: state}
 }
 
-func TestLagsAndLies(t *testing.T) {
+func TestLagAndStateOverrides(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := hostserver.New(10*time.Second, host("a", hostlist.StateLive))
-		shows := func(want ...hostlist.Host) {
+		assertListed := func(want ...hostlist.Host) {
 			t.Helper()
 			got, err := list.List(t.Context())
 			assert.NilError(t, err)
@@ -30,24 +30,24 @@
 		list.Put(host("b", hostlist.StateLive))
 		time.Sleep(5 * time.Second)
 		list.Put(host("a", hostlist.StateLeaving))
-		shows(host("a", hostlist.StateLive))
+		assertListed(host("a", hostlist.StateLive))
 		time.Sleep(5 * time.Second)
-		shows(host("a", hostlist.StateLive), host("b", hostlist.StateLive))
+		assertListed(host("a", hostlist.StateLive), host("b", hostlist.StateLive))
 		time.Sleep(5 * time.Second)
-		shows(host("a", hostlist.StateLeaving), host("b", hostlist.StateLive))
+		assertListed(host("a", hostlist.StateLeaving), host("b", hostlist.StateLive))
 		list.SetFaults(hostserver.Faults{StateOverrides: map[domain.NodeID]hostlist.State{"a": hostlist.StateLive, "b": hostserver.Absent}})
-		shows(host("a", hostlist.StateLive))
+		assertListed(host("a", hostlist.StateLive))
 		list.SetFaults(hostserver.Faults{})
 		list.Remove("a")
 		time.Sleep(10 * time.Second)
-		shows(host("b", hostlist.StateLive))
+		assertListed(host("b", hostlist.StateLive))
 		list.SetFaults(hostserver.Faults{Down: true})
 		_, err := list.List(t.Context())
 		assert.ErrorIs(t, err, hostlist.ErrUnavailable)
 	})
 }
 
-func TestOverHTTP(t *testing.T) {
+func TestListOverHTTP(t *testing.T) {
 	list := hostserver.New(0)
 	server := httptest.NewServer(hostserver.NewHandler(list))
 	defer server.Close()
