--- a/standin/storeserver/control.go
+++ b/standin/storeserver/control.go
@@ -11,40 +11,42 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// Faults is the body of POST /standin/faults. What it leaves out is no fault.
+// Faults is the body of POST /standin/faults. Faults that it omits are cleared.
 type Faults struct {
-	// Down refuses all calls, DelayMillis delays their effect.
+	// Down refuses all calls; DelayMillis delays their effect.
 	Down        bool `json:"down"`
 	DelayMillis int  `json:"delay_ms"`
-	// StaleByMillis makes reads answer as of so long ago.
+	// StaleByMillis makes reads return the content of that long ago.
 	StaleByMillis int `json:"old_by_ms"`
-	// LoseAnswers lets so many of the next writes take effect and then breaks off.
+	// LoseAnswers is the number of next writes that take effect but whose connection is
+	// aborted in place of a response.
 	LoseAnswers int `json:"lose_answers"`
-	// ForMillis ends all faults after that time; 0 leaves them in force.
+	// ForMillis is the time after which all faults are cleared; 0 keeps them until they
+	// are changed.
 	ForMillis int `json:"for_ms"`
 }
 
-// control serves the tests' side.
-type control struct {
+// controlHandler serves the control paths.
+type controlHandler struct {
 	memory *memstore.Store
 
-	mu    sync.Mutex
-	saved memstore.Copy
+	mu        sync.Mutex
+	savedCopy memstore.Copy
 }
 
-func addControl(router *echo.Echo, memory *memstore.Store) {
-	c := &control{memory: memory}
+func addControlRoutes(router *echo.Echo, memory *memstore.Store) {
+	c := &controlHandler{memory: memory}
 	router.GET("/standin/counts", c.counts)
 	router.POST("/standin/faults", c.setFaults)
 	router.POST("/standin/save", c.save)
 	router.POST("/standin/restore", c.restore)
 }
 
-func (c *control) counts(ctx echo.Context) error {
+func (c *controlHandler) counts(ctx echo.Context) error {
 	return ctx.JSON(http.StatusOK, c.memory.Counts())
 }
 
-func (c *control) setFaults(ctx echo.Context) error {
+func (c *controlHandler) setFaults(ctx echo.Context) error {
 	var f Faults
 	if err := api.DecodeStrict(ctx, &f); err != nil {
 		return err
@@ -56,25 +58,25 @@
 	return ctx.JSON(http.StatusOK, f)
 }
 
-func (c *control) apply(f Faults) {
+func (c *controlHandler) apply(f Faults) {
 	c.memory.SetDelay(millis(f.DelayMillis))
 	c.memory.SetOldBy(millis(f.StaleByMillis))
 	c.memory.LoseNext(f.LoseAnswers)
 	c.memory.SetDown(f.Down)
 }
 
-// save keeps a copy of the content, restore brings it back.
-func (c *control) save(ctx echo.Context) error {
+// save keeps a copy of the store's content, which restore puts back.
+func (c *controlHandler) save(ctx echo.Context) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.saved = c.memory.Save()
+	c.savedCopy = c.memory.Save()
 	return ctx.NoContent(http.StatusNoContent)
 }
 
-func (c *control) restore(ctx echo.Context) error {
+func (c *controlHandler) restore(ctx echo.Context) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.memory.Restore(c.saved)
+	c.memory.Restore(c.savedCopy)
 	return ctx.NoContent(http.StatusNoContent)
 }
 
--- a/standin/storeserver/handler.go
+++ b/standin/storeserver/handler.go
@@ -1,5 +1,5 @@
-// Package storeserver serves the platform's key-value service over HTTP for
-// tests, from a memstore.Store with its faults.
+// Package storeserver simulates the platform's key-value service over HTTP. It
+// serves a memstore.Store, including its faults.
 package storeserver
 
 import (
@@ -18,27 +18,29 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// DefaultWatchTimeout is how long a watch waits before it is answered that nothing has
-// happened.
+// DefaultWatchTimeout is the time after which a watch without a change is answered
+// with 204 No Content.
 const DefaultWatchTimeout = 30 * time.Second
 
-// Options are a handler's settings.
+// Options configure a handler.
 type Options struct {
-	// Hold is how long a watch waits; 0 for DefaultWatchTimeout.
+	// WatchTimeout is the time after which a watch without a change is answered; 0 means
+	// DefaultWatchTimeout.
 	WatchTimeout time.Duration
 }
 
 type handler struct {
-	memory *memstore.Store
-	client *memstore.Client
-	hold   time.Duration
+	memory       *memstore.Store
+	client       *memstore.Client
+	watchTimeout time.Duration
 }
 
-// NewHandler returns the service's HTTP interface; see package httpstore.
+// NewHandler returns the service's HTTP interface, which package httpstore describes,
+// with the control paths.
 func NewHandler(memory *memstore.Store, options Options) http.Handler {
-	h := &handler{memory: memory, client: memory.NewClient(), hold: options.WatchTimeout}
-	if h.hold == 0 {
-		h.hold = DefaultWatchTimeout
+	h := &handler{memory: memory, client: memory.NewClient(), watchTimeout: options.WatchTimeout}
+	if h.watchTimeout == 0 {
+		h.watchTimeout = DefaultWatchTimeout
 	}
 	router := api.NewRouter(statusOf)
 	router.GET(httpstore.PathKey, h.get)
@@ -49,7 +51,7 @@
 	router.POST(httpstore.PathLeases, h.grant)
 	router.POST(httpstore.PathLeases+"/:lease", h.keepAlive)
 	router.DELETE(httpstore.PathLeases+"/:lease", h.revoke)
-	addControl(router, memory)
+	addControlRoutes(router, memory)
 	return router
 }
 
@@ -123,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), h.hold)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), h.watchTimeout)
 	defer cancel()
 	entry, err := h.client.Watch(ctx, c.QueryParam(httpstore.ParameterKey), store.Revision(after))
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -149,27 +151,28 @@
 }
 
 func (h *handler) keepAlive(c echo.Context) error {
-	if err := h.client.KeepAlive(writeContext(c), leaseOf(c)); err != nil {
+	if err := h.client.KeepAlive(writeContext(c), leaseID(c)); err != nil {
 		return err
 	}
 	return c.NoContent(http.StatusNoContent)
 }
 
 func (h *handler) revoke(c echo.Context) error {
-	if err := h.client.RevokeLease(writeContext(c), leaseOf(c)); err != nil {
+	if err := h.client.RevokeLease(writeContext(c), leaseID(c)); err != nil {
 		return err
 	}
 	return c.NoContent(http.StatusNoContent)
 }
 
-// leaseOf returns 0, which is no lease, for what is not a number.
-func leaseOf(c echo.Context) store.LeaseID {
+// leaseID returns the lease in the path. A value that is not a number yields 0,
+// which is no lease.
+func leaseID(c echo.Context) store.LeaseID {
 	n, _ := strconv.ParseUint(c.Param("lease"), 10, 64)
 	return store.LeaseID(n)
 }
 
-// writeContext does not end when the caller hangs up: a write that has been
-// received takes effect.
+// writeContext returns a context that is not cancelled when the caller disconnects:
+// a write takes effect once it has been received.
 func writeContext(c echo.Context) context.Context {
 	return context.WithoutCancel(c.Request().Context())
 }
