--- a/standin/weightserver/client.go
+++ b/standin/weightserver/client.go
@@ -15,38 +15,39 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// Client fetches weights for engines.
+// Client fetches weights from the weight store.
 type Client struct {
-	base     string
-	http     *http.Client
-	patience time.Duration
+	baseURL      string
+	httpClient   *http.Client
+	maxRetryTime time.Duration
 }
 
 const (
-	defaultPatience = 5 * time.Minute
-	// defaultVersion stands for weights without a version.
+	defaultMaxRetryTime = 5 * time.Minute
+	// defaultVersion is requested for weights without a version.
 	defaultVersion = "default"
 )
 
-// NewClient returns a client of the store at "http://IP:port".
-func NewClient(base string) *Client {
-	return &Client{base: strings.TrimSuffix(base, "/"), http: &http.Client{}, patience: defaultPatience}
+// NewClient returns a client of the store at the base URL "http://IP:port".
+func NewClient(baseURL string) *Client {
+	return &Client{baseURL: strings.TrimSuffix(baseURL, "/"), httpClient: &http.Client{}, maxRetryTime: defaultMaxRetryTime}
 }
 
-// Fetch reads the weights through, for engine.Options.FetchWeights. It tries
-// again, with growing pauses, while the store is busy or down, for five minutes.
+// Fetch downloads the weights and discards them; it is meant for
+// engine.Options.FetchWeights. While the store is busy or unavailable, it retries
+// with exponential backoff for up to five minutes.
 func (c *Client) Fetch(weights engine.Weights) error {
 	fetch := func() (struct{}, error) { return struct{}{}, c.fetch(weights) }
-	_, err := backoff.Retry(context.Background(), fetch, backoff.WithMaxElapsedTime(c.patience))
+	_, err := backoff.Retry(context.Background(), fetch, backoff.WithMaxElapsedTime(c.maxRetryTime))
 	return err
 }
 
 func (c *Client) fetch(weights engine.Weights) error {
-	address := c.base + PathWeights + url.PathEscape(weights.Model) + "/" + url.PathEscape(cmp.Or(weights.Version, defaultVersion))
+	requestURL := c.baseURL + PathWeights + url.PathEscape(weights.Model) + "/" + url.PathEscape(cmp.Or(weights.Version, defaultVersion))
 	if weights.Adapter != "" {
-		address += "?" + url.Values{parameterAdapter: {weights.Adapter}}.Encode()
+		requestURL += "?" + url.Values{parameterAdapter: {weights.Adapter}}.Encode()
 	}
-	response, err := c.http.Get(address)
+	response, err := c.httpClient.Get(requestURL)
 	if err != nil {
 		return err
 	}
--- a/standin/weightserver/handler.go
+++ b/standin/weightserver/handler.go
@@ -11,7 +11,7 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// PathWeights is followed by "model/version"; the query may name an adapter.
+// PathWeights is the prefix of "model/version"; the query may name an adapter.
 const PathWeights = "/weights/"
 
 const parameterAdapter = "adapter"
@@ -20,7 +20,7 @@
 
 // NewHandler returns the store's HTTP interface:
 //
-//	GET  /weights/{model}/{version}?adapter=A   the weights; 429 if too many read
+//	GET  /weights/{model}/{version}?adapter=A   the weights; 429 if the store is busy
 //	GET  /standin/counts
 //	POST /standin/faults
 func NewHandler(store *Store) http.Handler {
@@ -51,12 +51,12 @@
 		Adapter: c.QueryParam(parameterAdapter),
 	}
 	header := c.Response().Header()
-	err := h.store.Transfer(c.Request().Context(), weights, func(piece []byte) error {
+	err := h.store.Transfer(c.Request().Context(), weights, func(chunk []byte) error {
 		if !c.Response().Committed {
 			header.Set(echo.HeaderContentType, echo.MIMEOctetStream)
 			header.Set(echo.HeaderContentLength, strconv.Itoa(h.store.Size(weights)))
 		}
-		_, err := c.Response().Write(piece)
+		_, err := c.Response().Write(chunk)
 		return err
 	})
 	if err != nil && c.Response().Committed {
--- a/standin/weightserver/store.go
+++ b/standin/weightserver/store.go
@@ -1,6 +1,6 @@
-// Package weightserver is a stand-in for the platform's weight store, which
-// holds the weights of models and adapters and is limited in its rate. A Store
-// runs on package time and can be used in process.
+// Package weightserver simulates the platform's weight store, which holds the
+// weights of models and adapters and limits the rate of transfers. A Store takes
+// its time from package time and can be used in process.
 package weightserver
 
 import (
@@ -17,69 +17,71 @@
 )
 
 var (
-	// ErrUnavailable means that the store is down.
+	// ErrUnavailable is returned while the store is down.
 	ErrUnavailable = errors.New("weightserver: unavailable")
-	// ErrBusy means that the store has too many transfers already.
+	// ErrBusy is returned when Options.MaxTransfers transfers are in progress.
 	ErrBusy = errors.New("weightserver: too many transfers")
-	// ErrNotFound means that there are no such weights.
+	// ErrNotFound is returned for weights that the store does not hold.
 	ErrNotFound = errors.New("weightserver: no such weights")
 )
 
-// Options describe a store. New fills in the defaults.
+// Options configure a store. New replaces zero values by the defaults.
 type Options struct {
 	// BytesPerSecond is shared by all transfers. Default 1 GiB.
 	BytesPerSecond int
-	// ModelBytes and AdapterBytes are the size of weights. Default 4 MiB and 256 KiB:
-	// the stand-in really sends them.
+	// ModelBytes and AdapterBytes are the sizes of weights. Default 4 MiB and 256 KiB,
+	// far below real sizes, because the weights are sent in full.
 	ModelBytes   int
 	AdapterBytes int
-	// Transfers bounds the transfers at a time; further ones are refused. Default 8.
+	// MaxTransfers is the maximum number of concurrent transfers; further ones are
+	// refused. Default 8.
 	MaxTransfers int
 }
 
 const (
-	defaultRate         = 1 << 30
-	defaultModelBytes   = 4 << 20
-	defaultAdapterBytes = 256 << 10
-	defaultTransfers    = 8
-	// chunkBytes is what a transfer takes from the shared rate at a time.
+	defaultBytesPerSecond = 1 << 30
+	defaultModelBytes     = 4 << 20
+	defaultAdapterBytes   = 256 << 10
+	defaultMaxTransfers   = 8
+	// chunkBytes is the number of bytes that a transfer sends at a time, and the burst
+	// of the shared rate limit.
 	chunkBytes = 64 << 10
 )
 
-// Faults are what is wrong with the store, until they are set anew.
+// Faults are the faults injected into the store. They last until they are replaced.
 type Faults struct {
 	// Down refuses all transfers.
 	Down bool `json:"down"`
-	// Missing lists models, as "model@version", that are not there.
+	// Missing lists models, as "model@version", that the store does not hold.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// Store is a weight store.
+// Store is a simulated weight store. Its methods are safe for concurrent use.
 type Store struct {
 	options Options
-	rate    *rate.Limiter
+	limiter *rate.Limiter
 
-	mu      sync.Mutex
-	faults  Faults
-	running int
-	counts  Counts
+	mu              sync.Mutex
+	faults          Faults
+	activeTransfers int
+	counts          Counts
 }
 
-// Counts are sums since the start.
+// Counts are totals since the store was created. Bytes counts transferred bytes.
 type Counts struct {
 	Transfers uint64 `json:"transfers"`
 	Refused   uint64 `json:"refused"`
 	Bytes     uint64 `json:"bytes"`
 }
 
-// DefaultOptions returns the options with their defaults.
+// DefaultOptions returns the options that New uses for zero values.
 func DefaultOptions() Options { return Options{}.withDefaults() }
 
 func (o Options) withDefaults() Options {
-	defaults.Set(&o.BytesPerSecond, defaultRate)
+	defaults.Set(&o.BytesPerSecond, defaultBytesPerSecond)
 	defaults.Set(&o.ModelBytes, defaultModelBytes)
 	defaults.Set(&o.AdapterBytes, defaultAdapterBytes)
-	defaults.Set(&o.MaxTransfers, defaultTransfers)
+	defaults.Set(&o.MaxTransfers, defaultMaxTransfers)
 	return o
 }
 
@@ -88,7 +90,7 @@
 	options = options.withDefaults()
 	return &Store{
 		options: options,
-		rate:    rate.NewLimiter(rate.Limit(options.BytesPerSecond), chunkBytes),
+		limiter: rate.NewLimiter(rate.Limit(options.BytesPerSecond), chunkBytes),
 	}
 }
 
@@ -99,33 +101,33 @@
 	s.faults = f
 }
 
-// Counts returns the sums so far.
+// Counts returns the current totals.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Transfer sends weights to send, a piece at a time, at the store's rate.
-func (s *Store) Transfer(ctx context.Context, weights engine.Weights, send func(piece []byte) error) error {
-	if err := s.begin(weights); err != nil {
+// Transfer passes the weights to send in chunks, at the store's rate.
+func (s *Store) Transfer(ctx context.Context, weights engine.Weights, send func(chunk []byte) error) error {
+	if err := s.startTransfer(weights); err != nil {
 		return err
 	}
-	defer s.end()
-	piece := make([]byte, chunkBytes)
-	for left := s.Size(weights); left > 0; left -= chunkBytes {
-		n := min(left, chunkBytes)
-		if err := s.take(ctx, n); err != nil {
+	defer s.endTransfer()
+	chunk := make([]byte, chunkBytes)
+	for remaining := s.Size(weights); remaining > 0; remaining -= chunkBytes {
+		n := min(remaining, chunkBytes)
+		if err := s.waitForRate(ctx, n); err != nil {
 			return err
 		}
-		if err := send(piece[:n]); err != nil {
+		if err := send(chunk[:n]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Size is the number of bytes of weights.
+// Size returns the size of weights in bytes.
 func (s *Store) Size(weights engine.Weights) int {
 	if weights.Adapter != "" {
 		return s.options.AdapterBytes
@@ -133,24 +135,24 @@
 	return s.options.ModelBytes
 }
 
-func (s *Store) begin(weights engine.Weights) error {
+func (s *Store) startTransfer(weights engine.Weights) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := s.check(weights)
+	err := s.checkAvailable(weights)
 	if err != nil {
 		s.counts.Refused++
 		return err
 	}
 	s.counts.Transfers++
-	s.running++
+	s.activeTransfers++
 	return nil
 }
 
-func (s *Store) check(weights engine.Weights) error {
+func (s *Store) checkAvailable(weights engine.Weights) error {
 	switch {
 	case s.faults.Down:
 		return ErrUnavailable
-	case s.running >= s.options.MaxTransfers:
+	case s.activeTransfers >= s.options.MaxTransfers:
 		return ErrBusy
 	}
 	name := weights.Model + "@" + weights.Version
@@ -162,16 +164,16 @@
 	return nil
 }
 
-func (s *Store) end() {
+func (s *Store) endTransfer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running--
+	s.activeTransfers--
 }
 
-// take waits for the rate.
-func (s *Store) take(ctx context.Context, n int) error {
+// waitForRate waits until the rate limit admits n bytes, then counts them.
+func (s *Store) waitForRate(ctx context.Context, n int) error {
 	now := time.Now()
-	reservation := s.rate.ReserveN(now, n)
+	reservation := s.limiter.ReserveN(now, n)
 	timer := time.NewTimer(reservation.DelayFrom(now))
 	defer timer.Stop()
 	select {
--- a/standin/weightserver/store_test.go
+++ b/standin/weightserver/store_test.go
@@ -15,11 +15,11 @@
 
 func discard([]byte) error { return nil }
 
-func TestTransfersShareTheRate(t *testing.T) {
+func TestTransfersShareRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := weightserver.New(weightserver.Options{BytesPerSecond: 1 << 20, ModelBytes: 10 << 20, MaxTransfers: 2})
 		done := make(chan error)
-		begun := time.Now()
+		start := time.Now()
 		for range 2 {
 			go func() { done <- s.Transfer(t.Context(), engine.Weights{Model: "m"}, discard) }()
 		}
@@ -28,9 +28,9 @@
 		for range 2 {
 			assert.NilError(t, <-done)
 		}
-		// The first piece comes at once.
-		piece := time.Second / 16
-		assert.Equal(t, time.Since(begun).Round(time.Millisecond), (20*time.Second - piece).Round(time.Millisecond))
+		// The first chunk of 64 KiB is sent at once: it is the limiter's burst.
+		chunkTime := time.Second / 16
+		assert.Equal(t, time.Since(start).Round(time.Millisecond), (20*time.Second - chunkTime).Round(time.Millisecond))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		assert.ErrorIs(t, s.Transfer(ctx, engine.Weights{Model: "m"}, discard), context.DeadlineExceeded)
