--- a/standin/command/command.go
+++ b/standin/command/command.go
@@ -22,49 +22,49 @@
 	flagListen  = "listen"
 )
 
-// Main runs the program with the arguments after its name and returns the exit
-// code. It ends on SIGINT or SIGTERM.
-func Main(args []string, out, errorOut io.Writer) int {
+// Main runs the program and returns its exit code; args excludes the program's
+// name. A running stand-in stops on SIGINT or SIGTERM.
+func Main(args []string, stdout, stderr io.Writer) int {
 	if len(args) == 0 {
-		printUsage(errorOut)
+		printUsage(stderr)
 		return exitBadInput
 	}
 	switch args[0] {
 	case "-h", "-help", "--help", "help":
-		printUsage(out)
+		printUsage(stdout)
 		return exitOK
 	case "-version", "--version":
-		fmt.Fprintln(out, buildinfo.String())
+		fmt.Fprintln(stdout, buildinfo.String())
 		return exitOK
 	}
 	k, ok := findKind(args[0])
 	if !ok {
-		fmt.Fprintf(errorOut, "kind = %q: must be one of%s\n", args[0], kindNames())
+		fmt.Fprintf(stderr, "kind = %q: must be one of%s\n", args[0], kindNames())
 		return exitBadInput
 	}
-	return runKind(k, args[1:], out, errorOut)
+	return runKind(k, args[1:], stdout, stderr)
 }
 
-func runKind(k kind, args []string, out, errorOut io.Writer) int {
+func runKind(k kind, args []string, stdout, stderr io.Writer) int {
 	f := newFlagSet(k.name)
 	var common commonFlags
-	common.define(f, k.goesDown)
+	common.define(f, k.hasControl)
 	build := k.define(f)
 	err := f.parse(args)
 	if errors.Is(err, flag.ErrHelp) {
-		printKindUsage(out, k, f)
+		printKindUsage(stdout, k, f)
 		return exitOK
 	}
 	if common.version {
-		fmt.Fprintln(out, buildinfo.String())
+		fmt.Fprintln(stdout, buildinfo.String())
 		return exitOK
 	}
 	if err := errors.Join(err, common.check(f)); err != nil {
-		fmt.Fprintln(errorOut, err)
+		fmt.Fprintln(stderr, err)
 		return exitBadInput
 	}
-	if err := serve(k.name, common, build, errorOut); err != nil {
-		fmt.Fprintln(errorOut, err)
+	if err := serve(k.name, common, build, stderr); err != nil {
+		fmt.Fprintln(stderr, err)
 		return exitFailure
 	}
 	return exitOK
@@ -92,7 +92,7 @@
 	f.PrintDefaults()
 }
 
-// commonFlags are the flags of all kinds.
+// commonFlags are the flags that all kinds have.
 type commonFlags struct {
 	listen  string
 	control string
@@ -100,17 +100,17 @@
 	version bool
 }
 
-func levels() []string { return []string{"debug", "info", "warn", "error"} }
+func logLevels() []string { return []string{"debug", "info", "warn", "error"} }
 
-func (c *commonFlags) define(f *flagSet, goesDown bool) {
+func (c *commonFlags) define(f *flagSet, hasControl bool) {
 	c.level = "info"
 	f.address(flagListen, &c.listen, "`address` to serve on, such as 127.0.0.1:8000 (required)")
-	if goesDown {
+	if hasControl {
 		f.address("control", &c.control, "`address` of a second listener with the /standin/ paths alone, which stays up while the stand-in is down (default none)")
 	}
 	f.define("log", "log `level`: debug, info, warn or error (default info)", func(text string) error {
-		if !slices.Contains(levels(), text) {
-			return fmt.Errorf("must be one of %v", levels())
+		if !slices.Contains(logLevels(), text) {
+			return fmt.Errorf("must be one of %v", logLevels())
 		}
 		c.level = text
 		return nil
@@ -118,11 +118,12 @@
 	f.BoolVar(&c.version, "version", false, "print the version and exit")
 }
 
-// check misses a required flag that was not given at all.
+// check returns an error if the required -listen was not given. parse only checks
+// the flags on the command line.
 func (c *commonFlags) check(f *flagSet) error {
-	given := false
-	f.Visit(func(one *flag.Flag) { given = given || one.Name == flagListen })
-	if given {
+	isSet := false
+	f.Visit(func(visited *flag.Flag) { isSet = isSet || visited.Name == flagListen })
+	if isSet {
 		return nil
 	}
 	return errors.New(`-listen = "": is required`)
--- a/standin/command/command_test.go
+++ b/standin/command/command_test.go
@@ -9,7 +9,7 @@
 	"hawthornrill.example/hawthornrill/standin/command"
 )
 
-func TestWrongCommandLines(t *testing.T) {
+func TestInvalidCommandLines(t *testing.T) {
 	tests := map[string]struct {
 		args string
 		want []string
@@ -32,10 +32,10 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			var out, errorOut strings.Builder
-			assert.Equal(t, command.Main(strings.Fields(test.args), &out, &errorOut), 2)
-			assert.Equal(t, strings.TrimSpace(errorOut.String()), strings.Join(test.want, "\n"))
-			assert.Equal(t, out.String(), "")
+			var stdout, stderr strings.Builder
+			assert.Equal(t, command.Main(strings.Fields(test.args), &stdout, &stderr), 2)
+			assert.Equal(t, strings.TrimSpace(stderr.String()), strings.Join(test.want, "\n"))
+			assert.Equal(t, stdout.String(), "")
 		})
 	}
 }
@@ -50,9 +50,9 @@
 		"hostlist --help": "-lag time",
 	}
 	for args, want := range tests {
-		var out, errorOut strings.Builder
-		assert.Equal(t, command.Main(strings.Fields(args), &out, &errorOut), 0, args)
-		assert.Assert(t, strings.Contains(out.String(), want), "%s: %s", args, out.String())
-		assert.Equal(t, errorOut.String(), "")
+		var stdout, stderr strings.Builder
+		assert.Equal(t, command.Main(strings.Fields(args), &stdout, &stderr), 0, args)
+		assert.Assert(t, strings.Contains(stdout.String(), want), "%s: %s", args, stdout.String())
+		assert.Equal(t, stderr.String(), "")
 	}
 }
--- a/standin/command/doc.go
+++ b/standin/command/doc.go
@@ -1,3 +1,3 @@
-// Package command is the program hawthornrill-standin as a library: it reads the
+// Package command implements the program hawthornrill-standin: it parses the
 // command line and runs one stand-in.
 package command
--- a/standin/command/engine.go
+++ b/standin/command/engine.go
@@ -11,10 +11,10 @@
 	"hawthornrill.example/hawthornrill/standin/weightserver"
 )
 
-// flatInterval is the time between tokens of the preset flat.
+// flatInterval is the time between tokens of the speed preset flat.
 const flatInterval = 20 * time.Millisecond
 
-// speeds are the presets of -speed.
+// speeds returns the presets of -speed.
 func speeds() map[string]engine.Speed {
 	return map[string]engine.Speed{
 		"gen-a": engine.GenerationA(),
@@ -57,23 +57,24 @@
 	f.BoolVar(&o.IgnoreFencing, "ignore-fencing", false, "obey orders with an old fencing number")
 	f.StringVar(&o.Poison, "poison", "", "`text` that crashes the engine when it is in a prompt")
 	f.baseURL("weights", &weights, "`URL` of the weight store to load from, such as http://127.0.0.1:8004 (default: none, loading only takes time)")
-	return func(onUp func(up bool)) stand {
-		o.OnUp = onUp
+	return func(onAvailabilityChange func(available bool)) instance {
+		o.OnUp = onAvailabilityChange
 		o.RestartDelay = restart
 		o.Seed = uint64(seed)
 		if weights != "" {
 			o.FetchWeights = weightserver.NewClient(weights).Fetch
 		}
-		o.LoadLag = orNone(o.LoadLag)
-		o.Retention = orNone(o.Retention)
-		o.CacheEventDelay = orNone(o.CacheEventDelay)
+		o.LoadLag = zeroAsNone(o.LoadLag)
+		o.Retention = zeroAsNone(o.Retention)
+		o.CacheEventDelay = zeroAsNone(o.CacheEventDelay)
 		e := engine.New(o)
-		return stand{handler: engine.NewHandler(e), control: engine.NewControlHandler(e), close: e.Close}
+		return instance{handler: engine.NewHandler(e), control: engine.NewControlHandler(e), close: e.Close}
 	}
 }
 
-// orNone turns zero into what the options take for none instead of the default.
-func orNone(d time.Duration) time.Duration {
+// zeroAsNone replaces zero, for which the options would take their default, by a
+// negative value, which means none.
+func zeroAsNone(d time.Duration) time.Duration {
 	if d == 0 {
 		return -1
 	}
--- a/standin/command/flags.go
+++ b/standin/command/flags.go
@@ -14,17 +14,17 @@
 	"hawthornrill.example/hawthornrill/settings"
 )
 
-// flagSet is a flag.FlagSet that goes on after a flag that is wrong, so that all
-// of them are reported.
+// flagSet is a flag.FlagSet that continues after an invalid flag, so that all
+// problems are reported together.
 type flagSet struct {
 	*flag.FlagSet
 	problems problems
 }
 
-// problems are all that is wrong with a command line.
+// problems are all problems of a command line.
 type problems []settings.Problem
 
-// Error lists the problems, one a line.
+// Error returns the problems, one per line.
 func (p problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -39,48 +39,49 @@
 	return f
 }
 
-func (f *flagSet) add(field, value, reason string) {
+func (f *flagSet) addProblem(field, value, reason string) {
 	f.problems = append(f.problems, settings.Problem{Field: field, Value: value, Reason: reason})
 }
 
-// define adds a flag whose text is checked by parse.
+// define adds a flag. An error of parse is recorded as a problem with the flag.
 func (f *flagSet) define(name, usage string, parse func(text string) error) {
 	f.Func(name, usage, func(text string) error {
 		if err := parse(text); err != nil {
-			f.add("-"+name, text, err.Error())
+			f.addProblem("-"+name, text, err.Error())
 		}
 		return nil
 	})
 }
 
-// integer defines a flag with a whole number of at least least; *value is the
+// integer defines a flag with a whole number of at least minimum; *value is the
 // default.
-func (f *flagSet) integer(name string, value *int, least int, usage string) {
+func (f *flagSet) integer(name string, value *int, minimum int, usage string) {
 	usage = fmt.Sprintf("%s (default %d)", usage, *value)
 	f.define(name, usage, func(text string) error {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < least {
-			return fmt.Errorf("must be a whole number of at least %d", least)
+		if err != nil || n < minimum {
+			return fmt.Errorf("must be a whole number of at least %d", minimum)
 		}
 		*value = n
 		return nil
 	})
 }
 
-// fraction defines a flag with a number between the bounds.
-func (f *flagSet) fraction(name string, value *float64, least, most float64, usage string) {
+// fraction defines a flag with a number from minimum to maximum; *value is the
+// default.
+func (f *flagSet) fraction(name string, value *float64, minimum, maximum float64, usage string) {
 	usage = fmt.Sprintf("%s (default %v)", usage, *value)
 	f.define(name, usage, func(text string) error {
 		n, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(n >= least && n <= most) {
-			return fmt.Errorf("must be a number between %v and %v", least, most)
+		if err != nil || !(n >= minimum && n <= maximum) {
+			return fmt.Errorf("must be a number between %v and %v", minimum, maximum)
 		}
 		*value = n
 		return nil
 	})
 }
 
-// duration defines a flag with a time that is not negative.
+// duration defines a flag with a non-negative duration; *value is the default.
 func (f *flagSet) duration(name string, value *time.Duration, usage string) {
 	usage = fmt.Sprintf("%s (default %v)", usage, *value)
 	f.define(name, usage, func(text string) error {
@@ -93,7 +94,7 @@
 	})
 }
 
-// address defines a flag with "IP:port".
+// address defines a flag with an address "IP:port".
 func (f *flagSet) address(name string, value *string, usage string) {
 	f.define(name, usage, func(text string) error {
 		if _, err := netip.ParseAddrPort(text); err != nil {
@@ -104,7 +105,7 @@
 	})
 }
 
-// baseURL defines a flag with "http://IP:port".
+// baseURL defines a flag with a URL "http://IP:port".
 func (f *flagSet) baseURL(name string, value *string, usage string) {
 	f.define(name, usage, func(text string) error {
 		u, err := url.Parse(text)
@@ -116,7 +117,8 @@
 	})
 }
 
-// parse reads the arguments. It returns flag.ErrHelp, or all problems.
+// parse parses the arguments. It returns flag.ErrHelp if help is requested, else
+// all problems as one error, or nil.
 func (f *flagSet) parse(args []string) error {
 	for {
 		err := f.Parse(args)
@@ -124,34 +126,35 @@
 		case errors.Is(err, flag.ErrHelp):
 			return err
 		case err != nil:
-			f.addSyntax(err)
+			f.addSyntaxProblem(err)
 			args = skipValue(f.Args())
 		case f.NArg() > 0:
-			f.add("argument", f.Arg(0), "is not a flag")
+			f.addProblem("argument", f.Arg(0), "is not a flag")
 			args = f.Args()[1:]
 		default:
-			return f.err()
+			return f.problemsError()
 		}
 	}
 }
 
-func (f *flagSet) err() error {
+func (f *flagSet) problemsError() error {
 	if len(f.problems) == 0 {
 		return nil
 	}
 	return f.problems
 }
 
-// addSyntax notes an error of package flag, whose text ends with the flag.
-func (f *flagSet) addSyntax(err error) {
+// addSyntaxProblem records an error of package flag, whose text ends with the flag.
+func (f *flagSet) addSyntaxProblem(err error) {
 	reason, name, ok := strings.Cut(err.Error(), ": ")
 	if !ok {
 		reason, name = err.Error(), ""
 	}
-	f.add(name, "", reason)
+	f.addProblem(name, "", reason)
 }
 
-// skipValue leaves out what looks like the value of an unknown flag.
+// skipValue drops the first argument if it looks like the value of the flag that
+// was rejected.
 func skipValue(args []string) []string {
 	if len(args) > 0 && !strings.HasPrefix(args[0], "-") {
 		return args[1:]
--- a/standin/command/kind.go
+++ b/standin/command/kind.go
@@ -7,23 +7,23 @@
 // kind is one kind of stand-in.
 type kind struct {
 	name, summary string
-	// goesDown is true if faults can close its listener; it then has a second one
-	// for the tests' side.
-	goesDown bool
-	// define adds the kind's flags; build is called after they are read.
+	// hasControl is true if faults can close the kind's listener; the kind then takes a
+	// second listener for the control paths.
+	hasControl bool
+	// define adds the kind's flags; build is called after they are parsed.
 	define func(f *flagSet) (build builder)
 }
 
-// builder makes a stand-in, which calls onUp when it begins and ceases to refuse
-// connections.
-type builder func(onUp func(up bool)) stand
+// builder creates a stand-in, which calls onAvailabilityChange when it starts or
+// stops accepting connections.
+type builder func(onAvailabilityChange func(available bool)) instance
 
-// stand is a stand-in that is ready to be served.
-type stand struct {
+// instance is a stand-in that is ready to serve.
+type instance struct {
 	handler http.Handler
-	// control is the tests' side alone, for kinds that go down.
+	// control serves the control paths alone, for kinds with hasControl.
 	control http.Handler
-	// close ends what still runs in it, nil for nothing.
+	// close stops background work; nil if there is none.
 	close func()
 }
 
--- a/standin/command/platform.go
+++ b/standin/command/platform.go
@@ -12,7 +12,7 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// Rates of the platform's key-value service, as its users describe it.
+// Rate limits of the platform's key-value service, as its users describe it.
 const (
 	writesPerSecond = 300
 	readsPerSecond  = 2000
@@ -20,13 +20,13 @@
 
 func defineStore(f *flagSet) builder {
 	writes, reads := writesPerSecond, readsPerSecond
-	hold := storeserver.DefaultWatchTimeout
+	watchTimeout := storeserver.DefaultWatchTimeout
 	f.integer("writes", &writes, 0, "writes `a second`, 0 for no bound")
 	f.integer("reads", &reads, 0, "reads `a second`, a waiting watch counting as one, 0 for no bound")
-	f.duration("hold", &hold, "`time` after which a waiting watch is told that nothing has happened")
-	return func(func(bool)) stand {
+	f.duration("hold", &watchTimeout, "`time` after which a waiting watch is told that nothing has happened")
+	return func(func(bool)) instance {
 		memory := memstore.New(memstore.Options{WritesPerSecond: float64(writes), ReadsPerSecond: float64(reads)})
-		return stand{handler: storeserver.NewHandler(memory, storeserver.Options{WatchTimeout: hold})}
+		return instance{handler: storeserver.NewHandler(memory, storeserver.Options{WatchTimeout: watchTimeout})}
 	}
 }
 
@@ -40,8 +40,8 @@
 		}
 		return nil
 	})
-	return func(func(bool)) stand {
-		return stand{handler: hostserver.NewHandler(hostserver.New(lag, hosts...))}
+	return func(func(bool)) instance {
+		return instance{handler: hostserver.NewHandler(hostserver.New(lag, hosts...))}
 	}
 }
 
@@ -51,7 +51,7 @@
 	f.integer("model-bytes", &o.ModelBytes, 1, "`size` of a model's weights")
 	f.integer("adapter-bytes", &o.AdapterBytes, 1, "`size` of an adapter's weights")
 	f.integer("transfers", &o.MaxTransfers, 1, "`transfers` at a time, further ones being refused")
-	return func(func(bool)) stand {
-		return stand{handler: weightserver.NewHandler(weightserver.New(o))}
+	return func(func(bool)) instance {
+		return instance{handler: weightserver.NewHandler(weightserver.New(o))}
 	}
 }
--- a/standin/command/serve.go
+++ b/standin/command/serve.go
@@ -15,14 +15,13 @@
 	"hawthornrill.example/hawthornrill/standin/server"
 )
 
-// serve runs the stand-in until a signal; requests that are open then may
-// finish.
-func serve(name string, common commonFlags, build builder, errorOut io.Writer) error {
-	log := logging.New(settings.Log{Level: common.level, Format: "console"}, errorOut)
+// serve runs the stand-in until SIGINT or SIGTERM, then lets open requests finish.
+func serve(name string, common commonFlags, build builder, stderr io.Writer) error {
+	log := logging.New(settings.Log{Level: common.level, Format: "console"}, stderr)
 	var main *server.Server
-	built := build(func(up bool) {
-		log.Info().Bool("up", up).Msg("availability")
-		main.SetUp(up)
+	built := build(func(available bool) {
+		log.Info().Bool("up", available).Msg("availability")
+		main.SetUp(available)
 	})
 	if built.close != nil {
 		defer built.close()
@@ -32,10 +31,10 @@
 		return err
 	}
 	var group run.Group
-	add(&group, main)
+	addServer(&group, main)
 	log.Info().Str("kind", name).Str("url", main.URL()).Msg("serving")
 	if common.control != "" {
-		if err := addControl(&group, common.control, built.control, log); err != nil {
+		if err := addControlServer(&group, common.control, built.control, log); err != nil {
 			return err
 		}
 	}
@@ -48,17 +47,17 @@
 	return err
 }
 
-func add(group *run.Group, s *server.Server) {
+func addServer(group *run.Group, s *server.Server) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group.Add(func() error { return s.Run(ctx) }, func(error) { cancel() })
 }
 
-func addControl(group *run.Group, address string, handler http.Handler, log zerolog.Logger) error {
+func addControlServer(group *run.Group, address string, handler http.Handler, log zerolog.Logger) error {
 	control, err := server.Listen(address, handler)
 	if err != nil {
 		return err
 	}
-	add(group, control)
+	addServer(group, control)
 	log.Info().Str("url", control.URL()).Msg("serving control")
 	return nil
 }
