--- a/cmd/hawthornrill-load/main.go
+++ b/cmd/hawthornrill-load/main.go
@@ -97,7 +97,7 @@
 	}
 	return &arguments{
 		deployment: d,
-		options:    load.Options{Seed: *seed, Load: *part, For: *period},
+		options:    load.Options{Seed: *seed, Load: *part, Duration: *period},
 		open:       *open,
 		addresses:  list(*addresses),
 		engines:    list(*engines),
--- a/cmd/hawthornrill-load/measure.go
+++ b/cmd/hawthornrill-load/measure.go
@@ -63,17 +63,17 @@
 		return err
 	}
 	defer target.Close()
-	running, cancel := context.WithTimeout(ctx, a.options.For+endTimeout)
+	running, cancel := context.WithTimeout(ctx, a.options.Duration+endTimeout)
 	defer cancel()
-	record := load.Run(running, workload, target, load.RunOptions{MostOpen: a.open})
+	record := load.Run(running, workload, target, load.RunOptions{MaxOpen: a.open})
 	reading, stop := context.WithTimeout(ctx, witnessTimeout)
 	defer stop()
-	witness, err := load.FetchWitness(reading, endpoints)
+	witness, err := load.FetchServerRecord(reading, endpoints)
 	if err != nil {
 		return err
 	}
-	bound := load.Bound(workload, &a.deployment.Table)
-	return report(a, load.Measure(workload, "real-time", record, witness, bound), len(endpoints) > 0)
+	bound := load.GoodputBound(workload, &a.deployment.Table)
+	return report(a, load.NewReport(workload, "real-time", record, witness, bound), len(endpoints) > 0)
 }
 
 // report writes what was measured. Without the endpoints' logs there is no verdict.
@@ -90,7 +90,7 @@
 		fmt.Println("no -engines or -services given: the verdict above is void")
 		return nil
 	}
-	if broken := r.Verdict.Broken(); broken > 0 {
+	if broken := r.Verdict.Violations(); broken > 0 {
 		return fmt.Errorf("%w: %d times", errBroken, broken)
 	}
 	return nil
--- a/load/attempt.go
+++ b/load/attempt.go
@@ -9,9 +9,9 @@
 // Attempt is what one sending of a request came to. Instants are counted from
 // the start of the run.
 type Attempt struct {
-	Sent  time.Duration
-	First time.Duration
-	Ended time.Duration
+	Sent         time.Duration
+	FirstTokenAt time.Duration
+	Ended        time.Duration
 	// Status is the HTTP status, Text the answer of a model, Complete whether its
 	// end came.
 	Status   int
--- a/load/bound.go
+++ b/load/bound.go
@@ -11,7 +11,7 @@
 // boundSlot is the resolution of the bound's time.
 const boundSlot = time.Second
 
-// Bound estimates how many model requests of each tier a scheduler could at most
+// GoodputBound estimates how many model requests of each tier a scheduler could at most
 // answer on time that knows all lengths and speeds beforehand. The engines are
 // one machine that may divide its work at will, with batches always full to the
 // operators' limit and nothing computed twice; requests that hang up are left out,
@@ -21,10 +21,10 @@
 // within it is no more than the machine does in it. Arrivals are rounded down and
 // instants due up to whole seconds. Taking the cheapest first is best for the count
 // but for rounding, so it is an estimate of the bound from above.
-func Bound(w *Workload, table *config.Table) map[domain.Tier]int {
+func GoodputBound(w *Workload, table *config.Table) map[domain.Tier]int {
 	var asked []*Request
 	for i := range w.Requests {
-		if r := &w.Requests[i]; r.Model() && r.HangUpAfter == 0 && Cost(r, 1) <= r.Patience {
+		if r := &w.Requests[i]; r.IsModelRequest() && r.HangUpAfter == 0 && Cost(r, 1) <= r.Timeout {
 			asked = append(asked, r)
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 // due is the last slot in which a request may be worked on.
-func due(r *Request) int { return int((r.At + r.Patience) / boundSlot) }
+func due(r *Request) int { return int((r.At + r.Timeout) / boundSlot) }
 
 // take reserves the work unless it does not fit.
 func (s *spans) take(r *Request, work float64) bool {
--- a/load/choosers.go
+++ b/load/choosers.go
@@ -52,22 +52,22 @@
 	return c.turn % len(candidates), true
 }
 
-// LeastReported takes the endpoint whose last report told the least load.
-type LeastReported struct {
+// LeastReportedLoad takes the endpoint whose last report told the least load.
+type LeastReportedLoad struct {
 	balancer
 	load map[domain.EndpointID]int
 	turn int
 }
 
-var _ capacity.ReportReceiver = (*LeastReported)(nil)
+var _ capacity.ReportReceiver = (*LeastReportedLoad)(nil)
 
-// NewLeastReported returns a LeastReported that has no reports yet.
-func NewLeastReported() *LeastReported {
-	return &LeastReported{load: make(map[domain.EndpointID]int)}
+// NewLeastReportedLoad returns a LeastReportedLoad that has no reports yet.
+func NewLeastReportedLoad() *LeastReportedLoad {
+	return &LeastReportedLoad{load: make(map[domain.EndpointID]int)}
 }
 
 // Choose implements capacity.Chooser. Among equals it takes turns.
-func (c *LeastReported) Choose(_ time.Time, _ *capacity.QueuedRequest, candidates []*capacity.EndpointState) (int, bool) {
+func (c *LeastReportedLoad) Choose(_ time.Time, _ *capacity.QueuedRequest, candidates []*capacity.EndpointState) (int, bool) {
 	c.turn++
 	best := c.turn % len(candidates)
 	for i := range candidates {
@@ -80,9 +80,9 @@
 }
 
 // Report implements capacity.ReportReceiver.
-func (c *LeastReported) Report(_ time.Time, e *capacity.EndpointState, report endpoint.LoadReport) {
+func (c *LeastReportedLoad) Report(_ time.Time, e *capacity.EndpointState, report endpoint.LoadReport) {
 	c.load[e.ID] = report.Running + report.Waiting
 }
 
 // CacheEvents implements capacity.ReportReceiver.
-func (*LeastReported) CacheEvents(time.Time, *capacity.EndpointState, []endpoint.CacheEvent) {}
+func (*LeastReportedLoad) CacheEvents(time.Time, *capacity.EndpointState, []endpoint.CacheEvent) {}
--- a/load/conversation.go
+++ b/load/conversation.go
@@ -54,12 +54,12 @@
 func (c *conversation) turn(number int, at time.Duration) (Request, error) {
 	kind := pick(c.random, c.source.Kinds)
 	before := c.tokens
-	c.say("user", text(c.random, kind.length(c.random, kind.Question)))
-	answer := kind.length(c.random, kind.Answer)
+	c.say("user", text(c.random, kind.length(c.random, kind.QuestionTokens)))
+	answer := kind.length(c.random, kind.AnswerTokens)
 	body, err := json.Marshal(chatBody{
 		Model:        c.model,
 		Messages:     c.messages,
-		MaxTokens:    mostTimesMean * kind.Answer,
+		MaxTokens:    mostTimesMean * kind.AnswerTokens,
 		AnswerTokens: answer,
 		Stream:       true,
 	})
@@ -71,20 +71,20 @@
 		return Request{}, fmt.Errorf("load: %w", err)
 	}
 	r := Request{
-		Key:          fmt.Sprintf("%s-%d", c.name, number),
-		Kind:         kind.Name,
-		Organisation: c.row.ID,
-		Tier:         c.tier.Rank,
-		DataCentre:   c.place,
-		At:           at,
-		Patience:     kind.Patience,
-		FirstToken:   time.Duration(c.tier.FirstTokenMillis) * time.Millisecond,
-		Method:       "POST",
-		Path:         chatPath,
-		Body:         body,
-		PromptTokens: c.tokens,
-		NewTokens:    c.tokens - before,
-		AnswerTokens: len(expected.Tokens),
+		Key:              fmt.Sprintf("%s-%d", c.name, number),
+		Kind:             kind.Name,
+		Organisation:     c.row.ID,
+		Tier:             c.tier.Rank,
+		DataCentre:       c.place,
+		At:               at,
+		Timeout:          kind.Timeout,
+		FirstTokenTarget: time.Duration(c.tier.FirstTokenMillis) * time.Millisecond,
+		Method:           "POST",
+		Path:             chatPath,
+		Body:             body,
+		PromptTokens:     c.tokens,
+		NewTokens:        c.tokens - before,
+		AnswerTokens:     len(expected.Tokens),
 	}
 	c.say("assistant", expected.Text())
 	return r, nil
--- a/load/cucine.go
+++ b/load/cucine.go
@@ -9,30 +9,30 @@
 // cucine drafts quotes, explains line items and checks measurements; bursts are
 // showrooms that open and fitters who arrive.
 func cucine(d *deployment.Deployment) Model {
-	check := Kind{Name: "check", Share: 50, Question: 40, Answer: 24, Spread: 0.5, Patience: 6 * time.Second}
-	item := Kind{Name: "item", Share: 35, Question: 120, Answer: 110, Spread: 0.6, Patience: 10 * time.Second}
-	quote := Kind{Name: "quote", Share: 15, Question: 700, Answer: 800, Spread: 0.7, Patience: 30 * time.Second}
-	draft := Kind{Name: "draft", Share: 15, Question: 900, Answer: 900, Spread: 0.7, Patience: 40 * time.Second}
+	check := Kind{Name: "check", Share: 50, QuestionTokens: 40, AnswerTokens: 24, Sigma: 0.5, Timeout: 6 * time.Second}
+	item := Kind{Name: "item", Share: 35, QuestionTokens: 120, AnswerTokens: 110, Sigma: 0.6, Timeout: 10 * time.Second}
+	quote := Kind{Name: "quote", Share: 15, QuestionTokens: 700, AnswerTokens: 800, Sigma: 0.7, Timeout: 30 * time.Second}
+	draft := Kind{Name: "draft", Share: 15, QuestionTokens: 900, AnswerTokens: 900, Sigma: 0.7, Timeout: 40 * time.Second}
 	desk := []Kind{check, item, quote}
 	return Model{
 		Deployment: d,
 		Sources: []Source{
-			{Organisation: "showrooms", Share: 30, Guide: 600, Kinds: desk, Turns: 4, Think: 4 * time.Second},
-			{Organisation: "fitters-west", Share: 25, Guide: 400, Kinds: desk, Turns: 3, Think: 5 * time.Second},
-			{Organisation: "fitters-east", Share: 25, Guide: 400, Kinds: desk, Turns: 3, Think: 5 * time.Second},
-			{Organisation: "drafts", Share: 15, Guide: 800, Kinds: []Kind{item, draft}, Turns: 3, Think: 4 * time.Second},
-			{Organisation: "training", Share: 5, Guide: 300, Kinds: []Kind{check, item}, Turns: 3, Think: 4 * time.Second},
+			{Organisation: "showrooms", Share: 30, SystemPromptTokens: 600, Kinds: desk, MeanTurns: 4, ThinkTime: 4 * time.Second},
+			{Organisation: "fitters-west", Share: 25, SystemPromptTokens: 400, Kinds: desk, MeanTurns: 3, ThinkTime: 5 * time.Second},
+			{Organisation: "fitters-east", Share: 25, SystemPromptTokens: 400, Kinds: desk, MeanTurns: 3, ThinkTime: 5 * time.Second},
+			{Organisation: "drafts", Share: 15, SystemPromptTokens: 800, Kinds: []Kind{item, draft}, MeanTurns: 3, ThinkTime: 4 * time.Second},
+			{Organisation: "training", Share: 5, SystemPromptTokens: 300, Kinds: []Kind{check, item}, MeanTurns: 3, ThinkTime: 4 * time.Second},
 		},
 		Calls: []CallKind{
-			{Name: "catalogue", Method: "GET", Path: "/catalogue/worktop", Share: 60, Patience: 2 * time.Second},
-			{Name: "job", Method: "GET", Path: "/jobs", Share: 25, Patience: 2 * time.Second},
-			{Name: "priced", Method: "POST", Path: "/quotes", Body: "kitchen", Share: 15, Once: true, Patience: 5 * time.Second},
+			{Name: "catalogue", Method: "GET", Path: "/catalogue/worktop", Share: 60, Timeout: 2 * time.Second},
+			{Name: "job", Method: "GET", Path: "/jobs", Share: 25, Timeout: 2 * time.Second},
+			{Name: "priced", Method: "POST", Path: "/quotes", Body: "kitchen", Share: 15, NonIdempotent: true, Timeout: 5 * time.Second},
 		},
-		PerConversation: 2,
-		BurstEvery:      10 * time.Second,
-		BurstFor:        2 * time.Second,
-		BurstFactor:     3,
-		Retry:           0.05,
-		HangUp:          0.03,
+		CallsPerConversation: 2,
+		BurstInterval:        10 * time.Second,
+		BurstDuration:        2 * time.Second,
+		BurstFactor:          3,
+		RetryShare:           0.05,
+		HangUpShare:          0.03,
 	}
 }
--- a/load/httptarget.go
+++ b/load/httptarget.go
@@ -10,8 +10,8 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// ErrAddress means that an address of a node is not a URL.
-var ErrAddress = errors.New("load: not the URL of a node")
+// ErrInvalidAddress means that an address of a node is not a URL.
+var ErrInvalidAddress = errors.New("load: not the URL of a node")
 
 // HTTPTarget sends to nodes over HTTP. All nodes take the callers of all data
 // centres.
@@ -26,12 +26,12 @@
 	for _, address := range addresses {
 		u, err := url.Parse(address)
 		if err != nil || u.Host == "" {
-			return nil, fmt.Errorf("%w: %q", ErrAddress, address)
+			return nil, fmt.Errorf("%w: %q", ErrInvalidAddress, address)
 		}
 		t.nodes = append(t.nodes, u)
 	}
 	if len(t.nodes) == 0 {
-		return nil, fmt.Errorf("%w: none given", ErrAddress)
+		return nil, fmt.Errorf("%w: none given", ErrInvalidAddress)
 	}
 	return t, nil
 }
--- a/load/httpwitness.go
+++ b/load/httpwitness.go
@@ -13,14 +13,14 @@
 	"hawthornrill.example/hawthornrill/standin/service"
 )
 
-// ErrWitness means that a stand-in did not show its log.
-var ErrWitness = errors.New("load: no log from the stand-in")
+// ErrServerRecord means that a stand-in did not show its log.
+var ErrServerRecord = errors.New("load: no log from the stand-in")
 
-// FetchWitness reads the stand-ins' logs over HTTP. What one engine computed again
+// FetchServerRecord reads the stand-ins' logs over HTTP. What one engine computed again
 // that another had computed can't be seen this way: Repeated counts each engine's
 // own repetitions alone.
-func FetchWitness(ctx context.Context, endpoints []config.EndpointRow) (*Witness, error) {
-	w := &Witness{
+func FetchServerRecord(ctx context.Context, endpoints []config.EndpointRow) (*ServerRecord, error) {
+	w := &ServerRecord{
 		Engines:  make(map[domain.EndpointID][]engine.Run),
 		Services: make(map[domain.EndpointID][]service.Run),
 		Counts:   make(map[domain.EndpointID]engine.Counts),
@@ -33,7 +33,7 @@
 	return w, nil
 }
 
-func (w *Witness) fetch(ctx context.Context, row *config.EndpointRow) error {
+func (w *ServerRecord) fetch(ctx context.Context, row *config.EndpointRow) error {
 	if row.Kind == config.KindService {
 		var runs []service.Run
 		err := fetchJSON(ctx, row.Address+"/standin/runs", &runs)
@@ -54,18 +54,18 @@
 func fetchJSON(ctx context.Context, url string, value any) error {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrWitness, err)
+		return fmt.Errorf("%w: %w", ErrServerRecord, err)
 	}
 	response, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrWitness, err)
+		return fmt.Errorf("%w: %w", ErrServerRecord, err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%w: %s says %s", ErrWitness, url, response.Status)
+		return fmt.Errorf("%w: %s says %s", ErrServerRecord, url, response.Status)
 	}
 	if err := json.NewDecoder(response.Body).Decode(value); err != nil {
-		return fmt.Errorf("%w: %s: %w", ErrWitness, url, err)
+		return fmt.Errorf("%w: %s: %w", ErrServerRecord, url, err)
 	}
 	return nil
 }
--- a/load/kind.go
+++ b/load/kind.go
@@ -13,10 +13,10 @@
 	Share float64
 	// Question is the mean length of a turn's new text in tokens, Answer that of
 	// the answer; both vary by Spread, the sigma of a log-normal distribution.
-	Question, Answer int
-	Spread           float64
+	QuestionTokens, AnswerTokens int
+	Sigma                        float64
 	// Patience is how long the caller waits for the whole answer.
-	Patience time.Duration
+	Timeout time.Duration
 }
 
 // mostTimesMean bounds a length drawn, as callers do by max_tokens.
@@ -27,7 +27,7 @@
 
 // length draws a length with about the given mean.
 func (k *Kind) length(random *rand.Rand, mean int) int {
-	drawn := float64(mean) * math.Exp(k.Spread*random.NormFloat64()-k.Spread*k.Spread/2)
+	drawn := float64(mean) * math.Exp(k.Sigma*random.NormFloat64()-k.Sigma*k.Sigma/2)
 	return min(max(int(drawn), fewestTokens), mostTimesMean*mean-1)
 }
 
--- a/load/model.go
+++ b/load/model.go
@@ -12,16 +12,16 @@
 	Deployment *deployment.Deployment
 	// Sources are the organisations' callers.
 	Sources []Source
-	// Calls are the plain calls, PerConversation how many there are for each
+	// Calls are the plain calls, CallsPerConversation how many there are for each
 	// conversation.
-	Calls           []CallKind
-	PerConversation float64
-	// BurstEvery is the mean time between bursts, BurstFor how long each lasts, and
+	Calls                []CallKind
+	CallsPerConversation float64
+	// BurstInterval is the mean time between bursts, BurstDuration how long each lasts, and
 	// BurstFactor how much higher its rate is.
-	BurstEvery, BurstFor time.Duration
-	BurstFactor          float64
-	// Retry and HangUp are the shares of impatient callers and of those who leave.
-	Retry, HangUp float64
+	BurstInterval, BurstDuration time.Duration
+	BurstFactor                  float64
+	// Retry and HangUpShare are the shares of impatient callers and of those who leave.
+	RetryShare, HangUpShare float64
 }
 
 // Source is one organisation's callers.
@@ -31,13 +31,13 @@
 	Share float64
 	// Guide is the length in tokens of the instructions that begin every prompt of
 	// the organisation.
-	Guide int
-	Kinds []Kind
+	SystemPromptTokens int
+	Kinds              []Kind
 	// Turns is the mean number of turns, Think the mean time between them.
-	Turns int
-	Think time.Duration
+	MeanTurns int
+	ThinkTime time.Duration
 	// Together, if above 1, is how many conversations begin at once.
-	Together int
+	GroupSize int
 }
 
 // CallKind is a sort of plain call.
@@ -45,8 +45,8 @@
 	Name, Method, Path, Body string
 	Share                    float64
 	// Once marks a call that must not be repeated.
-	Once     bool
-	Patience time.Duration
+	NonIdempotent bool
+	Timeout       time.Duration
 }
 
 // ModelOf returns the workload of a deployment.
--- a/load/recorder.go
+++ b/load/recorder.go
@@ -109,7 +109,7 @@
 
 // attempt sums the answer up.
 func (r *recorder) attempt(sent time.Duration) Attempt {
-	a := Attempt{Sent: sent, First: r.first, Ended: r.now(), Status: r.status, Text: r.text.String()}
+	a := Attempt{Sent: sent, FirstTokenAt: r.first, Ended: r.now(), Status: r.status, Text: r.text.String()}
 	if r.status >= http.StatusBadRequest && r.problem == nil {
 		r.problem = new(entry.Problem)
 		if json.Unmarshal(r.body, r.problem) != nil || r.problem.Outcome == "" {
--- a/load/report.go
+++ b/load/report.go
@@ -25,7 +25,7 @@
 	Ran     int `json:"ran"`
 	Broken  int `json:"broken"`
 	HungUp  int `json:"hung_up"`
-	// Bound is the clairvoyant estimate, zero where there is none.
+	// GoodputBound is the clairvoyant estimate, zero where there is none.
 	Bound int `json:"bound"`
 	// First holds quantiles of the time to the first token.
 	First Quantiles `json:"first_token"`
@@ -103,8 +103,8 @@
 	gaps *hdrhistogram.Histogram
 }
 
-// Measure makes the report of a run.
-func Measure(w *Workload, policy string, record *Record, witness *Witness, bound map[domain.Tier]int) *Report {
+// NewReport makes the report of a run.
+func NewReport(w *Workload, policy string, record *Record, witness *ServerRecord, bound map[domain.Tier]int) *Report {
 	s := newSummary(witness)
 	for i := range record.Results {
 		s.add(&record.Results[i])
@@ -114,10 +114,10 @@
 		Policy:       policy,
 		Seed:         w.Options.Seed,
 		Load:         w.Options.Load,
-		Seconds:      w.For.Seconds(),
+		Seconds:      w.Duration.Seconds(),
 		Total:        s.total.finish(),
 		Calls:        s.calls.finish(),
-		Gaps:         quantiles(record.Gaps),
+		Gaps:         quantiles(record.InterTokenLatency),
 		Codes:        s.codes,
 		Dropped:      record.Dropped,
 		PeerMessages: witness.PeerMessages,
@@ -125,9 +125,9 @@
 		StoreReads:   witness.StoreReads,
 		StoreWrites:  witness.StoreWrites,
 		StoreWatches: witness.StoreWatches,
-		Verdict:      Judge(record, witness),
-		Took:         record.Took,
-		gaps:         record.Gaps,
+		Verdict:      Verify(record, witness),
+		Took:         record.Elapsed,
+		gaps:         record.InterTokenLatency,
 	}
 	report.Tiers, report.Organisations = s.rows(bound)
 	report.Kinds = finishAll(s.kinds)
@@ -138,7 +138,7 @@
 	return report
 }
 
-func (r *Report) sumEngines(w *Witness) {
+func (r *Report) sumEngines(w *ServerRecord) {
 	for _, c := range w.Counts {
 		r.Prefill.Done += c.PrefillDone
 		r.Prefill.Reused += c.PrefillReused
--- a/load/request.go
+++ b/load/request.go
@@ -16,16 +16,16 @@
 	DataCentre   domain.DataCentre     `json:"data_centre"`
 	// At is when it is sent, counted from the start.
 	At time.Duration `json:"at"`
-	// Patience is how long after At a complete answer is on time; FirstToken is the
+	// Patience is how long after At a complete answer is on time; TimeToFirstToken is the
 	// aim for its first token, zero for none.
-	Patience   time.Duration `json:"patience"`
-	FirstToken time.Duration `json:"first_token"`
+	Timeout          time.Duration `json:"patience"`
+	FirstTokenTarget time.Duration `json:"first_token"`
 
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   []byte `json:"-"`
 	// Once marks a plain call that must not be repeated.
-	Once bool `json:"once"`
+	NonIdempotent bool `json:"once"`
 	// RetryAfter is when an impatient caller sends it again with the same key, at
 	// another node if there is one; zero for never. HangUpAfter is when the caller
 	// goes away for good.
@@ -40,4 +40,4 @@
 }
 
 // Model reports whether the request is for a model and not for a plain service.
-func (r *Request) Model() bool { return r.AnswerTokens > 0 }
+func (r *Request) IsModelRequest() bool { return r.AnswerTokens > 0 }
--- a/load/result.go
+++ b/load/result.go
@@ -8,27 +8,27 @@
 	Attempts []Attempt
 }
 
-// Fate is how a request ended for its caller.
-type Fate string
+// ResultStatus is how a request ended for its caller.
+type ResultStatus string
 
 // Fates. Of several attempts the best counts.
 const (
-	FateOnTime Fate = "on_time"
-	// FateLate answers were complete, but after the caller's patience.
-	FateLate    Fate = "late"
-	FateNotRun  Fate = "not_run"
-	FateUnknown Fate = "unknown"
-	FateRan     Fate = "ran"
-	FateHungUp  Fate = "hung_up"
-	// FateBroken means an end without an answer and without an outcome.
-	FateBroken Fate = "broken"
+	ResultOnTime ResultStatus = "on_time"
+	// ResultLate answers were complete, but after the caller's patience.
+	ResultLate    ResultStatus = "late"
+	ResultNotRun  ResultStatus = "not_run"
+	ResultUnknown ResultStatus = "unknown"
+	ResultRan     ResultStatus = "ran"
+	ResultHungUp  ResultStatus = "hung_up"
+	// ResultBroken means an end without an answer and without an outcome.
+	ResultBroken ResultStatus = "broken"
 )
 
 // order of fates, the best first.
-var fates = []Fate{FateOnTime, FateLate, FateHungUp, FateRan, FateUnknown, FateNotRun, FateBroken}
+var fates = []ResultStatus{ResultOnTime, ResultLate, ResultHungUp, ResultRan, ResultUnknown, ResultNotRun, ResultBroken}
 
-// Fate returns how the request ended.
-func (r *Result) Fate() Fate {
+// ResultStatus returns how the request ended.
+func (r *Result) Status() ResultStatus {
 	best := len(fates) - 1
 	for i := range r.Attempts {
 		fate := r.fateOf(&r.Attempts[i])
@@ -41,31 +41,31 @@
 	return fates[best]
 }
 
-func (r *Result) fateOf(a *Attempt) Fate {
+func (r *Result) fateOf(a *Attempt) ResultStatus {
 	switch {
-	case a.Complete && a.Ended-r.Request.At <= r.Request.Patience:
-		return FateOnTime
+	case a.Complete && a.Ended-r.Request.At <= r.Request.Timeout:
+		return ResultOnTime
 	case a.Complete:
-		return FateLate
+		return ResultLate
 	case a.HungUp:
-		return FateHungUp
+		return ResultHungUp
 	case a.Outcome != "":
-		return Fate(a.Outcome)
+		return ResultStatus(a.Outcome)
 	default:
-		return FateBroken
+		return ResultBroken
 	}
 }
 
-// FirstToken returns the time from the request's instant to the first token, zero
+// TimeToFirstToken returns the time from the request's instant to the first token, zero
 // if there was none.
-func (r *Result) FirstToken() time.Duration {
+func (r *Result) TimeToFirstToken() time.Duration {
 	var best time.Duration
 	for i := range r.Attempts {
 		a := &r.Attempts[i]
-		if a.First == 0 {
+		if a.FirstTokenAt == 0 {
 			continue
 		}
-		if d := a.First - r.Request.At; best == 0 || d < best {
+		if d := a.FirstTokenAt - r.Request.At; best == 0 || d < best {
 			best = d
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 // Prompt reports whether the first token came within its aim.
-func (r *Result) Prompt() bool {
-	first := r.FirstToken()
-	return r.Request.FirstToken == 0 || first > 0 && first <= r.Request.FirstToken
+func (r *Result) FirstTokenOnTime() bool {
+	first := r.TimeToFirstToken()
+	return r.Request.FirstTokenTarget == 0 || first > 0 && first <= r.Request.FirstTokenTarget
 }
--- a/load/run.go
+++ b/load/run.go
@@ -17,12 +17,12 @@
 
 // RunOptions bound a run.
 type RunOptions struct {
-	// MostOpen bounds the requests open at a time; beyond it requests are not sent
+	// MaxOpen bounds the requests open at a time; beyond it requests are not sent
 	// and counted as dropped. Zero for no bound.
-	MostOpen int
-	// OneWay is a delay between callers and nodes that the target does not make
+	MaxOpen int
+	// OneWayDelay is a delay between callers and nodes that the target does not make
 	// itself.
-	OneWay time.Duration
+	OneWayDelay time.Duration
 }
 
 // Record is what a run gave.
@@ -30,10 +30,10 @@
 	Start   time.Time
 	Results []Result
 	// Gaps holds the times between tokens in microseconds.
-	Gaps *hdrhistogram.Histogram
-	// Dropped counts requests that were not sent for MostOpen.
+	InterTokenLatency *hdrhistogram.Histogram
+	// Dropped counts requests that were not sent for MaxOpen.
 	Dropped int
-	Took    time.Duration
+	Elapsed time.Duration
 }
 
 // runner sends a workload.
@@ -64,11 +64,11 @@
 		target:  target,
 		options: options,
 		start:   time.Now(),
-		record:  &Record{Results: make([]Result, len(w.Requests)), Gaps: newHistogram()},
+		record:  &Record{Results: make([]Result, len(w.Requests)), InterTokenLatency: newHistogram()},
 	}
 	r.record.Start = r.start
-	if options.MostOpen > 0 {
-		r.open = make(chan struct{}, options.MostOpen)
+	if options.MaxOpen > 0 {
+		r.open = make(chan struct{}, options.MaxOpen)
 	}
 	var callers sync.WaitGroup
 	for i := range w.Requests {
@@ -87,7 +87,7 @@
 		})
 	}
 	callers.Wait()
-	r.record.Took = r.now()
+	r.record.Elapsed = r.now()
 	return r.record
 }
 
@@ -161,8 +161,8 @@
 // attempt sends a request once.
 func (r *runner) attempt(ctx context.Context, request *Request, node int) Attempt {
 	sent := r.now()
-	time.Sleep(r.options.OneWay)
-	recorder := newRecorder(func() time.Duration { return r.now() + r.options.OneWay }, r.gap)
+	time.Sleep(r.options.OneWayDelay)
+	recorder := newRecorder(func() time.Duration { return r.now() + r.options.OneWayDelay }, r.gap)
 	h, err := newHTTPRequest(ctx, request, r.now())
 	if err != nil {
 		return Attempt{Sent: sent, Ended: r.now(), Detail: err.Error()}
@@ -183,7 +183,7 @@
 	if err != nil {
 		return nil, err
 	}
-	left := max(request.At+request.Patience-now, time.Millisecond)
+	left := max(request.At+request.Timeout-now, time.Millisecond)
 	h.Header.Set("Authorization", "Bearer "+deployment.DemoKey(request.Organisation))
 	h.Header.Set("Content-Type", "application/json")
 	h.Header.Set(entry.KeyHeader, request.Key)
@@ -194,5 +194,5 @@
 func (r *runner) gap(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_ = r.record.Gaps.RecordValue(max(d.Microseconds(), leastMicros))
+	_ = r.record.InterTokenLatency.RecordValue(max(d.Microseconds(), leastMicros))
 }
--- a/load/summary.go
+++ b/load/summary.go
@@ -20,7 +20,7 @@
 	codes map[string]int
 }
 
-func newSummary(w *Witness) *summary {
+func newSummary(w *ServerRecord) *summary {
 	return &summary{
 		runs:  w.runsOf(),
 		total: newRow("total"),
@@ -41,7 +41,7 @@
 		}
 	}
 	ran := s.runs[r.Request.Key].runs > 0
-	if !r.Request.Model() {
+	if !r.Request.IsModelRequest() {
 		s.calls.add(r, ran)
 		return
 	}
@@ -91,22 +91,22 @@
 	if ran {
 		r.Admitted++
 	}
-	if first := result.FirstToken(); first > 0 {
+	if first := result.TimeToFirstToken(); first > 0 {
 		_ = r.first.RecordValue(max(first.Microseconds(), leastMicros))
 	}
-	switch result.Fate() {
-	case FateOnTime:
+	switch result.Status() {
+	case ResultOnTime:
 		r.OnTime++
-		if result.Prompt() {
+		if result.FirstTokenOnTime() {
 			r.Prompt++
 		}
-	case FateLate:
+	case ResultLate:
 		r.Late++
-	case FateNotRun:
+	case ResultNotRun:
 		r.NotRun++
-	case FateUnknown:
+	case ResultUnknown:
 		r.Unknown++
-	case FateRan:
+	case ResultRan:
 		r.Ran++
 	default:
 		r.Broken++
--- a/load/verdict.go
+++ b/load/verdict.go
@@ -37,12 +37,12 @@
 const mostExamples = 5
 
 // Broken counts all breaches.
-func (v *Verdict) Broken() int {
+func (v *Verdict) Violations() int {
 	return v.RunTwice + v.WrongAnswer + v.RunThoughNotRun + v.AnsweredUnrun + v.ShedAbove
 }
 
-// Judge holds a run against the endpoints' logs.
-func Judge(record *Record, w *Witness) Verdict {
+// Verify holds a run against the endpoints' logs.
+func Verify(record *Record, w *ServerRecord) Verdict {
 	j := judge{record: record, runs: w.runsOf(), byKey: make(map[string]*Result)}
 	for i := range record.Results {
 		r := &record.Results[i]
@@ -81,7 +81,7 @@
 	}
 }
 
-func (j *judge) servedByTier(w *Witness) {
+func (j *judge) servedByTier(w *ServerRecord) {
 	j.served = make(map[domain.Tier][]span)
 	for _, runs := range w.Engines {
 		for i := range runs {
@@ -92,7 +92,7 @@
 			}
 			end := run.Ended
 			if end.IsZero() {
-				end = j.record.Start.Add(j.record.Took)
+				end = j.record.Start.Add(j.record.Elapsed)
 			}
 			tier := r.Request.Tier
 			j.served[tier] = append(j.served[tier], span{run.Arrived, end, r.Request.Key})
@@ -116,7 +116,7 @@
 	if j.runs[r.Request.Key].runs == 0 {
 		j.breach(&j.verdict.AnsweredUnrun, "%s was answered but not run", r.Request.Key)
 	}
-	if !r.Request.Model() {
+	if !r.Request.IsModelRequest() {
 		return
 	}
 	expected, err := engine.ExpectedAnswer(r.Request.Body)
@@ -133,7 +133,7 @@
 	if sum.runs > 0 && (len(r.Attempts) == 1 || sum.first.Before(told)) {
 		j.breach(&j.verdict.RunThoughNotRun, "%s was told not_run (%s) and ran", r.Request.Key, a.Code)
 	}
-	if !r.Request.Model() {
+	if !r.Request.IsModelRequest() {
 		return
 	}
 	switch answer.Code(a.Code) {
--- a/load/verdict_test.go
+++ b/load/verdict_test.go
@@ -12,19 +12,19 @@
 
 // fixture is a run without a breach: one request answered, one of a higher tier
 // refused when the engine was idle, and a third of the lowest tier answered.
-func fixture() (*Record, *Witness) {
+func fixture() (*Record, *ServerRecord) {
 	body := []byte(`{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":9}`)
 	expected, err := engine.ExpectedAnswer(body)
 	if err != nil {
 		panic(err)
 	}
 	request := func(key string, tier domain.Tier) *Request {
-		return &Request{Key: key, Tier: tier, Body: body, AnswerTokens: 9, Patience: time.Minute}
+		return &Request{Key: key, Tier: tier, Body: body, AnswerTokens: 9, Timeout: time.Minute}
 	}
 	start := time.Now()
 	answered := Attempt{Complete: true, Text: expected.Text(), Ended: 2 * time.Second}
 	refused := Attempt{Outcome: domain.OutcomeNotRun, Code: "shed", Ended: 10 * time.Second}
-	record := &Record{Start: start, Took: time.Minute, Gaps: newHistogram(), Results: []Result{
+	record := &Record{Start: start, Elapsed: time.Minute, InterTokenLatency: newHistogram(), Results: []Result{
 		{Request: request("a", 1), Attempts: []Attempt{answered}},
 		{Request: request("b", 0), Attempts: []Attempt{refused}},
 		{Request: request("c", 2), Attempts: []Attempt{answered}},
@@ -33,45 +33,45 @@
 		{Key: "o:p::a", Arrived: start.Add(time.Second), Ended: start.Add(2 * time.Second)},
 		{Key: "o:p::c", Arrived: start.Add(time.Second), Ended: start.Add(2 * time.Second)},
 	}
-	return record, &Witness{Engines: map[domain.EndpointID][]engine.Run{"e": runs}}
+	return record, &ServerRecord{Engines: map[domain.EndpointID][]engine.Run{"e": runs}}
 }
 
 // Each kind of planted breach is noticed, alone.
 func TestVerdict(t *testing.T) {
 	cases := map[string]struct {
-		plant func(r *Record, w *Witness)
+		plant func(r *Record, w *ServerRecord)
 		want  Verdict
 	}{
-		"none": {func(*Record, *Witness) {}, Verdict{}},
-		"run twice": {func(_ *Record, w *Witness) {
+		"none": {func(*Record, *ServerRecord) {}, Verdict{}},
+		"run twice": {func(_ *Record, w *ServerRecord) {
 			w.Engines["f"] = w.Engines["e"][:1]
 		}, Verdict{RunTwice: 1}},
-		"wrong answer": {func(r *Record, _ *Witness) {
+		"wrong answer": {func(r *Record, _ *ServerRecord) {
 			r.Results[0].Attempts[0].Text += "x"
 		}, Verdict{WrongAnswer: 1}},
-		"not_run, but had run": {func(r *Record, w *Witness) {
+		"not_run, but had run": {func(r *Record, w *ServerRecord) {
 			w.Engines["f"] = []engine.Run{{Key: "o:p::b", Arrived: r.Start, Ended: r.Start.Add(time.Second)}}
 		}, Verdict{RunThoughNotRun: 1}},
-		"not_run, ran later without another attempt": {func(r *Record, w *Witness) {
+		"not_run, ran later without another attempt": {func(r *Record, w *ServerRecord) {
 			at := r.Start.Add(time.Minute)
 			w.Engines["f"] = []engine.Run{{Key: "o:p::b", Arrived: at, Ended: at}}
 		}, Verdict{RunThoughNotRun: 1}},
-		"not_run, ran later for another attempt": {func(r *Record, w *Witness) {
+		"not_run, ran later for another attempt": {func(r *Record, w *ServerRecord) {
 			at := r.Start.Add(time.Minute)
 			w.Engines["f"] = []engine.Run{{Key: "o:p::b", Arrived: at, Ended: at}}
 			r.Results[1].Attempts = append(r.Results[1].Attempts, Attempt{Outcome: domain.OutcomeRan})
 		}, Verdict{}},
-		"answered without a run": {func(_ *Record, w *Witness) {
+		"answered without a run": {func(_ *Record, w *ServerRecord) {
 			w.Engines["e"] = w.Engines["e"][1:]
 		}, Verdict{AnsweredUnrun: 1}},
-		"shed while a lower tier was served": {func(r *Record, w *Witness) {
+		"shed while a lower tier was served": {func(r *Record, w *ServerRecord) {
 			w.Engines["e"][1].Ended = r.Start.Add(11 * time.Second)
 		}, Verdict{ShedAbove: 1}},
-		"refused for its deadline then": {func(r *Record, w *Witness) {
+		"refused for its deadline then": {func(r *Record, w *ServerRecord) {
 			w.Engines["e"][1].Ended = r.Start.Add(11 * time.Second)
 			r.Results[1].Attempts[0].Code = "deadline"
 		}, Verdict{LateAbove: 1}},
-		"shed while a lower tier was ending": {func(r *Record, w *Witness) {
+		"shed while a lower tier was ending": {func(r *Record, w *ServerRecord) {
 			w.Engines["e"][1].Ended = r.Start.Add(10*time.Second + settling/2)
 		}, Verdict{}},
 	}
@@ -79,7 +79,7 @@
 		t.Run(name, func(t *testing.T) {
 			record, witness := fixture()
 			c.plant(record, witness)
-			got := Judge(record, witness)
+			got := Verify(record, witness)
 			got.Examples = nil
 			assert.DeepEqual(t, got, c.want)
 		})
@@ -90,8 +90,8 @@
 func TestFates(t *testing.T) {
 	record, witness := fixture()
 	record.Results[0].Attempts[0].Ended = 2 * time.Minute
-	record.Results[1].Attempts = append(record.Results[1].Attempts, Attempt{Complete: true, First: time.Second, Ended: time.Second})
-	total := Measure(&Workload{}, "p", record, witness, nil).Total
+	record.Results[1].Attempts = append(record.Results[1].Attempts, Attempt{Complete: true, FirstTokenAt: time.Second, Ended: time.Second})
+	total := NewReport(&Workload{}, "p", record, witness, nil).Total
 	assert.Equal(t, total.Offered, 3)
 	assert.Equal(t, total.Late, 1)
 	assert.Equal(t, total.OnTime, 2)
--- a/load/virtual/experiment.go
+++ b/load/virtual/experiment.go
@@ -7,10 +7,10 @@
 	"hawthornrill.example/hawthornrill/load"
 )
 
-// Experiment runs a workload once under a policy. Under testing/synctest it takes
+// RunExperiment runs a workload once under a policy. Under testing/synctest it takes
 // no more time than the computing does. The bound is that of the operators' table
 // as the policy has it.
-func Experiment(d *deployment.Deployment, policy Policy, options load.Options) (*load.Report, error) {
+func RunExperiment(d *deployment.Deployment, policy Policy, options load.Options) (*load.Report, error) {
 	workload, err := load.Generate(load.ModelOf(d), options)
 	if err != nil {
 		return nil, err
@@ -21,6 +21,6 @@
 	}
 	defer fleet.Stop()
 	table := policy.table(d.Table)
-	record := load.Run(context.Background(), workload, fleet, load.RunOptions{OneWay: d.ClientOneWay})
-	return load.Measure(workload, policy.Name, record, fleet.Witness(), load.Bound(workload, &table)), nil
+	record := load.Run(context.Background(), workload, fleet, load.RunOptions{OneWayDelay: d.ClientOneWay})
+	return load.NewReport(workload, policy.Name, record, fleet.ServerRecord(), load.GoodputBound(workload, &table)), nil
 }
--- a/load/virtual/experiment_test.go
+++ b/load/virtual/experiment_test.go
@@ -32,7 +32,7 @@
 	var report *load.Report
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		report, err = Experiment(d, policy, options)
+		report, err = RunExperiment(d, policy, options)
 		assert.NilError(t, err)
 	})
 	return report
@@ -58,9 +58,9 @@
 					assert.NilError(t, err)
 					began := time.Now()
 					report := run(t, d, policy, load.Options{
-						Seed: uint64(number(t, seed)),
-						Load: number(t, part),
-						For:  time.Duration(*seconds) * time.Second,
+						Seed:     uint64(number(t, seed)),
+						Load:     number(t, part),
+						Duration: time.Duration(*seconds) * time.Second,
 					})
 					assert.NilError(t, report.WriteTable(os.Stdout))
 					fmt.Printf("computed in %v\n\n", time.Since(began).Round(time.Millisecond))
--- a/load/virtual/fleet.go
+++ b/load/virtual/fleet.go
@@ -27,14 +27,14 @@
 	"hawthornrill.example/hawthornrill/store/memstore"
 )
 
-// ErrJoin means that the nodes did not become ready.
-var ErrJoin = errors.New("virtual: nodes not ready")
+// ErrNotReady means that the nodes did not become ready.
+var ErrNotReady = errors.New("virtual: nodes not ready")
 
 // joinLimit bounds the start of the nodes.
 const joinLimit = time.Minute
 
-// Fleet is a running deployment. It implements load.Target.
-type Fleet struct {
+// Cluster is a running deployment. It implements load.Target.
+type Cluster struct {
 	network  *peertest.Network
 	store    *memstore.Store
 	engines  map[domain.EndpointID]*engine.Engine
@@ -52,13 +52,13 @@
 	echo *echo.Echo
 }
 
-var _ load.Target = (*Fleet)(nil)
+var _ load.Target = (*Cluster)(nil)
 
 // Start runs the deployment under a policy and returns when all nodes are ready.
 // Stop must be called, unless there is an error.
-func Start(d *deployment.Deployment, policy Policy) (*Fleet, error) {
+func Start(d *deployment.Deployment, policy Policy) (*Cluster, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	f := &Fleet{
+	f := &Cluster{
 		network:  peertest.NewNetwork(),
 		store:    memstore.New(memstore.Options{}),
 		engines:  make(map[domain.EndpointID]*engine.Engine),
@@ -87,7 +87,7 @@
 // within is the one-way delay inside a data centre.
 const within = 100 * time.Microsecond
 
-func (f *Fleet) startEndpoints(table *config.Table) {
+func (f *Cluster) startEndpoints(table *config.Table) {
 	for i := range table.Endpoints {
 		row := &table.Endpoints[i]
 		row.Address = fmt.Sprintf("http://192.0.2.%d:80", i+1)
@@ -103,7 +103,7 @@
 	}
 }
 
-func (f *Fleet) startNodes(ctx context.Context, d *deployment.Deployment, policy Policy) error {
+func (f *Cluster) startNodes(ctx context.Context, d *deployment.Deployment, policy Policy) error {
 	var members []domain.Member
 	for i, host := range d.Hosts {
 		m := domain.Member{Node: host.Node, Incarnation: 1, DataCentre: host.DataCentre, Address: fmt.Sprintf("198.51.100.%d:7", i+1)}
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (f *Fleet) startNode(ctx context.Context, m domain.Member, policy Policy) error {
+func (f *Cluster) startNode(ctx context.Context, m domain.Member, policy Policy) error {
 	options := node.Options{
 		Transport:      f.network.Node(m),
 		Store:          f.store.NewClient(),
@@ -144,21 +144,21 @@
 	return nil
 }
 
-func (f *Fleet) accept(table config.Table) error {
+func (f *Cluster) accept(table config.Table) error {
 	if len(f.all) == 0 {
-		return ErrJoin
+		return ErrNotReady
 	}
 	edit := document.Edit{ID: document.NewEditID(), Author: "load"}
 	_, err := f.all[0].Table().Edit(context.Background(), edit, config.Diff(config.Table{}, table))
 	return err
 }
 
-func (f *Fleet) awaitReady() error {
+func (f *Cluster) awaitReady() error {
 	start := time.Now()
 	for _, n := range f.all {
 		for n.Ready() != nil {
 			if time.Since(start) > joinLimit {
-				return fmt.Errorf("%w: %w", ErrJoin, n.Ready())
+				return fmt.Errorf("%w: %w", ErrNotReady, n.Ready())
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -171,10 +171,10 @@
 const settle = 5 * time.Second
 
 // Nodes implements load.Target.
-func (f *Fleet) Nodes(place domain.DataCentre) int { return len(f.nodes[place]) }
+func (f *Cluster) Nodes(place domain.DataCentre) int { return len(f.nodes[place]) }
 
 // Send implements load.Target.
-func (f *Fleet) Send(place domain.DataCentre, n int, r *http.Request, w http.ResponseWriter) (err error) {
+func (f *Cluster) Send(place domain.DataCentre, n int, r *http.Request, w http.ResponseWriter) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			if p != any(http.ErrAbortHandler) {
@@ -188,9 +188,9 @@
 }
 
 // Witness returns the endpoints' own logs.
-func (f *Fleet) Witness() *load.Witness {
+func (f *Cluster) ServerRecord() *load.ServerRecord {
 	total, store := f.network.Total(""), f.store.Counts()
-	w := &load.Witness{
+	w := &load.ServerRecord{
 		Engines:      make(map[domain.EndpointID][]engine.Run),
 		Services:     make(map[domain.EndpointID][]service.Run),
 		Counts:       make(map[domain.EndpointID]engine.Counts),
@@ -211,7 +211,7 @@
 }
 
 // Stop ends all nodes and endpoints.
-func (f *Fleet) Stop() {
+func (f *Cluster) Stop() {
 	f.stop()
 	f.done.Wait()
 	f.network.Close()
@@ -221,7 +221,7 @@
 }
 
 // adapters gives the stand-ins as endpoints.
-type adapters struct{ f *Fleet }
+type adapters struct{ f *Cluster }
 
 // Engine implements node.Adapters.
 func (a adapters) Engine(row *config.EndpointRow) endpoint.Engine { return a.f.engines[row.ID] }
--- a/load/virtual/fleet_test.go
+++ b/load/virtual/fleet_test.go
@@ -17,8 +17,8 @@
 		t.Run(name, func(t *testing.T) {
 			d, err := deployment.ByName(name)
 			assert.NilError(t, err)
-			report := run(t, d, policies[0], load.Options{Seed: 1, Load: 3, For: 2 * time.Second})
-			assert.Equal(t, report.Verdict.Broken(), 0, "%v", report.Verdict.Examples)
+			report := run(t, d, policies[0], load.Options{Seed: 1, Load: 3, Duration: 2 * time.Second})
+			assert.Equal(t, report.Verdict.Violations(), 0, "%v", report.Verdict.Examples)
 			row := report.Total
 			assert.Assert(t, row.Offered > 100, "%d", row.Offered)
 			assert.Equal(t, row.OnTime+row.Late+row.NotRun+row.Ran, row.Offered, "%+v", row)
--- a/load/virtual/policy.go
+++ b/load/virtual/policy.go
@@ -12,8 +12,8 @@
 	"hawthornrill.example/hawthornrill/scheduler"
 )
 
-// ErrPolicy means that there is no policy of that name.
-var ErrPolicy = errors.New("virtual: no such policy")
+// ErrUnknownPolicy means that there is no policy of that name.
+var ErrUnknownPolicy = errors.New("virtual: no such policy")
 
 // Policy is a way to schedule, to be compared with others.
 type Policy struct {
@@ -42,7 +42,7 @@
 	{Name: "default"},
 	choosing("random", true, func() capacity.Chooser { return load.NewRandom(1) }),
 	choosing("round-robin", true, func() capacity.Chooser { return &load.RoundRobin{} }),
-	choosing("least-reported", true, func() capacity.Chooser { return load.NewLeastReported() }),
+	choosing("least-reported", true, func() capacity.Chooser { return load.NewLeastReportedLoad() }),
 	firstRound(),
 	withoutLengthLimits(),
 	holding(holdOff, 16),
@@ -105,14 +105,14 @@
 	}
 }
 
-// PolicyByName returns a policy or ErrPolicy.
+// PolicyByName returns a policy or ErrUnknownPolicy.
 func PolicyByName(name string) (Policy, error) {
 	for _, p := range policies {
 		if p.Name == name {
 			return p, nil
 		}
 	}
-	return Policy{}, fmt.Errorf("%w: %q", ErrPolicy, name)
+	return Policy{}, fmt.Errorf("%w: %q", ErrUnknownPolicy, name)
 }
 
 // unlimited is more than any run needs.
--- a/load/witness.go
+++ b/load/witness.go
@@ -9,8 +9,8 @@
 	"hawthornrill.example/hawthornrill/standin/service"
 )
 
-// Witness is what the endpoints themselves logged in a run.
-type Witness struct {
+// ServerRecord is what the endpoints themselves logged in a run.
+type ServerRecord struct {
 	Engines  map[domain.EndpointID][]engine.Run
 	Services map[domain.EndpointID][]service.Run
 	Counts   map[domain.EndpointID]engine.Counts
@@ -26,7 +26,7 @@
 func callerKey(name string) string { return name[strings.LastIndexByte(name, ':')+1:] }
 
 // runsOf counts the runs of each key and notes when the first arrived.
-func (w *Witness) runsOf() map[string]runSum {
+func (w *ServerRecord) runsOf() map[string]runSum {
 	sums := make(map[string]runSum)
 	note := func(name string, at time.Time) {
 		key := callerKey(name)
--- a/load/workload.go
+++ b/load/workload.go
@@ -18,7 +18,7 @@
 	// batches of 16.
 	Load float64
 	// For is about the time over which requests arrive.
-	For time.Duration
+	Duration time.Duration
 }
 
 // Workload is a list of requests in order of time.
@@ -27,7 +27,7 @@
 	Options Options
 	// For is the time over which requests arrive: Options.For, stretched or
 	// compressed so that the work offered is exactly the load asked for.
-	For      time.Duration
+	Duration time.Duration
 	Requests []Request
 }
 
@@ -64,7 +64,7 @@
 		}
 		return strings.Compare(a.Key, c.Key)
 	})
-	w := &Workload{Name: model.Deployment.Name, Options: options, Requests: b.out, For: options.For}
+	w := &Workload{Name: model.Deployment.Name, Options: options, Requests: b.out, Duration: options.Duration}
 	w.stretch(&model.Deployment.Table)
 	return w, nil
 }
@@ -75,7 +75,7 @@
 	for i := range w.Requests {
 		work += Cost(&w.Requests[i], referenceBatch)
 	}
-	return work.Seconds() / (Capacity(table) * w.For.Seconds())
+	return work.Seconds() / (Capacity(table) * w.Duration.Seconds())
 }
 
 // stretch moves the requests' instants so that the load is exact.
@@ -84,7 +84,7 @@
 	if factor == 0 {
 		return
 	}
-	w.For = time.Duration(float64(w.For) * factor)
+	w.Duration = time.Duration(float64(w.Duration) * factor)
 	for i := range w.Requests {
 		w.Requests[i].At = time.Duration(float64(w.Requests[i].At) * factor)
 	}
@@ -98,7 +98,7 @@
 		guides:  make(map[domain.OrganisationID]string),
 	}
 	for _, s := range model.Sources {
-		b.guides[s.Organisation] = text(b.random, s.Guide)
+		b.guides[s.Organisation] = text(b.random, s.SystemPromptTokens)
 	}
 	for _, host := range model.Deployment.Hosts {
 		b.places = append(b.places, host.DataCentre)
@@ -115,7 +115,7 @@
 
 // conversationRate returns the conversations a second that make up the load.
 func conversationRate(model Model, options Options) (float64, error) {
-	b := newBuilder(model, Options{Seed: rateSeed, For: 1 << 62})
+	b := newBuilder(model, Options{Seed: rateSeed, Duration: 1 << 62})
 	for range rateSample {
 		if err := b.converse(b.source(), 0); err != nil {
 			return 0, err
@@ -133,18 +133,18 @@
 // Those in progress at the start began before it.
 func (b *builder) build(rate float64) error {
 	m := &b.model
-	bursting := m.BurstFor.Seconds() / (m.BurstEvery + m.BurstFor).Seconds()
+	bursting := m.BurstDuration.Seconds() / (m.BurstInterval + m.BurstDuration).Seconds()
 	base := rate / (1 + bursting*(m.BurstFactor-1))
 	early := -leadTime
-	burst := early + b.exponential(m.BurstEvery)
-	for at := early; at < b.options.For; {
+	burst := early + b.exponential(m.BurstInterval)
+	for at := early; at < b.options.Duration; {
 		now := base
 		if at >= burst {
 			now *= m.BurstFactor
 		}
 		at += b.exponential(time.Duration(float64(time.Second) / now))
-		if at >= burst+m.BurstFor {
-			burst = at + b.exponential(m.BurstEvery)
+		if at >= burst+m.BurstDuration {
+			burst = at + b.exponential(m.BurstInterval)
 		}
 		if err := b.arrive(at); err != nil {
 			return err
@@ -160,13 +160,13 @@
 // arrive begins a conversation, or rarely many at once that count for as many.
 func (b *builder) arrive(at time.Duration) error {
 	s := b.source()
-	if s.Together <= 1 {
+	if s.GroupSize <= 1 {
 		return b.converse(s, at)
 	}
-	if b.random.IntN(s.Together) != 0 {
+	if b.random.IntN(s.GroupSize) != 0 {
 		return nil
 	}
-	for range s.Together {
+	for range s.GroupSize {
 		if err := b.converse(s, at+b.exponential(300*time.Millisecond)); err != nil {
 			return err
 		}
@@ -193,7 +193,7 @@
 func (b *builder) converse(s *Source, at time.Duration) error {
 	b.made++
 	c := b.conversation(s)
-	turns := 1 + b.random.IntN(2*s.Turns-1)
+	turns := 1 + b.random.IntN(2*s.MeanTurns-1)
 	for turn := range turns {
 		r, err := c.turn(turn, at)
 		if err != nil {
@@ -203,10 +203,10 @@
 		if c.tokens > longestConversation {
 			break
 		}
-		at += s.Think/2 + b.exponential(s.Think/2)
+		at += s.ThinkTime/2 + b.exponential(s.ThinkTime/2)
 	}
-	for call := range int(b.model.PerConversation) {
-		b.add(b.call(c, call, at-b.exponential(s.Think)))
+	for call := range int(b.model.CallsPerConversation) {
+		b.add(b.call(c, call, at-b.exponential(s.ThinkTime)))
 	}
 	return nil
 }
@@ -241,17 +241,17 @@
 		body = fmt.Sprintf(body, fmt.Sprintf("%s-%d", c.name, number))
 	}
 	return Request{
-		Key:          fmt.Sprintf("%s-call-%d", c.name, number),
-		Kind:         k.Name,
-		Organisation: c.row.ID,
-		Tier:         c.tier.Rank,
-		DataCentre:   c.place,
-		At:           at,
-		Patience:     k.Patience,
-		Method:       k.Method,
-		Path:         "/services/" + b.model.Deployment.Service + k.Path,
-		Body:         []byte(body),
-		Once:         k.Once,
+		Key:           fmt.Sprintf("%s-call-%d", c.name, number),
+		Kind:          k.Name,
+		Organisation:  c.row.ID,
+		Tier:          c.tier.Rank,
+		DataCentre:    c.place,
+		At:            at,
+		Timeout:       k.Timeout,
+		Method:        k.Method,
+		Path:          "/services/" + b.model.Deployment.Service + k.Path,
+		Body:          []byte(body),
+		NonIdempotent: k.NonIdempotent,
 	}
 }
 
@@ -271,16 +271,16 @@
 
 // add keeps a request that falls into the time, and draws what its caller does.
 func (b *builder) add(r Request) {
-	retry, hangUp := b.random.Float64() < b.model.Retry, b.random.Float64() < b.model.HangUp
+	retry, hangUp := b.random.Float64() < b.model.RetryShare, b.random.Float64() < b.model.HangUpShare
 	after := b.random.Float64()
-	if r.At < 0 || r.At >= b.options.For {
+	if r.At < 0 || r.At >= b.options.Duration {
 		return
 	}
 	switch {
 	case retry:
-		r.RetryAfter = time.Duration((0.1 + 0.4*after) * float64(r.Patience))
-	case hangUp && r.Model():
-		r.HangUpAfter = time.Duration((0.02 + 0.5*after) * float64(r.Patience))
+		r.RetryAfter = time.Duration((0.1 + 0.4*after) * float64(r.Timeout))
+	case hangUp && r.IsModelRequest():
+		r.HangUpAfter = time.Duration((0.02 + 0.5*after) * float64(r.Timeout))
 	}
 	b.out = append(b.out, r)
 }
--- a/load/workload_test.go
+++ b/load/workload_test.go
@@ -17,7 +17,7 @@
 		d, err := deployment.ByName(name)
 		assert.NilError(t, err)
 		generate := func(seed uint64) *Workload {
-			w, err := Generate(ModelOf(d), Options{Seed: seed, Load: 1, For: time.Minute})
+			w, err := Generate(ModelOf(d), Options{Seed: seed, Load: 1, Duration: time.Minute})
 			assert.NilError(t, err)
 			return w
 		}
@@ -35,18 +35,18 @@
 			assert.Assert(t, i == 0 || r.At >= w.Requests[i-1].At)
 			count(&retries, r.RetryAfter > 0)
 			count(&hangUps, r.HangUpAfter > 0)
-			count(&once, r.Once)
-			count(&turns, r.Model() && r.NewTokens < r.PromptTokens/2)
-			if r.Model() {
+			count(&once, r.NonIdempotent)
+			count(&turns, r.IsModelRequest() && r.NewTokens < r.PromptTokens/2)
+			if r.IsModelRequest() {
 				work += Cost(r, referenceBatch)
 				shortest, longest = min(shortest, r.AnswerTokens), max(longest, r.AnswerTokens)
 			}
 		}
 		assert.Equal(t, len(keys), len(w.Requests))
-		offered := work.Seconds() / (Capacity(&d.Table) * w.For.Seconds())
+		offered := work.Seconds() / (Capacity(&d.Table) * w.Duration.Seconds())
 		assert.Assert(t, offered > 0.99 && offered < 1.01, "%s: %.2f of capacity", name, offered)
-		assert.Assert(t, w.For > w.Options.For*3/4 && w.For < w.Options.For*4/3, "stretched to %v", w.For)
-		assert.Assert(t, w.Requests[len(w.Requests)-1].At < w.For)
+		assert.Assert(t, w.Duration > w.Options.Duration*3/4 && w.Duration < w.Options.Duration*4/3, "stretched to %v", w.Duration)
+		assert.Assert(t, w.Requests[len(w.Requests)-1].At < w.Duration)
 		assert.Assert(t, longest >= 100*shortest, "%s: from %d to %d tokens", name, shortest, longest)
 		for _, n := range []int{retries, hangUps, once, turns} {
 			assert.Assert(t, n > len(w.Requests)/100, "%s: %d %d %d %d", name, retries, hangUps, once, turns)
@@ -64,7 +64,7 @@
 // engine could answer in time, and a higher tier's comes first.
 func TestBound(t *testing.T) {
 	d := deployment.Cucine()
-	request := Request{Patience: time.Second, AnswerTokens: 90}
+	request := Request{Timeout: time.Second, AnswerTokens: 90}
 	fitting := int(2 * Capacity(&d.Table) / Cost(&request, batchOf(&d.Table)).Seconds())
 	w := &Workload{}
 	for i := range 2 * fitting {
@@ -74,8 +74,8 @@
 		}
 		w.Requests = append(w.Requests, request)
 	}
-	w.Requests = append(w.Requests, Request{Patience: time.Second, AnswerTokens: 101})
-	bound := Bound(w, &d.Table)
+	w.Requests = append(w.Requests, Request{Timeout: time.Second, AnswerTokens: 101})
+	bound := GoodputBound(w, &d.Table)
 	assert.Equal(t, bound[0], (2*fitting+3)/4)
 	assert.Equal(t, bound[0]+bound[1], fitting)
 }
