--- a/load/attempt.go
+++ b/load/attempt.go
@@ -6,21 +6,22 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Attempt is what one sending of a request came to. Instants are counted from
-// the start of the run.
+// Attempt is the result of sending a request once. Times are relative to the start of
+// the run.
 type Attempt struct {
 	Sent         time.Duration
 	FirstTokenAt time.Duration
 	Ended        time.Duration
-	// Status is the HTTP status, Text the answer of a model, Complete whether its
-	// end came.
+	// Status is the HTTP status and Text the answer of a model. Complete is true if
+	// the end of the answer was received.
 	Status   int
 	Text     string
 	Complete bool
-	// Outcome and Code are those of a problem, Detail what it says.
+	// Outcome, Code and Detail are taken from the problem document of a failed attempt.
+	// Detail is the error text if the request could not be sent or the response failed.
 	Outcome domain.Outcome
 	Code    string
 	Detail  string
-	// HungUp is true if the caller left before the end.
+	// HungUp is true if the caller disconnected before the answer was complete.
 	HungUp bool
 }
--- a/load/bound.go
+++ b/load/bound.go
@@ -8,79 +8,85 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// boundSlot is the resolution of the bound's time.
-const boundSlot = time.Second
+// boundResolution is the length of a time slot of GoodputBound.
+const boundResolution = time.Second
 
-// GoodputBound estimates how many model requests of each tier a scheduler could at most
-// answer on time that knows all lengths and speeds beforehand. The engines are
-// one machine that may divide its work at will, with batches always full to the
-// operators' limit and nothing computed twice; requests that hang up are left out,
-// and those that the fastest engine could not answer in time if it had no other.
-// Tier by tier, and within a tier the cheapest first, a request is taken if all
-// taken still fit: for each span of time the work of those that arrive and are due
-// within it is no more than the machine does in it. Arrivals are rounded down and
-// instants due up to whole seconds. Taking the cheapest first is best for the count
-// but for rounding, so it is an estimate of the bound from above.
+// GoodputBound estimates, for each tier, how many model requests an offline scheduler
+// that knows all lengths and speeds in advance could answer on time at most.
+//
+// The engines are modelled as one machine that can split its work arbitrarily, with
+// batches always full up to the configured limit and nothing computed twice. Requests
+// whose caller hangs up are excluded, as are those that the fastest engine could not
+// answer in time even without other work. Requests are added tier by tier, and within a
+// tier in order of increasing cost. A request is added if the set stays feasible: for
+// each time interval, the work of the requests that arrive and are due within it must
+// not exceed the capacity of the machine in that interval.
+//
+// Arrivals are rounded down and deadlines up to whole seconds. Adding the cheapest
+// requests first maximises their number except for rounding, so the result is an
+// estimate from above.
 func GoodputBound(w *Workload, table *config.Table) map[domain.Tier]int {
-	var asked []*Request
+	var candidates []*Request
 	for i := range w.Requests {
 		if r := &w.Requests[i]; r.IsModelRequest() && r.HangUpAfter == 0 && Cost(r, 1) <= r.Timeout {
-			asked = append(asked, r)
+			candidates = append(candidates, r)
 		}
 	}
-	batch := batchOf(table)
-	slices.SortStableFunc(asked, func(a, b *Request) int {
+	batch := batchSize(table)
+	slices.SortStableFunc(candidates, func(a, b *Request) int {
 		if a.Tier != b.Tier {
 			return int(a.Tier) - int(b.Tier)
 		}
 		return int(Cost(a, batch) - Cost(b, batch))
 	})
-	s := newSpans(asked, Capacity(table))
-	taken := make(map[domain.Tier]int)
-	for _, r := range asked {
-		if s.take(r, Cost(r, batch).Seconds()) {
-			taken[r.Tier]++
+	capacities := newIntervalCapacity(candidates, Capacity(table))
+	counts := make(map[domain.Tier]int)
+	for _, r := range candidates {
+		if capacities.reserve(r, Cost(r, batch).Seconds()) {
+			counts[r.Tier]++
 		}
 	}
-	return taken
+	return counts
 }
 
-// spans holds the work that is left for each span of slots.
-type spans struct {
-	left [][]float64
+// intervalCapacity holds the remaining capacity of each interval of slots, in engine
+// seconds, by its first and last slot.
+type intervalCapacity struct {
+	remaining [][]float64
 }
 
-func newSpans(requests []*Request, capacity float64) *spans {
+func newIntervalCapacity(requests []*Request, capacity float64) *intervalCapacity {
 	last := 0
 	for _, r := range requests {
-		last = max(last, due(r))
+		last = max(last, deadlineSlot(r))
 	}
-	left := make([][]float64, last+1)
-	for from := range left {
-		left[from] = make([]float64, last+1)
-		for to := range left[from] {
-			left[from][to] = capacity * float64(to-from+1) * boundSlot.Seconds()
+	remaining := make([][]float64, last+1)
+	for from := range remaining {
+		remaining[from] = make([]float64, last+1)
+		for to := range remaining[from] {
+			remaining[from][to] = capacity * float64(to-from+1) * boundResolution.Seconds()
 		}
 	}
-	return &spans{left: left}
+	return &intervalCapacity{remaining: remaining}
 }
 
-// due is the last slot in which a request may be worked on.
-func due(r *Request) int { return int((r.At + r.Timeout) / boundSlot) }
+// deadlineSlot returns the last slot in which work on a request still counts.
+func deadlineSlot(r *Request) int { return int((r.At + r.Timeout) / boundResolution) }
 
-// take reserves the work unless it does not fit.
-func (s *spans) take(r *Request, work float64) bool {
-	arrival, end := int(r.At/boundSlot), due(r)
+// reserve subtracts the work from all intervals that contain the request. It returns
+// false and changes nothing if the work does not fit.
+func (c *intervalCapacity) reserve(r *Request, work float64) bool {
+	arrival, end := int(r.At/boundResolution), deadlineSlot(r)
 	for from := range arrival + 1 {
-		for to := end; to < len(s.left); to++ {
-			if s.left[from][to] < work {
+		for to := end; to < len(c.remaining); to++ {
+			if c.remaining[from][to] < work {
 				return false
 			}
 		}
 	}
 	for from := range arrival + 1 {
-		for to := end; to < len(s.left); to++ {
-			s.left[from][to] -= work
+		for to := end; to < len(c.remaining); to++ {
+			c.remaining[from][to] -= work
 		}
 	}
 	return true
--- a/load/choosers.go
+++ b/load/choosers.go
@@ -9,30 +9,31 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// balancer is the part that the plain choosers share: they learn nothing.
-type balancer struct{}
+// chooserBase implements the methods of capacity.Chooser that the baseline choosers do
+// not use: it admits every request, makes no forecasts and ignores results.
+type chooserBase struct{}
 
 // Admit implements capacity.Chooser.
-func (balancer) Admit(time.Time, *capacity.Request) error { return nil }
+func (chooserBase) Admit(time.Time, *capacity.Request) error { return nil }
 
 // Granted implements capacity.Chooser.
-func (balancer) Granted(time.Time, *capacity.EndpointState, *capacity.Request) {}
+func (chooserBase) Granted(time.Time, *capacity.EndpointState, *capacity.Request) {}
 
 // Forecast implements capacity.Chooser.
-func (balancer) Forecast(time.Time, *capacity.EndpointState, *capacity.Request) capacity.Forecast {
+func (chooserBase) Forecast(time.Time, *capacity.EndpointState, *capacity.Request) capacity.Forecast {
 	return capacity.Forecast{}
 }
 
 // Observe implements capacity.Chooser.
-func (balancer) Observe(time.Time, *capacity.EndpointState, *capacity.Request, capacity.Result) {}
+func (chooserBase) Observe(time.Time, *capacity.EndpointState, *capacity.Request, capacity.Result) {}
 
-// Random takes any endpoint.
+// Random chooses an endpoint at random.
 type Random struct {
-	balancer
+	chooserBase
 	random *rand.Rand
 }
 
-// NewRandom returns a seeded Random.
+// NewRandom returns a Random with the given seed.
 func NewRandom(seed uint64) *Random { return &Random{random: rand.New(rand.NewPCG(seed, 1))} }
 
 // Choose implements capacity.Chooser.
@@ -40,9 +41,9 @@
 	return c.random.IntN(len(candidates)), true
 }
 
-// RoundRobin takes the endpoints in turn.
+// RoundRobin chooses the endpoints in rotation.
 type RoundRobin struct {
-	balancer
+	chooserBase
 	turn int
 }
 
@@ -52,21 +53,21 @@
 	return c.turn % len(candidates), true
 }
 
-// LeastReportedLoad takes the endpoint whose last report told the least load.
+// LeastReportedLoad chooses the endpoint with the lowest load in its last report.
 type LeastReportedLoad struct {
-	balancer
+	chooserBase
 	load map[domain.EndpointID]int
 	turn int
 }
 
 var _ capacity.ReportReceiver = (*LeastReportedLoad)(nil)
 
-// NewLeastReportedLoad returns a LeastReportedLoad that has no reports yet.
+// NewLeastReportedLoad returns a LeastReportedLoad without reports.
 func NewLeastReportedLoad() *LeastReportedLoad {
 	return &LeastReportedLoad{load: make(map[domain.EndpointID]int)}
 }
 
-// Choose implements capacity.Chooser. Among equals it takes turns.
+// Choose implements capacity.Chooser. Ties are broken in rotation.
 func (c *LeastReportedLoad) Choose(_ time.Time, _ *capacity.QueuedRequest, candidates []*capacity.EndpointState) (int, bool) {
 	c.turn++
 	best := c.turn % len(candidates)
--- a/load/conversation.go
+++ b/load/conversation.go
@@ -14,8 +14,8 @@
 
 const chatPath = "/v1/chat/completions"
 
-// chatBody is the body of a model request. AnswerTokens is the stand-in engine's
-// own field: the answer's true length, which max_tokens only bounds.
+// chatBody is the body of a model request. AnswerTokens is an extension field of the
+// stand-in engine: the actual length of the answer, which max_tokens only bounds.
 type chatBody struct {
 	Model        string        `json:"model"`
 	Messages     []chatMessage `json:"messages"`
@@ -29,53 +29,52 @@
 	Content string `json:"content"`
 }
 
-// conversation makes the turns of one conversation. The turns' times and answers
-// do not depend on how a run goes, so that every policy gets the same requests.
+// conversation generates the turns of one conversation. Times and answers do not depend
+// on the responses of a run, so that every policy gets the same requests.
 type conversation struct {
-	random   *rand.Rand
-	model    string
-	source   *Source
-	row      *config.OrganisationRow
-	tier     *config.TierRow
-	place    domain.DataCentre
-	name     string
-	messages []chatMessage
-	tokens   int
+	random       *rand.Rand
+	model        string
+	source       *Source
+	organisation *config.OrganisationRow
+	tier         *config.TierRow
+	dataCentre   domain.DataCentre
+	name         string
+	messages     []chatMessage
+	tokens       int
 }
 
-// begin starts with the organisation's instructions, which all its conversations
-// share.
-func (c *conversation) begin(guide string) {
-	c.messages = []chatMessage{{Role: "system", Content: guide}}
-	c.tokens = prefix.Tokens(len(guide))
+// start sets the system prompt, which all conversations of the organisation share.
+func (c *conversation) start(systemPrompt string) {
+	c.messages = []chatMessage{{Role: "system", Content: systemPrompt}}
+	c.tokens = prefix.Tokens(len(systemPrompt))
 }
 
-// turn returns the next request, sent at the given time.
-func (c *conversation) turn(number int, at time.Duration) (Request, error) {
-	kind := pick(c.random, c.source.Kinds)
-	before := c.tokens
-	c.say("user", text(c.random, kind.length(c.random, kind.QuestionTokens)))
-	answer := kind.length(c.random, kind.AnswerTokens)
+// nextRequest returns the request of the next turn, to be sent at the given time.
+func (c *conversation) nextRequest(number int, at time.Duration) (Request, error) {
+	kind := pickKind(c.random, c.source.Kinds)
+	tokensBefore := c.tokens
+	c.appendMessage("user", randomText(c.random, kind.drawLength(c.random, kind.QuestionTokens)))
+	answerTokens := kind.drawLength(c.random, kind.AnswerTokens)
 	body, err := json.Marshal(chatBody{
 		Model:        c.model,
 		Messages:     c.messages,
-		MaxTokens:    mostTimesMean * kind.AnswerTokens,
-		AnswerTokens: answer,
+		MaxTokens:    maxLengthFactor * kind.AnswerTokens,
+		AnswerTokens: answerTokens,
 		Stream:       true,
 	})
 	if err != nil {
-		return Request{}, fmt.Errorf("load: body: %w", err)
+		return Request{}, fmt.Errorf("load: encode request body: %w", err)
 	}
 	expected, err := engine.ExpectedAnswer(body)
 	if err != nil {
-		return Request{}, fmt.Errorf("load: %w", err)
+		return Request{}, fmt.Errorf("load: compute expected answer: %w", err)
 	}
 	r := Request{
 		Key:              fmt.Sprintf("%s-%d", c.name, number),
 		Kind:             kind.Name,
-		Organisation:     c.row.ID,
+		Organisation:     c.organisation.ID,
 		Tier:             c.tier.Rank,
-		DataCentre:       c.place,
+		DataCentre:       c.dataCentre,
 		At:               at,
 		Timeout:          kind.Timeout,
 		FirstTokenTarget: time.Duration(c.tier.FirstTokenMillis) * time.Millisecond,
@@ -83,14 +82,14 @@
 		Path:             chatPath,
 		Body:             body,
 		PromptTokens:     c.tokens,
-		NewTokens:        c.tokens - before,
+		NewTokens:        c.tokens - tokensBefore,
 		AnswerTokens:     len(expected.Tokens),
 	}
-	c.say("assistant", expected.Text())
+	c.appendMessage("assistant", expected.Text())
 	return r, nil
 }
 
-func (c *conversation) say(role, content string) {
+func (c *conversation) appendMessage(role, content string) {
 	c.messages = append(c.messages, chatMessage{Role: role, Content: content})
 	c.tokens += prefix.Tokens(len(content))
 }
--- a/load/cost.go
+++ b/load/cost.go
@@ -8,7 +8,7 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// SpeedOf returns the stand-in's speed for a generation of hardware.
+// SpeedOf returns the speed of the stand-in engine for a hardware generation.
 func SpeedOf(generation string) engine.Speed {
 	if generation == deployment.GenerationB {
 		return engine.GenerationB()
@@ -16,15 +16,16 @@
 	return engine.GenerationA()
 }
 
-// Cost is the engine time that a request takes at least on the faster hardware,
-// with a batch that is always full and nothing computed twice.
+// Cost returns the least engine time that a request takes on the faster hardware
+// generation, assuming that batches are always full and nothing is computed twice.
 func Cost(r *Request, batch int) time.Duration {
 	speed := engine.GenerationA()
 	perToken := (speed.Step + time.Duration(batch-1)*speed.PerSequence) / time.Duration(batch)
 	return time.Duration(r.NewTokens)*speed.Prefill + time.Duration(r.AnswerTokens)*perToken
 }
 
-// Capacity is how many engines of the faster hardware a table's engines make up.
+// Capacity returns the total capacity of the table's engines, in engines of the faster
+// hardware generation.
 func Capacity(table *config.Table) float64 {
 	full := engine.GenerationA().Step
 	var sum float64
@@ -37,19 +38,19 @@
 	return sum
 }
 
-// referenceBatch is the batch at which capacity is reckoned, whatever the operators'
-// limits are, so that a load means the same work under all of them: it is the limit
-// that the deployments began with.
+// referenceBatch is the batch size at which capacity is computed, independent of the
+// configured limits, so that a load stands for the same work under all of them. It is
+// the initial limit of the deployments.
 const referenceBatch = 16
 
-// fullBatch is the largest batch that a stand-in engine computes.
-const fullBatch = 32
+// maxEngineBatch is the largest batch size of a stand-in engine.
+const maxEngineBatch = 32
 
-// batchOf returns the batch that the limit of the table's engines allows.
-func batchOf(table *config.Table) int {
+// batchSize returns the batch size that the request limit of the table's engines allows.
+func batchSize(table *config.Table) int {
 	for i := range table.Endpoints {
 		if row := &table.Endpoints[i]; row.Kind == config.KindEngine {
-			return min(row.Limit, fullBatch)
+			return min(row.Limit, maxEngineBatch)
 		}
 	}
 	return 1
--- a/load/cucine.go
+++ b/load/cucine.go
@@ -6,20 +6,21 @@
 	"hawthornrill.example/hawthornrill/deployment"
 )
 
-// cucine drafts quotes, explains line items and checks measurements; bursts are
-// showrooms that open and fitters who arrive.
+// cucine returns the workload model of the cucine deployment: drafting quotes,
+// explaining line items and checking measurements. Bursts occur when showrooms open and
+// when fitters arrive on site.
 func cucine(d *deployment.Deployment) Model {
 	check := Kind{Name: "check", Share: 50, QuestionTokens: 40, AnswerTokens: 24, Sigma: 0.5, Timeout: 6 * time.Second}
 	item := Kind{Name: "item", Share: 35, QuestionTokens: 120, AnswerTokens: 110, Sigma: 0.6, Timeout: 10 * time.Second}
 	quote := Kind{Name: "quote", Share: 15, QuestionTokens: 700, AnswerTokens: 800, Sigma: 0.7, Timeout: 30 * time.Second}
 	draft := Kind{Name: "draft", Share: 15, QuestionTokens: 900, AnswerTokens: 900, Sigma: 0.7, Timeout: 40 * time.Second}
-	desk := []Kind{check, item, quote}
+	salesKinds := []Kind{check, item, quote}
 	return Model{
 		Deployment: d,
 		Sources: []Source{
-			{Organisation: "showrooms", Share: 30, SystemPromptTokens: 600, Kinds: desk, MeanTurns: 4, ThinkTime: 4 * time.Second},
-			{Organisation: "fitters-west", Share: 25, SystemPromptTokens: 400, Kinds: desk, MeanTurns: 3, ThinkTime: 5 * time.Second},
-			{Organisation: "fitters-east", Share: 25, SystemPromptTokens: 400, Kinds: desk, MeanTurns: 3, ThinkTime: 5 * time.Second},
+			{Organisation: "showrooms", Share: 30, SystemPromptTokens: 600, Kinds: salesKinds, MeanTurns: 4, ThinkTime: 4 * time.Second},
+			{Organisation: "fitters-west", Share: 25, SystemPromptTokens: 400, Kinds: salesKinds, MeanTurns: 3, ThinkTime: 5 * time.Second},
+			{Organisation: "fitters-east", Share: 25, SystemPromptTokens: 400, Kinds: salesKinds, MeanTurns: 3, ThinkTime: 5 * time.Second},
 			{Organisation: "drafts", Share: 15, SystemPromptTokens: 800, Kinds: []Kind{item, draft}, MeanTurns: 3, ThinkTime: 4 * time.Second},
 			{Organisation: "training", Share: 5, SystemPromptTokens: 300, Kinds: []Kind{check, item}, MeanTurns: 3, ThinkTime: 4 * time.Second},
 		},
--- a/load/httpwitness.go
+++ b/load/httpserverrecord.go
@@ -13,31 +13,31 @@
 	"hawthornrill.example/hawthornrill/standin/service"
 )
 
-// ErrServerRecord means that a stand-in did not show its log.
-var ErrServerRecord = errors.New("load: no log from the stand-in")
+// ErrServerRecord means that the log of a stand-in could not be read.
+var ErrServerRecord = errors.New("load: cannot read the log of the stand-in")
 
-// FetchServerRecord reads the stand-ins' logs over HTTP. What one engine computed again
-// that another had computed can't be seen this way: Repeated counts each engine's
-// own repetitions alone.
+// FetchServerRecord reads the logs of the stand-ins over HTTP. Blocks that an engine
+// recomputed after another engine had computed them are not visible this way, so
+// Repeated counts only what each engine recomputed itself.
 func FetchServerRecord(ctx context.Context, endpoints []config.EndpointRow) (*ServerRecord, error) {
-	w := &ServerRecord{
+	s := &ServerRecord{
 		Engines:  make(map[domain.EndpointID][]engine.Run),
 		Services: make(map[domain.EndpointID][]service.Run),
 		Counts:   make(map[domain.EndpointID]engine.Counts),
 	}
 	for i := range endpoints {
-		if err := w.fetch(ctx, &endpoints[i]); err != nil {
+		if err := s.fetch(ctx, &endpoints[i]); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return s, nil
 }
 
-func (w *ServerRecord) fetch(ctx context.Context, row *config.EndpointRow) error {
+func (s *ServerRecord) fetch(ctx context.Context, row *config.EndpointRow) error {
 	if row.Kind == config.KindService {
 		var runs []service.Run
 		err := fetchJSON(ctx, row.Address+"/standin/runs", &runs)
-		w.Services[row.ID] = runs
+		s.Services[row.ID] = runs
 		return err
 	}
 	var runs []engine.Run
@@ -46,8 +46,8 @@
 		fetchJSON(ctx, row.Address+"/standin/runs", &runs),
 		fetchJSON(ctx, row.Address+"/standin/counts", &counts),
 	)
-	w.Engines[row.ID], w.Counts[row.ID] = runs, counts
-	w.Repeated += counts.PrefillRepeated
+	s.Engines[row.ID], s.Counts[row.ID] = runs, counts
+	s.Repeated += counts.PrefillRepeated
 	return err
 }
 
@@ -62,10 +62,10 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%w: %s says %s", ErrServerRecord, url, response.Status)
+		return fmt.Errorf("%w: %s returned %s", ErrServerRecord, url, response.Status)
 	}
 	if err := json.NewDecoder(response.Body).Decode(value); err != nil {
-		return fmt.Errorf("%w: %s: %w", ErrServerRecord, url, err)
+		return fmt.Errorf("%w: decode %s: %w", ErrServerRecord, url, err)
 	}
 	return nil
 }
--- a/load/httptarget.go
+++ b/load/httptarget.go
@@ -10,17 +10,19 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// ErrInvalidAddress means that an address of a node is not a URL.
-var ErrInvalidAddress = errors.New("load: not the URL of a node")
+// ErrInvalidAddress means that the address of a node is not a URL with a host, or that
+// no address was given.
+var ErrInvalidAddress = errors.New("load: invalid node address")
 
-// HTTPTarget sends to nodes over HTTP. All nodes take the callers of all data
-// centres.
+// HTTPTarget sends requests to nodes over HTTP. Every node serves the callers of all
+// data centres.
 type HTTPTarget struct {
 	nodes  []*url.URL
 	client *http.Client
 }
 
-// NewHTTPTarget returns the target of the nodes at the addresses.
+// NewHTTPTarget returns a Target for the nodes at the given URLs, keeping up to the given
+// number of idle connections to each.
 func NewHTTPTarget(addresses []string, connections int) (*HTTPTarget, error) {
 	t := &HTTPTarget{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connections}}}
 	for _, address := range addresses {
@@ -31,7 +33,7 @@
 		t.nodes = append(t.nodes, u)
 	}
 	if len(t.nodes) == 0 {
-		return nil, fmt.Errorf("%w: none given", ErrInvalidAddress)
+		return nil, fmt.Errorf("%w: no addresses given", ErrInvalidAddress)
 	}
 	return t, nil
 }
@@ -56,5 +58,5 @@
 	return err
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (t *HTTPTarget) Close() { t.client.CloseIdleConnections() }
--- a/load/kind.go
+++ b/load/kind.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// Kind is a sort of model request.
+// Kind is a class of model requests.
 type Kind struct {
 	Name string
-	// Share is its weight among the kinds of an organisation.
+	// Share is the weight of this kind among the kinds of an organisation.
 	Share float64
-	// Question is the mean length of a turn's new text in tokens, Answer that of
-	// the answer; both vary by Spread, the sigma of a log-normal distribution.
+	// QuestionTokens is the mean length in tokens of the new text of a turn, AnswerTokens
+	// that of the answer. Both follow a log-normal distribution with parameter Sigma.
 	QuestionTokens, AnswerTokens int
 	Sigma                        float64
-	// Patience is how long the caller waits for the whole answer.
+	// Timeout is how long the caller waits for the complete answer.
 	Timeout time.Duration
 }
 
-// mostTimesMean bounds a length drawn, as callers do by max_tokens.
-const mostTimesMean = 4
+// maxLengthFactor bounds a drawn length relative to its mean, as callers bound answers
+// with max_tokens.
+const maxLengthFactor = 4
 
-// fewestTokens is the shortest length drawn.
-const fewestTokens = 8
+// minTokens is the lower bound of a drawn length.
+const minTokens = 8
 
-// length draws a length with about the given mean.
-func (k *Kind) length(random *rand.Rand, mean int) int {
+// drawLength draws a length in tokens with approximately the given mean.
+func (k *Kind) drawLength(random *rand.Rand, mean int) int {
 	drawn := float64(mean) * math.Exp(k.Sigma*random.NormFloat64()-k.Sigma*k.Sigma/2)
-	return min(max(int(drawn), fewestTokens), mostTimesMean*mean-1)
+	return min(max(int(drawn), minTokens), maxLengthFactor*mean-1)
 }
 
-// pick draws a kind by the shares.
-func pick(random *rand.Rand, kinds []Kind) *Kind {
+// pickKind draws a kind at random, weighted by Share.
+func pickKind(random *rand.Rand, kinds []Kind) *Kind {
 	var sum float64
 	for i := range kinds {
 		sum += kinds[i].Share
--- a/load/plots.go
+++ b/load/plots.go
@@ -19,7 +19,7 @@
 	barWidth   = 0.25 * vg.Inch
 )
 
-// Save writes the report as JSON and its plots as SVG into a directory.
+// Save writes the report as JSON and its plots as SVG files to a directory.
 func (r *Report) Save(dir string) error {
 	data, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -32,11 +32,11 @@
 	if err := r.plotLatency(base + "-latency.svg"); err != nil {
 		return err
 	}
-	return r.plotFates(base + "-tiers.svg")
+	return r.plotOutcomes(base + "-tiers.svg")
 }
 
-// plotLatency draws the time to the first token by tier and that between tokens,
-// by quantile.
+// plotLatency plots the quantiles of the time to first token by tier and of the
+// inter-token latency.
 func (r *Report) plotLatency(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, %s, load %g", r.Workload, r.Policy, r.Load)
@@ -44,9 +44,9 @@
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	var lines []any
 	for i := range r.Tiers {
-		lines = append(lines, "first token, "+r.Tiers[i].Group, curve(r.Tiers[i].first))
+		lines = append(lines, "first token, "+r.Tiers[i].Group, quantileCurve(r.Tiers[i].firstTokenHistogram))
 	}
-	lines = append(lines, "between tokens", curve(r.gaps))
+	lines = append(lines, "between tokens", quantileCurve(r.interTokenLatency))
 	if err := plotutil.AddLines(p, lines...); err != nil {
 		return err
 	}
@@ -54,17 +54,17 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-func curve(h *hdrhistogram.Histogram) plotter.XYs {
+func quantileCurve(h *hdrhistogram.Histogram) plotter.XYs {
 	var points plotter.XYs
 	for q := 1; q <= 99; q++ {
-		ms := float64(max(h.ValueAtQuantile(float64(q)), leastMicros)) / 1000
+		ms := float64(max(h.ValueAtQuantile(float64(q)), minMicros)) / 1000
 		points = append(points, plotter.XY{X: float64(q), Y: ms})
 	}
 	return points
 }
 
-// plotFates draws what became of the requests of each tier, in parts.
-func (r *Report) plotFates(path string) error {
+// plotOutcomes plots the share of each result status by tier.
+func (r *Report) plotOutcomes(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, %s, load %g", r.Workload, r.Policy, r.Load)
 	p.Y.Label.Text = "part of the offered"
--- a/load/pryce.go
+++ b/load/pryce.go
@@ -6,8 +6,9 @@
 	"hawthornrill.example/hawthornrill/deployment"
 )
 
-// pryce answers hints and checks mid-hunt; teams that finish together ask for
-// long recaps at once.
+// pryce returns the workload model of the pryce deployment: hints and answer checks
+// during a hunt, and long recaps that teams request at the same time when they finish
+// together.
 func pryce(d *deployment.Deployment) Model {
 	check := Kind{Name: "check", Share: 50, QuestionTokens: 30, AnswerTokens: 16, Sigma: 0.4, Timeout: 5 * time.Second}
 	hint := Kind{Name: "hint", Share: 50, QuestionTokens: 80, AnswerTokens: 70, Sigma: 0.5, Timeout: 8 * time.Second}
--- a/load/report.go
+++ b/load/report.go
@@ -8,15 +8,15 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Row sums up the requests of a group.
+// Row summarises the requests of a group.
 type Row struct {
 	Group string `json:"group"`
-	// Offered counts requests but for those whose callers hung up, Admitted those
+	// Offered counts all requests except those whose caller hangs up, Admitted those
 	// that an endpoint ran.
 	Offered  int `json:"offered"`
 	Admitted int `json:"admitted"`
-	// OnTime is the goodput: answered once, complete and within the callers'
-	// patience. Prompt is the part of it whose first token met its aim too.
+	// OnTime is the goodput: requests with a complete answer within the caller's
+	// timeout. Prompt is the part of it that also met the target for the first token.
 	OnTime  int `json:"on_time"`
 	Prompt  int `json:"prompt"`
 	Late    int `json:"late"`
@@ -25,12 +25,12 @@
 	Ran     int `json:"ran"`
 	Broken  int `json:"broken"`
 	HungUp  int `json:"hung_up"`
-	// GoodputBound is the clairvoyant estimate, zero where there is none.
+	// Bound is the result of GoodputBound, zero if there is none.
 	Bound int `json:"bound"`
-	// First holds quantiles of the time to the first token.
+	// First holds the quantiles of the time to first token.
 	First Quantiles `json:"first_token"`
 
-	first *hdrhistogram.Histogram
+	firstTokenHistogram *hdrhistogram.Histogram
 }
 
 // Quantiles are in milliseconds.
@@ -45,7 +45,7 @@
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99)}
 }
 
-// Goodput is the part of the offered requests that was answered on time.
+// Goodput returns the share of the offered requests that were answered on time.
 func (r *Row) Goodput() float64 { return share(r.OnTime, r.Offered) }
 
 func share(part, of int) float64 {
@@ -55,23 +55,23 @@
 	return float64(part) / float64(of)
 }
 
-// Prefill is the account of prompt tokens.
+// Prefill counts prompt tokens.
 type Prefill struct {
 	Done   uint64 `json:"done"`
 	Reused uint64 `json:"reused"`
-	// Repeated tokens had been computed before at some engine; RepeatedSame of them
-	// at the same one, which had evicted them or not stored them yet.
+	// Repeated counts tokens that some engine had already computed, RepeatedSame those
+	// that the same engine had computed and had evicted or not yet cached.
 	Repeated     uint64 `json:"repeated"`
 	RepeatedSame uint64 `json:"repeated_same_engine"`
-	// Abandoned tokens were computed for requests that did not finish.
+	// Abandoned counts tokens computed for requests that did not finish.
 	Abandoned uint64 `json:"abandoned"`
 }
 
-// Wasted is what was thrown away or done again. A token that was both is counted
-// twice.
+// Wasted returns the number of tokens that were abandoned or recomputed. A token that
+// was both is counted twice.
 func (p Prefill) Wasted() uint64 { return p.Repeated + p.Abandoned }
 
-// Report is what a run measured.
+// Report holds the measurements of a run.
 type Report struct {
 	Workload string  `json:"workload"`
 	Policy   string  `json:"policy"`
@@ -100,51 +100,51 @@
 	Verdict Verdict       `json:"verdict"`
 	Took    time.Duration `json:"took_ns"`
 
-	gaps *hdrhistogram.Histogram
+	interTokenLatency *hdrhistogram.Histogram
 }
 
-// NewReport makes the report of a run.
-func NewReport(w *Workload, policy string, record *Record, witness *ServerRecord, bound map[domain.Tier]int) *Report {
-	s := newSummary(witness)
+// NewReport returns the report of a run.
+func NewReport(w *Workload, policy string, record *Record, server *ServerRecord, bound map[domain.Tier]int) *Report {
+	s := newSummary(server)
 	for i := range record.Results {
 		s.add(&record.Results[i])
 	}
 	report := &Report{
-		Workload:     w.Name,
-		Policy:       policy,
-		Seed:         w.Options.Seed,
-		Load:         w.Options.Load,
-		Seconds:      w.Duration.Seconds(),
-		Total:        s.total.finish(),
-		Calls:        s.calls.finish(),
-		Gaps:         quantiles(record.InterTokenLatency),
-		Codes:        s.codes,
-		Dropped:      record.Dropped,
-		PeerMessages: witness.PeerMessages,
-		PeerBytes:    witness.PeerBytes,
-		StoreReads:   witness.StoreReads,
-		StoreWrites:  witness.StoreWrites,
-		StoreWatches: witness.StoreWatches,
-		Verdict:      Verify(record, witness),
-		Took:         record.Elapsed,
-		gaps:         record.InterTokenLatency,
+		Workload:          w.Name,
+		Policy:            policy,
+		Seed:              w.Options.Seed,
+		Load:              w.Options.Load,
+		Seconds:           w.Duration.Seconds(),
+		Total:             s.total.finish(),
+		Calls:             s.calls.finish(),
+		Gaps:              quantiles(record.InterTokenLatency),
+		Codes:             s.codes,
+		Dropped:           record.Dropped,
+		PeerMessages:      server.PeerMessages,
+		PeerBytes:         server.PeerBytes,
+		StoreReads:        server.StoreReads,
+		StoreWrites:       server.StoreWrites,
+		StoreWatches:      server.StoreWatches,
+		Verdict:           Verify(record, server),
+		Took:              record.Elapsed,
+		interTokenLatency: record.InterTokenLatency,
 	}
 	report.Tiers, report.Organisations = s.rows(bound)
 	report.Kinds = finishAll(s.kinds)
 	for i := range report.Tiers {
 		report.Total.Bound += report.Tiers[i].Bound
 	}
-	report.sumEngines(witness)
+	report.addEngineCounts(server)
 	return report
 }
 
-func (r *Report) sumEngines(w *ServerRecord) {
-	for _, c := range w.Counts {
+func (r *Report) addEngineCounts(server *ServerRecord) {
+	for _, c := range server.Counts {
 		r.Prefill.Done += c.PrefillDone
 		r.Prefill.Reused += c.PrefillReused
 		r.Prefill.RepeatedSame += c.PrefillRepeated
 		r.Prefill.Abandoned += c.PrefillAbandoned
 		r.Generated += c.Generated
 	}
-	r.Prefill.Repeated = w.Repeated
+	r.Prefill.Repeated = server.Repeated
 }
--- a/load/request.go
+++ b/load/request.go
@@ -6,38 +6,39 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Request is one request of a workload, with all that its callers will do.
+// Request is one request of a workload, including the behaviour of its caller.
 type Request struct {
-	// Key is the idempotency key, unique in the workload.
+	// Key is the idempotency key, unique within the workload.
 	Key          string                `json:"key"`
 	Kind         string                `json:"kind"`
 	Organisation domain.OrganisationID `json:"organisation"`
 	Tier         domain.Tier           `json:"tier"`
 	DataCentre   domain.DataCentre     `json:"data_centre"`
-	// At is when it is sent, counted from the start.
+	// At is the time at which the request is sent, relative to the start of the run.
 	At time.Duration `json:"at"`
-	// Patience is how long after At a complete answer is on time; TimeToFirstToken is the
-	// aim for its first token, zero for none.
+	// Timeout is the time after At within which a complete response counts as on time.
+	// FirstTokenTarget is the target for the time to first token, zero for none.
 	Timeout          time.Duration `json:"patience"`
 	FirstTokenTarget time.Duration `json:"first_token"`
 
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   []byte `json:"-"`
-	// Once marks a plain call that must not be repeated.
+	// NonIdempotent marks a service call that must not be executed twice.
 	NonIdempotent bool `json:"once"`
-	// RetryAfter is when an impatient caller sends it again with the same key, at
-	// another node if there is one; zero for never. HangUpAfter is when the caller
-	// goes away for good.
+	// RetryAfter is the time after which the caller sends the request again with the
+	// same key, to another node if there is one; zero for no retry. HangUpAfter is the
+	// time after which the caller disconnects and does not return; zero for never.
 	RetryAfter  time.Duration `json:"retry_after"`
 	HangUpAfter time.Duration `json:"hang_up_after"`
 
-	// PromptTokens, NewTokens and AnswerTokens size a model's request; NewTokens is
-	// the part of the prompt that no request before it had.
+	// PromptTokens, NewTokens and AnswerTokens are the sizes of a model request.
+	// NewTokens is the part of the prompt that no earlier request contained.
 	PromptTokens int `json:"prompt_tokens"`
 	NewTokens    int `json:"new_tokens"`
 	AnswerTokens int `json:"answer_tokens"`
 }
 
-// Model reports whether the request is for a model and not for a plain service.
+// IsModelRequest reports whether the request is for a model, as opposed to a service
+// call.
 func (r *Request) IsModelRequest() bool { return r.AnswerTokens > 0 }
--- a/load/result.go
+++ b/load/result.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Result is what became of a request.
+// Result holds the attempts of a request.
 type Result struct {
 	Request  *Request
 	Attempts []Attempt
 }
 
-// ResultStatus is how a request ended for its caller.
+// ResultStatus is the final status of a request as seen by its caller.
 type ResultStatus string
 
-// Fates. Of several attempts the best counts.
+// Result statuses. If a request has several attempts, the best status counts.
 const (
 	ResultOnTime ResultStatus = "on_time"
-	// ResultLate answers were complete, but after the caller's patience.
+	// ResultLate means that the answer was complete but came after the caller's timeout.
 	ResultLate    ResultStatus = "late"
 	ResultNotRun  ResultStatus = "not_run"
 	ResultUnknown ResultStatus = "unknown"
 	ResultRan     ResultStatus = "ran"
 	ResultHungUp  ResultStatus = "hung_up"
-	// ResultBroken means an end without an answer and without an outcome.
+	// ResultBroken means that the request ended without a complete answer or an outcome.
 	ResultBroken ResultStatus = "broken"
 )
 
-// order of fates, the best first.
-var fates = []ResultStatus{ResultOnTime, ResultLate, ResultHungUp, ResultRan, ResultUnknown, ResultNotRun, ResultBroken}
+// statusesBestFirst ranks the statuses.
+var statusesBestFirst = []ResultStatus{ResultOnTime, ResultLate, ResultHungUp, ResultRan, ResultUnknown, ResultNotRun, ResultBroken}
 
-// ResultStatus returns how the request ended.
+// Status returns the best status of all attempts.
 func (r *Result) Status() ResultStatus {
-	best := len(fates) - 1
+	best := len(statusesBestFirst) - 1
 	for i := range r.Attempts {
-		fate := r.fateOf(&r.Attempts[i])
-		for rank, f := range fates {
-			if f == fate {
+		status := r.attemptStatus(&r.Attempts[i])
+		for rank, s := range statusesBestFirst {
+			if s == status {
 				best = min(best, rank)
 			}
 		}
 	}
-	return fates[best]
+	return statusesBestFirst[best]
 }
 
-func (r *Result) fateOf(a *Attempt) ResultStatus {
+func (r *Result) attemptStatus(a *Attempt) ResultStatus {
 	switch {
 	case a.Complete && a.Ended-r.Request.At <= r.Request.Timeout:
 		return ResultOnTime
@@ -56,8 +56,8 @@
 	}
 }
 
-// TimeToFirstToken returns the time from the request's instant to the first token, zero
-// if there was none.
+// TimeToFirstToken returns the time from Request.At to the earliest first token of all
+// attempts, or zero if no token was received.
 func (r *Result) TimeToFirstToken() time.Duration {
 	var best time.Duration
 	for i := range r.Attempts {
@@ -72,7 +72,8 @@
 	return best
 }
 
-// Prompt reports whether the first token came within its aim.
+// FirstTokenOnTime reports whether the time to first token met the target, if there is
+// one.
 func (r *Result) FirstTokenOnTime() bool {
 	first := r.TimeToFirstToken()
 	return r.Request.FirstTokenTarget == 0 || first > 0 && first <= r.Request.FirstTokenTarget
--- a/load/run.go
+++ b/load/run.go
@@ -15,50 +15,51 @@
 	"hawthornrill.example/hawthornrill/entry"
 )
 
-// RunOptions bound a run.
+// RunOptions configures a run.
 type RunOptions struct {
-	// MaxOpen bounds the requests open at a time; beyond it requests are not sent
-	// and counted as dropped. Zero for no bound.
+	// MaxOpen limits the number of concurrent requests. Requests above the limit are not
+	// sent and are counted as dropped. Zero means no limit.
 	MaxOpen int
-	// OneWayDelay is a delay between callers and nodes that the target does not make
-	// itself.
+	// OneWayDelay is the simulated network delay between callers and nodes, for targets
+	// that have none of their own.
 	OneWayDelay time.Duration
 }
 
-// Record is what a run gave.
+// Record is the client-side record of a run.
 type Record struct {
 	Start   time.Time
 	Results []Result
-	// Gaps holds the times between tokens in microseconds.
+	// InterTokenLatency holds the times between tokens, in microseconds.
 	InterTokenLatency *hdrhistogram.Histogram
-	// Dropped counts requests that were not sent for MaxOpen.
+	// Dropped counts requests that were not sent because of MaxOpen.
 	Dropped int
 	Elapsed time.Duration
 }
 
-// runner sends a workload.
+// runner sends the requests of a workload.
 type runner struct {
 	target  Target
 	options RunOptions
 	start   time.Time
-	open    chan struct{}
+	slots   chan struct{}
 	mu      sync.Mutex
 	record  *Record
 }
 
-// histogram bounds in microseconds.
+// Range, in microseconds, and precision of the latency histograms.
 const (
-	leastMicros = 1
-	mostMicros  = 600_000_000
-	digits      = 3
+	minMicros         = 1
+	maxMicros         = 600_000_000
+	significantDigits = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(leastMicros, mostMicros, digits)
+	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
 }
 
-// Run sends all requests at their times, whatever becomes of those before, and
-// returns when all have ended, or early when the context ends.
+// Run sends all requests at their scheduled times, regardless of the progress of earlier
+// ones (open loop). It returns when all requests have ended; when the context is done, no
+// more requests are sent.
 func Run(ctx context.Context, w *Workload, target Target, options RunOptions) *Record {
 	r := &runner{
 		target:  target,
@@ -68,7 +69,7 @@
 	}
 	r.record.Start = r.start
 	if options.MaxOpen > 0 {
-		r.open = make(chan struct{}, options.MaxOpen)
+		r.slots = make(chan struct{}, options.MaxOpen)
 	}
 	var callers sync.WaitGroup
 	for i := range w.Requests {
@@ -77,12 +78,12 @@
 		if !sleepUntil(ctx, r.start.Add(request.At)) {
 			break
 		}
-		if !r.enter() {
+		if !r.acquireSlot() {
 			r.record.Dropped++
 			continue
 		}
 		callers.Go(func() {
-			defer r.leave()
+			defer r.releaseSlot()
 			r.call(ctx, &r.record.Results[i])
 		})
 	}
@@ -100,28 +101,29 @@
 	}
 }
 
-func (r *runner) enter() bool {
-	if r.open == nil {
+func (r *runner) acquireSlot() bool {
+	if r.slots == nil {
 		return true
 	}
 	select {
-	case r.open <- struct{}{}:
+	case r.slots <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-func (r *runner) leave() {
-	if r.open != nil {
-		<-r.open
+func (r *runner) releaseSlot() {
+	if r.slots != nil {
+		<-r.slots
 	}
 }
 
 func (r *runner) now() time.Duration { return time.Since(r.start) }
 
-// call is one caller: it sends the request, and again beside the first attempt
-// when its patience is short.
+// call sends a request as its caller would. A request with a RetryAfter is sent again
+// after that time unless the first attempt is complete by then; if that is still running,
+// both continue in parallel.
 func (r *runner) call(ctx context.Context, result *Result) {
 	request := result.Request
 	node := nodeFor(request.Key, r.target.Nodes(request.DataCentre))
@@ -158,11 +160,11 @@
 	return int(h.Sum32() % uint32(nodes))
 }
 
-// attempt sends a request once.
+// attempt sends a request once and returns the result.
 func (r *runner) attempt(ctx context.Context, request *Request, node int) Attempt {
 	sent := r.now()
 	time.Sleep(r.options.OneWayDelay)
-	recorder := newRecorder(func() time.Duration { return r.now() + r.options.OneWayDelay }, r.gap)
+	recorder := newResponseRecorder(func() time.Duration { return r.now() + r.options.OneWayDelay }, r.recordTokenGap)
 	h, err := newHTTPRequest(ctx, request, r.now())
 	if err != nil {
 		return Attempt{Sent: sent, Ended: r.now(), Detail: err.Error()}
@@ -177,7 +179,8 @@
 	return a
 }
 
-// newHTTPRequest makes the HTTP request, which says how long the caller will wait.
+// newHTTPRequest returns the HTTP request, with the remaining time until the caller's
+// timeout in a header.
 func newHTTPRequest(ctx context.Context, request *Request, now time.Duration) (*http.Request, error) {
 	h, err := http.NewRequestWithContext(ctx, request.Method, "http://node"+request.Path, bytes.NewReader(request.Body))
 	if err != nil {
@@ -191,8 +194,8 @@
 	return h, nil
 }
 
-func (r *runner) gap(d time.Duration) {
+func (r *runner) recordTokenGap(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_ = r.record.InterTokenLatency.RecordValue(max(d.Microseconds(), leastMicros))
+	_ = r.record.InterTokenLatency.RecordValue(max(d.Microseconds(), minMicros))
 }
--- a/load/summary.go
+++ b/load/summary.go
@@ -9,9 +9,9 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// summary counts results by group.
+// summary aggregates results by group.
 type summary struct {
-	runs  map[string]runSum
+	runs  map[string]runCount
 	total *Row
 	calls *Row
 	tiers map[domain.Tier]*Row
@@ -20,9 +20,9 @@
 	codes map[string]int
 }
 
-func newSummary(w *ServerRecord) *summary {
+func newSummary(server *ServerRecord) *summary {
 	return &summary{
-		runs:  w.runsOf(),
+		runs:  server.runsByKey(),
 		total: newRow("total"),
 		calls: newRow("plain calls"),
 		tiers: make(map[domain.Tier]*Row),
@@ -32,7 +32,7 @@
 	}
 }
 
-func newRow(group string) *Row { return &Row{Group: group, first: newHistogram()} }
+func newRow(group string) *Row { return &Row{Group: group, firstTokenHistogram: newHistogram()} }
 
 func (s *summary) add(r *Result) {
 	for i := range r.Attempts {
@@ -61,7 +61,8 @@
 	}
 }
 
-// rows returns the rows in order, with the bound by tier.
+// rows returns the rows of the tiers and organisations in order, with the bound of each
+// tier.
 func (s *summary) rows(bound map[domain.Tier]int) (tiers, orgs []Row) {
 	for _, tier := range slices.Sorted(maps.Keys(s.tiers)) {
 		row := s.tiers[tier].finish()
@@ -71,7 +72,7 @@
 	return tiers, finishAll(s.orgs)
 }
 
-// finishAll returns the rows in order of their names.
+// finishAll returns the finished rows, sorted by key.
 func finishAll[K cmp.Ordered](rows map[K]*Row) []Row {
 	var finished []Row
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
@@ -81,8 +82,8 @@
 }
 
 func (r *Row) add(result *Result, ran bool) {
-	// A caller that means to hang up is left out whether or not the answer came
-	// before.
+	// Requests whose caller is set to hang up are excluded even if the answer was
+	// complete before.
 	if result.Request.HangUpAfter > 0 {
 		r.HungUp++
 		return
@@ -92,7 +93,7 @@
 		r.Admitted++
 	}
 	if first := result.TimeToFirstToken(); first > 0 {
-		_ = r.first.RecordValue(max(first.Microseconds(), leastMicros))
+		_ = r.firstTokenHistogram.RecordValue(max(first.Microseconds(), minMicros))
 	}
 	switch result.Status() {
 	case ResultOnTime:
@@ -114,6 +115,6 @@
 }
 
 func (r *Row) finish() Row {
-	r.First = quantiles(r.first)
+	r.First = quantiles(r.firstTokenHistogram)
 	return *r
 }
--- a/load/table.go
+++ b/load/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes the report to be read.
+// WriteTable writes the report as a text table.
 func (r *Report) WriteTable(w io.Writer) error {
 	fmt.Fprintf(w, "%s %s, load %.1f of capacity, seed %d, %.0f s\n", r.Workload, r.Policy, r.Load, r.Seed, r.Seconds)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -34,8 +34,8 @@
 	return err
 }
 
-// writeTraffic writes what went between the nodes and to the store. Over HTTP it
-// can't be seen.
+// writeTraffic writes the traffic between the nodes and to the store, which cannot be
+// observed over HTTP.
 func (r *Report) writeTraffic(w io.Writer) {
 	if r.PeerMessages == 0 {
 		fmt.Fprintln(w, "peers and store: not seen from outside")
--- a/load/target.go
+++ b/load/target.go
@@ -6,12 +6,13 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Target is where requests are sent.
+// Target receives the requests of a run.
 type Target interface {
-	// Nodes returns how many nodes take callers of a data centre; they are
-	// numbered from 0.
-	Nodes(place domain.DataCentre) int
-	// Send has a node answer the request into w, as it comes. It returns when the
-	// answer has ended, broken or the request's context has ended.
-	Send(place domain.DataCentre, node int, r *http.Request, w http.ResponseWriter) error
+	// Nodes returns the number of nodes that serve callers of a data centre. Nodes
+	// are numbered from 0.
+	Nodes(dataCentre domain.DataCentre) int
+	// Send sends the request to a node and streams the response into w. It returns
+	// when the response is complete or has failed, or when the request's context is
+	// done.
+	Send(dataCentre domain.DataCentre, node int, r *http.Request, w http.ResponseWriter) error
 }
--- a/load/text.go
+++ b/load/text.go
@@ -9,15 +9,15 @@
 
 var syllables = []string{"ba", "ce", "di", "fo", "gu", "la", "me", "ni", "po", "ru", "sa", "te", "vi", "zo"}
 
-// text makes up a text of about so many tokens.
-func text(random *rand.Rand, tokens int) string {
+// randomText returns a random text of approximately the given number of tokens.
+func randomText(random *rand.Rand, tokens int) string {
 	var b strings.Builder
-	characters := tokens * prefix.BytesPerToken
-	for b.Len() < characters {
+	size := tokens * prefix.BytesPerToken
+	for b.Len() < size {
 		for range 2 + random.IntN(2) {
 			b.WriteString(syllables[random.IntN(len(syllables))])
 		}
 		b.WriteByte(' ')
 	}
-	return b.String()[:characters]
+	return b.String()[:size]
 }
--- a/load/verdict.go
+++ b/load/verdict.go
@@ -9,154 +9,155 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// Verdict counts breaches of the promises, as the endpoints' logs show them.
+// Verdict counts violations of the service guarantees, as shown by the endpoints' logs.
 type Verdict struct {
-	// RunTwice counts keys that were run more than once.
+	// RunTwice counts idempotency keys that were run more than once.
 	RunTwice int `json:"run_twice"`
-	// WrongAnswer counts complete answers that are not the expected one.
+	// WrongAnswer counts complete answers that differ from the expected one.
 	WrongAnswer int `json:"wrong_answer"`
-	// RunThoughNotRun counts requests that ran before a caller was told not_run.
+	// RunThoughNotRun counts requests that were run although an attempt was answered with
+	// not_run: before that answer, or at any time if there was no other attempt.
 	RunThoughNotRun int `json:"run_though_not_run"`
 	// AnsweredUnrun counts complete answers to requests that no endpoint ran.
 	AnsweredUnrun int `json:"answered_unrun"`
-	// ShedAbove counts requests shed while a lower tier was served: taken by an
-	// engine settling time before and still there settling time after.
+	// ShedAbove counts requests that were shed while a request of a lower tier was being
+	// served, that is, was on an engine from settlingTime before to settlingTime after.
 	ShedAbove int `json:"shed_above"`
-	// LateAbove counts requests that were refused for their deadline at such an
-	// instant. They are no breach if no revocation could have saved them, which the
-	// logs can't tell; so they stand apart.
+	// LateAbove counts requests that were refused because of their deadline in the same
+	// situation. This is no violation if preempting the lower tier would not have helped,
+	// which the logs do not show, so these are counted separately.
 	LateAbove int `json:"late_above"`
-	// Examples name a few of the breaches.
+	// Examples describes the first few violations.
 	Examples []string `json:"examples,omitempty"`
 }
 
-// settling is the time that a refusal and a cancellation may take on their way.
-const settling = 250 * time.Millisecond
+// settlingTime allows for the time that refusals and cancellations take to propagate.
+const settlingTime = 250 * time.Millisecond
 
-// mostExamples bounds Verdict.Examples.
-const mostExamples = 5
+// maxExamples limits the length of Verdict.Examples.
+const maxExamples = 5
 
-// Broken counts all breaches.
+// Violations returns the total number of violations, which excludes LateAbove.
 func (v *Verdict) Violations() int {
 	return v.RunTwice + v.WrongAnswer + v.RunThoughNotRun + v.AnsweredUnrun + v.ShedAbove
 }
 
-// Verify holds a run against the endpoints' logs.
-func Verify(record *Record, w *ServerRecord) Verdict {
-	j := judge{record: record, runs: w.runsOf(), byKey: make(map[string]*Result)}
+// Verify checks the record of a run against the endpoints' logs.
+func Verify(record *Record, server *ServerRecord) Verdict {
+	v := verifier{record: record, runs: server.runsByKey(), byKey: make(map[string]*Result)}
 	for i := range record.Results {
 		r := &record.Results[i]
-		j.byKey[r.Request.Key] = r
+		v.byKey[r.Request.Key] = r
 	}
-	j.servedByTier(w)
-	for key, sum := range j.runs {
-		if sum.runs > 1 {
-			j.breach(&j.verdict.RunTwice, "%s was run %d times", key, sum.runs)
+	v.collectServed(server)
+	for key, count := range v.runs {
+		if count.runs > 1 {
+			v.addViolation(&v.verdict.RunTwice, "%s was run %d times", key, count.runs)
 		}
 	}
 	for i := range record.Results {
-		j.result(&record.Results[i])
+		v.checkResult(&record.Results[i])
 	}
-	return j.verdict
+	return v.verdict
 }
 
-type judge struct {
+type verifier struct {
 	record  *Record
-	runs    map[string]runSum
+	runs    map[string]runCount
 	byKey   map[string]*Result
-	served  map[domain.Tier][]span
+	served  map[domain.Tier][]servedInterval
 	verdict Verdict
 }
 
-// span is the time in which an engine had a request.
-type span struct {
+// servedInterval is the time during which a request was on an engine.
+type servedInterval struct {
 	from, to time.Time
 	key      string
 }
 
-func (j *judge) breach(count *int, format string, args ...any) {
+func (v *verifier) addViolation(count *int, format string, args ...any) {
 	*count++
-	if len(j.verdict.Examples) < mostExamples {
-		j.verdict.Examples = append(j.verdict.Examples, fmt.Sprintf(format, args...))
+	if len(v.verdict.Examples) < maxExamples {
+		v.verdict.Examples = append(v.verdict.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
-func (j *judge) servedByTier(w *ServerRecord) {
-	j.served = make(map[domain.Tier][]span)
-	for _, runs := range w.Engines {
+func (v *verifier) collectServed(server *ServerRecord) {
+	v.served = make(map[domain.Tier][]servedInterval)
+	for _, runs := range server.Engines {
 		for i := range runs {
 			run := &runs[i]
-			r := j.byKey[callerKey(run.Key)]
+			r := v.byKey[idempotencyKey(run.Key)]
 			if r == nil {
 				continue
 			}
 			end := run.Ended
 			if end.IsZero() {
-				end = j.record.Start.Add(j.record.Elapsed)
+				end = v.record.Start.Add(v.record.Elapsed)
 			}
 			tier := r.Request.Tier
-			j.served[tier] = append(j.served[tier], span{run.Arrived, end, r.Request.Key})
+			v.served[tier] = append(v.served[tier], servedInterval{run.Arrived, end, r.Request.Key})
 		}
 	}
 }
 
-func (j *judge) result(r *Result) {
+func (v *verifier) checkResult(r *Result) {
 	for i := range r.Attempts {
 		a := &r.Attempts[i]
 		switch {
 		case a.Complete:
-			j.answer(r, a)
+			v.checkAnswer(r, a)
 		case a.Outcome == domain.OutcomeNotRun:
-			j.notRun(r, a)
+			v.checkNotRun(r, a)
 		}
 	}
 }
 
-func (j *judge) answer(r *Result, a *Attempt) {
-	if j.runs[r.Request.Key].runs == 0 {
-		j.breach(&j.verdict.AnsweredUnrun, "%s was answered but not run", r.Request.Key)
+func (v *verifier) checkAnswer(r *Result, a *Attempt) {
+	if v.runs[r.Request.Key].runs == 0 {
+		v.addViolation(&v.verdict.AnsweredUnrun, "%s was answered but not run", r.Request.Key)
 	}
 	if !r.Request.IsModelRequest() {
 		return
 	}
 	expected, err := engine.ExpectedAnswer(r.Request.Body)
 	if err != nil || expected.Text() != a.Text {
-		j.breach(&j.verdict.WrongAnswer, "%s got another answer", r.Request.Key)
+		v.addViolation(&v.verdict.WrongAnswer, "%s got an unexpected answer", r.Request.Key)
 	}
 }
 
-// notRun checks a refusal: the request must not have run before it; and if there
-// was no other attempt, not after it either.
-func (j *judge) notRun(r *Result, a *Attempt) {
-	told := j.record.Start.Add(a.Ended)
-	sum := j.runs[r.Request.Key]
-	if sum.runs > 0 && (len(r.Attempts) == 1 || sum.first.Before(told)) {
-		j.breach(&j.verdict.RunThoughNotRun, "%s was told not_run (%s) and ran", r.Request.Key, a.Code)
+// checkNotRun checks a not_run answer: the request must not have been run before it, nor
+// after it if there was no other attempt.
+func (v *verifier) checkNotRun(r *Result, a *Attempt) {
+	refusedAt := v.record.Start.Add(a.Ended)
+	count := v.runs[r.Request.Key]
+	if count.runs > 0 && (len(r.Attempts) == 1 || count.first.Before(refusedAt)) {
+		v.addViolation(&v.verdict.RunThoughNotRun, "%s was told not_run (%s) and ran", r.Request.Key, a.Code)
 	}
 	if !r.Request.IsModelRequest() {
 		return
 	}
 	switch answer.Code(a.Code) {
 	case answer.CodeShed:
-		if lower := j.lowerServed(r.Request.Tier, told); lower != "" {
-			j.breach(&j.verdict.ShedAbove, "%s was shed while %s was served", r.Request.Key, lower)
+		if lower := v.lowerTierServed(r.Request.Tier, refusedAt); lower != "" {
+			v.addViolation(&v.verdict.ShedAbove, "%s was shed while %s was served", r.Request.Key, lower)
 		}
 	case answer.CodeDeadline:
-		if j.lowerServed(r.Request.Tier, told) != "" {
-			j.verdict.LateAbove++
+		if v.lowerTierServed(r.Request.Tier, refusedAt) != "" {
+			v.verdict.LateAbove++
 		}
 	}
 }
 
-// lowerServed returns a request of a lower tier that was being served at the
-// instant, with settling time before and after.
-func (j *judge) lowerServed(tier domain.Tier, at time.Time) string {
-	for lower, spans := range j.served {
+// lowerTierServed returns the key of a request of a lower tier that was being served
+// from settlingTime before to settlingTime after the given time, or "" if there is none.
+func (v *verifier) lowerTierServed(tier domain.Tier, at time.Time) string {
+	for lower, intervals := range v.served {
 		if !tier.Above(lower) {
 			continue
 		}
-		for _, s := range spans {
-			if s.from.Before(at.Add(-settling)) && s.to.After(at.Add(settling)) {
+		for _, s := range intervals {
+			if s.from.Before(at.Add(-settlingTime)) && s.to.After(at.Add(settlingTime)) {
 				return s.key
 			}
 		}
--- a/load/verdict_test.go
+++ b/load/verdict_test.go
@@ -10,8 +10,8 @@
 	"hawthornrill.example/hawthornrill/standin/engine"
 )
 
-// fixture is a run without a breach: one request answered, one of a higher tier
-// refused when the engine was idle, and a third of the lowest tier answered.
+// fixture returns a run without violations: one request answered, one of a higher tier
+// refused while the engine was idle, and one of the lowest tier answered.
 func fixture() (*Record, *ServerRecord) {
 	body := []byte(`{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":9}`)
 	expected, err := engine.ExpectedAnswer(body)
@@ -36,62 +36,63 @@
 	return record, &ServerRecord{Engines: map[domain.EndpointID][]engine.Run{"e": runs}}
 }
 
-// Each kind of planted breach is noticed, alone.
+// Each kind of violation, injected into a correct run, is detected and is the only one
+// reported.
 func TestVerdict(t *testing.T) {
 	cases := map[string]struct {
-		plant func(r *Record, w *ServerRecord)
-		want  Verdict
+		inject func(r *Record, s *ServerRecord)
+		want   Verdict
 	}{
 		"none": {func(*Record, *ServerRecord) {}, Verdict{}},
-		"run twice": {func(_ *Record, w *ServerRecord) {
-			w.Engines["f"] = w.Engines["e"][:1]
+		"run twice": {func(_ *Record, s *ServerRecord) {
+			s.Engines["f"] = s.Engines["e"][:1]
 		}, Verdict{RunTwice: 1}},
 		"wrong answer": {func(r *Record, _ *ServerRecord) {
 			r.Results[0].Attempts[0].Text += "x"
 		}, Verdict{WrongAnswer: 1}},
-		"not_run, but had run": {func(r *Record, w *ServerRecord) {
-			w.Engines["f"] = []engine.Run{{Key: "o:p::b", Arrived: r.Start, Ended: r.Start.Add(time.Second)}}
+		"not_run after a run": {func(r *Record, s *ServerRecord) {
+			s.Engines["f"] = []engine.Run{{Key: "o:p::b", Arrived: r.Start, Ended: r.Start.Add(time.Second)}}
 		}, Verdict{RunThoughNotRun: 1}},
-		"not_run, ran later without another attempt": {func(r *Record, w *ServerRecord) {
+		"not_run, then run without another attempt": {func(r *Record, s *ServerRecord) {
 			at := r.Start.Add(time.Minute)
-			w.Engines["f"] = []engine.Run{{Key: "o:p::b", Arrived: at, Ended: at}}
+			s.Engines["f"] = []engine.Run{{Key: "o:p::b", Arrived: at, Ended: at}}
 		}, Verdict{RunThoughNotRun: 1}},
-		"not_run, ran later for another attempt": {func(r *Record, w *ServerRecord) {
+		"not_run, then run for another attempt": {func(r *Record, s *ServerRecord) {
 			at := r.Start.Add(time.Minute)
-			w.Engines["f"] = []engine.Run{{Key: "o:p::b", Arrived: at, Ended: at}}
+			s.Engines["f"] = []engine.Run{{Key: "o:p::b", Arrived: at, Ended: at}}
 			r.Results[1].Attempts = append(r.Results[1].Attempts, Attempt{Outcome: domain.OutcomeRan})
 		}, Verdict{}},
-		"answered without a run": {func(_ *Record, w *ServerRecord) {
-			w.Engines["e"] = w.Engines["e"][1:]
+		"answered without a run": {func(_ *Record, s *ServerRecord) {
+			s.Engines["e"] = s.Engines["e"][1:]
 		}, Verdict{AnsweredUnrun: 1}},
-		"shed while a lower tier was served": {func(r *Record, w *ServerRecord) {
-			w.Engines["e"][1].Ended = r.Start.Add(11 * time.Second)
+		"shed while a lower tier was served": {func(r *Record, s *ServerRecord) {
+			s.Engines["e"][1].Ended = r.Start.Add(11 * time.Second)
 		}, Verdict{ShedAbove: 1}},
-		"refused for its deadline then": {func(r *Record, w *ServerRecord) {
-			w.Engines["e"][1].Ended = r.Start.Add(11 * time.Second)
+		"refused for its deadline while a lower tier was served": {func(r *Record, s *ServerRecord) {
+			s.Engines["e"][1].Ended = r.Start.Add(11 * time.Second)
 			r.Results[1].Attempts[0].Code = "deadline"
 		}, Verdict{LateAbove: 1}},
-		"shed while a lower tier was ending": {func(r *Record, w *ServerRecord) {
-			w.Engines["e"][1].Ended = r.Start.Add(10*time.Second + settling/2)
+		"shed while a lower tier was ending": {func(r *Record, s *ServerRecord) {
+			s.Engines["e"][1].Ended = r.Start.Add(10*time.Second + settlingTime/2)
 		}, Verdict{}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			record, witness := fixture()
-			c.plant(record, witness)
-			got := Verify(record, witness)
+			record, server := fixture()
+			c.inject(record, server)
+			got := Verify(record, server)
 			got.Examples = nil
 			assert.DeepEqual(t, got, c.want)
 		})
 	}
 }
 
-// Fates: late is not on time, and the best of several attempts counts.
-func TestFates(t *testing.T) {
-	record, witness := fixture()
+// Late answers do not count as on time, and the best of several attempts counts.
+func TestResultStatus(t *testing.T) {
+	record, server := fixture()
 	record.Results[0].Attempts[0].Ended = 2 * time.Minute
 	record.Results[1].Attempts = append(record.Results[1].Attempts, Attempt{Complete: true, FirstTokenAt: time.Second, Ended: time.Second})
-	total := NewReport(&Workload{}, "p", record, witness, nil).Total
+	total := NewReport(&Workload{}, "p", record, server, nil).Total
 	assert.Equal(t, total.Offered, 3)
 	assert.Equal(t, total.Late, 1)
 	assert.Equal(t, total.OnTime, 2)
--- a/load/virtual/fleet_test.go
+++ b/load/virtual/cluster_test.go
@@ -10,14 +10,14 @@
 	"hawthornrill.example/hawthornrill/load"
 )
 
-// Whole nodes keep the promises under a burst of three times the capacity, for
-// both users, and every request is accounted for.
+// Under a burst of three times the capacity, complete nodes keep the service guarantees
+// in all deployments, and every request has a result.
 func TestOverload(t *testing.T) {
 	for _, name := range deployment.Names() {
 		t.Run(name, func(t *testing.T) {
 			d, err := deployment.ByName(name)
 			assert.NilError(t, err)
-			report := run(t, d, policies[0], load.Options{Seed: 1, Load: 3, Duration: 2 * time.Second})
+			report := runInVirtualTime(t, d, policies[0], load.Options{Seed: 1, Load: 3, Duration: 2 * time.Second})
 			assert.Equal(t, report.Verdict.Violations(), 0, "%v", report.Verdict.Examples)
 			row := report.Total
 			assert.Assert(t, row.Offered > 100, "%d", row.Offered)
--- a/load/virtual/experiment_test.go
+++ b/load/virtual/experiment_test.go
@@ -16,19 +16,19 @@
 	"hawthornrill.example/hawthornrill/load"
 )
 
-// The flags of the experiments, which docs/EXPERIMENTS.md tells how to repeat:
+// Flags of the experiments. docs/EXPERIMENTS.md describes how to repeat them:
 // go test ./load/virtual -run TestExperiment -args -policies default,round-robin -seeds 1,2,3.
 var (
 	deployments = flag.String("deployments", "cucine,pryce", "deployments to run")
-	policyNames = flag.String("policies", "", "policies to run; none skips the experiments")
+	policyNames = flag.String("policies", "", "policies to run; if empty, the experiments are skipped")
 	seeds       = flag.String("seeds", "1", "seeds of the workloads")
-	loads       = flag.String("loads", "2", "offered work in parts of capacity")
+	loads       = flag.String("loads", "2", "offered work relative to capacity")
 	seconds     = flag.Int("seconds", 30, "time over which requests arrive")
-	reportDir   = flag.String("report", "", "directory for JSON and plots of each run")
+	reportDir   = flag.String("report", "", "directory for the JSON report and plots of each run")
 )
 
-// run makes one experiment in virtual time.
-func run(t *testing.T, d *deployment.Deployment, policy Policy, options load.Options) *load.Report {
+// runInVirtualTime runs one experiment in virtual time.
+func runInVirtualTime(t *testing.T, d *deployment.Deployment, policy Policy, options load.Options) *load.Report {
 	var report *load.Report
 	synctest.Test(t, func(t *testing.T) {
 		var err error
@@ -38,7 +38,7 @@
 	return report
 }
 
-func number(t *testing.T, text string) float64 {
+func parseNumber(t *testing.T, text string) float64 {
 	value, err := strconv.ParseFloat(text, 64)
 	assert.NilError(t, err)
 	return value
@@ -49,7 +49,7 @@
 		t.Skip("no -policies given")
 	}
 	for _, name := range strings.Split(*deployments, ",") {
-		for _, part := range strings.Split(*loads, ",") {
+		for _, relativeLoad := range strings.Split(*loads, ",") {
 			for _, policyName := range strings.Split(*policyNames, ",") {
 				for _, seed := range strings.Split(*seeds, ",") {
 					policy, err := PolicyByName(policyName)
@@ -57,21 +57,21 @@
 					d, err := deployment.ByName(name)
 					assert.NilError(t, err)
 					began := time.Now()
-					report := run(t, d, policy, load.Options{
-						Seed:     uint64(number(t, seed)),
-						Load:     number(t, part),
+					report := runInVirtualTime(t, d, policy, load.Options{
+						Seed:     uint64(parseNumber(t, seed)),
+						Load:     parseNumber(t, relativeLoad),
 						Duration: time.Duration(*seconds) * time.Second,
 					})
 					assert.NilError(t, report.WriteTable(os.Stdout))
 					fmt.Printf("computed in %v\n\n", time.Since(began).Round(time.Millisecond))
-					keep(t, report)
+					saveReport(t, report)
 				}
 			}
 		}
 	}
 }
 
-func keep(t *testing.T, report *load.Report) {
+func saveReport(t *testing.T, report *load.Report) {
 	if *reportDir != "" {
 		assert.NilError(t, report.Save(*reportDir))
 	}
--- a/load/virtual/policy.go
+++ b/load/virtual/policy.go
@@ -12,23 +12,23 @@
 	"hawthornrill.example/hawthornrill/scheduler"
 )
 
-// ErrUnknownPolicy means that there is no policy of that name.
-var ErrUnknownPolicy = errors.New("virtual: no such policy")
+// ErrUnknownPolicy means that there is no policy with the given name.
+var ErrUnknownPolicy = errors.New("virtual: unknown policy")
 
-// Policy is a way to schedule, to be compared with others.
+// Policy is a scheduling policy to be compared with others.
 type Policy struct {
 	Name string
-	// Configure changes a node's options.
+	// Configure, if set, changes the options of a node.
 	Configure func(o *node.Options)
-	// Unlimited lifts the endpoints' limits, so that nothing waits but in the
+	// Unlimited removes the limits of the endpoints, so that requests queue only in the
 	// endpoints themselves.
 	Unlimited bool
-	// Table, if set, changes the operators' table.
+	// Table, if set, changes the operators' configuration table.
 	Table func(t *config.Table)
 }
 
-// choosing makes a policy with another Chooser.
-func choosing(name string, unlimited bool, chooser func() capacity.Chooser) Policy {
+// chooserPolicy returns a policy with the given Chooser.
+func chooserPolicy(name string, unlimited bool, chooser func() capacity.Chooser) Policy {
 	return Policy{
 		Name:      name,
 		Unlimited: unlimited,
@@ -36,21 +36,21 @@
 	}
 }
 
-// The policies: what the nodes do by default, the baselines, and the changes that
-// docs/EXPERIMENTS.md tells of.
+// policies lists the default of the nodes, the baselines, and the variants described in
+// docs/EXPERIMENTS.md.
 var policies = []Policy{
 	{Name: "default"},
-	choosing("random", true, func() capacity.Chooser { return load.NewRandom(1) }),
-	choosing("round-robin", true, func() capacity.Chooser { return &load.RoundRobin{} }),
-	choosing("least-reported", true, func() capacity.Chooser { return load.NewLeastReportedLoad() }),
-	firstRound(),
-	withoutLengthLimits(),
-	holding(holdOff, 16),
-	holding(2, 16),
-	holding(holdOff, 24),
-	holding(2, 24),
-	holding(2, 32),
-	holding(1.3, 32),
+	chooserPolicy("random", true, func() capacity.Chooser { return load.NewRandom(1) }),
+	chooserPolicy("round-robin", true, func() capacity.Chooser { return &load.RoundRobin{} }),
+	chooserPolicy("least-reported", true, func() capacity.Chooser { return load.NewLeastReportedLoad() }),
+	leastOutstandingPolicy(),
+	limitBlindPolicy(),
+	holdPolicy(holdDisabled, 16),
+	holdPolicy(2, 16),
+	holdPolicy(holdDisabled, 24),
+	holdPolicy(2, 24),
+	holdPolicy(2, 32),
+	holdPolicy(1.3, 32),
 	{Name: "longest", Configure: func(o *node.Options) { o.Lengths = scheduler.MaxLengthPredictor{} }},
 	{Name: "prefill-0", Configure: func(o *node.Options) { o.Routing.PrefillWeight = -1 }},
 	{Name: "prefill-4", Configure: func(o *node.Options) { o.Routing.PrefillWeight = 4 }},
@@ -59,43 +59,44 @@
 	{Name: "hopeless-1", Configure: func(o *node.Options) { o.Capacity.ForecastFactor = 1 }},
 }
 
-// holdOff is a HoldRatio that holds nothing back.
-const holdOff = -1
+// holdDisabled is a HoldRatio that disables holding requests back.
+const holdDisabled = -1
 
-// firstRound is the project's first: a queue, and the least outstanding requests.
-func firstRound() Policy {
-	p := choosing("first-round", false, func() capacity.Chooser { return capacity.NewLeastOutstanding() })
-	p.Table = slots(16)
+// leastOutstandingPolicy is the first scheduler of the project: a queue, and the endpoint
+// with the fewest outstanding requests.
+func leastOutstandingPolicy() Policy {
+	p := chooserPolicy("first-round", false, func() capacity.Chooser { return capacity.NewLeastOutstanding() })
+	p.Table = setEngineLimit(16)
 	return p
 }
 
-// withoutLengthLimits is what the nodes did before round 1.
-func withoutLengthLimits() Policy {
-	p := holding(holdOff, 16)
+// limitBlindPolicy is the behaviour of the nodes before round 1 of the experiments.
+func limitBlindPolicy() Policy {
+	p := holdPolicy(holdDisabled, 16)
 	configure := p.Configure
 	p.Name = "without-limits"
 	p.Configure = func(o *node.Options) {
 		configure(o)
-		o.Lengths = withoutLimits{routing.NewLengthPredictor()}
+		o.Lengths = limitBlindPredictor{routing.NewLengthPredictor()}
 	}
 	return p
 }
 
-// holding makes a policy with a HoldRatio and a limit on the engines' requests.
-func holding(ratio float64, limit int) Policy {
+// holdPolicy returns a policy with a HoldRatio and a limit on the requests of an engine.
+func holdPolicy(ratio float64, limit int) Policy {
 	name := fmt.Sprintf("hold-%g-batch-%d", ratio, limit)
-	if ratio == holdOff {
+	if ratio == holdDisabled {
 		name = fmt.Sprintf("hold-off-batch-%d", limit)
 	}
 	return Policy{
 		Name:      name,
 		Configure: func(o *node.Options) { o.Routing.HoldRatio = ratio },
-		Table:     slots(limit),
+		Table:     setEngineLimit(limit),
 	}
 }
 
-// slots sets the engines' limit on requests.
-func slots(limit int) func(*config.Table) {
+// setEngineLimit returns a function that sets the request limit of all engines.
+func setEngineLimit(limit int) func(*config.Table) {
 	return func(t *config.Table) {
 		for i := range t.Endpoints {
 			if t.Endpoints[i].Kind == config.KindEngine {
@@ -105,7 +106,7 @@
 	}
 }
 
-// PolicyByName returns a policy or ErrUnknownPolicy.
+// PolicyByName returns the policy with the given name or ErrUnknownPolicy.
 func PolicyByName(name string) (Policy, error) {
 	for _, p := range policies {
 		if p.Name == name {
@@ -115,11 +116,12 @@
 	return Policy{}, fmt.Errorf("%w: %q", ErrUnknownPolicy, name)
 }
 
-// unlimited is more than any run needs.
-const unlimited = 100_000
+// unlimitedRequests is a request limit that no run reaches.
+const unlimitedRequests = 100_000
 
-// table returns a copy of the table as the policy has it. Organisations' limits
-// are lifted for all policies: what is compared is the sharing of the endpoints.
+// table returns a copy of the table with the changes of the policy. The limits of
+// organisations are removed under all policies, since the policies are compared by how
+// they share the endpoints.
 func (p Policy) table(t config.Table) config.Table {
 	t = t.Clone()
 	for i := range t.Organisations {
@@ -133,7 +135,7 @@
 		return t
 	}
 	for i := range t.Endpoints {
-		t.Endpoints[i].Limit = unlimited
+		t.Endpoints[i].Limit = unlimitedRequests
 		t.Endpoints[i].TokenLimit = 0
 	}
 	return t
--- a/load/virtual/race_on_test.go
+++ b/load/virtual/race_on_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestMain keeps the detector to one processor: with more, the runtime of Go 1.26.8
-// runs the timers of one synctest bubble on several threads under one context of
-// the detector, which then now and then crashes.
+// TestMain limits tests with the race detector to one processor. With more, the runtime
+// of Go 1.26.8 runs the timers of one synctest bubble on several threads under one race
+// detector context, which occasionally crashes.
 func TestMain(m *testing.M) {
 	runtime.GOMAXPROCS(1)
 	os.Exit(m.Run())
--- a/load/virtual/members.go
+++ b/load/virtual/staticmembers.go
@@ -9,17 +9,17 @@
 	"hawthornrill.example/hawthornrill/membership"
 )
 
-// members is a view in which everyone is alive.
-type members struct{ *membership.StaticView }
+// staticMembers is a membership view in which all members are alive.
+type staticMembers struct{ *membership.StaticView }
 
 // Run implements node.Members.
-func (m *members) Run(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
+func (m *staticMembers) Run(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
 
 // Leave implements node.Members.
-func (m *members) Leave(context.Context) error { return nil }
+func (m *staticMembers) Leave(context.Context) error { return nil }
 
 // AnnounceStopped implements node.Members.
-func (m *members) AnnounceStopped(context.Context) error { return nil }
+func (m *staticMembers) AnnounceStopped(context.Context) error { return nil }
 
 func peersOf(all []domain.Member) []membership.Peer {
 	var peers []membership.Peer
--- a/load/workload.go
+++ b/load/workload.go
@@ -11,65 +11,65 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Options say how much of a workload to make.
+// Options configures the generation of a workload.
 type Options struct {
 	Seed uint64
-	// Load is the offered work as a part of the engines' capacity, both reckoned at
-	// batches of 16.
+	// Load is the offered work relative to the capacity of the engines, both computed at
+	// a batch size of 16.
 	Load float64
-	// For is about the time over which requests arrive.
+	// Duration is the approximate time over which requests arrive.
 	Duration time.Duration
 }
 
-// Workload is a list of requests in order of time.
+// Workload is a list of requests, ordered by time.
 type Workload struct {
 	Name    string
 	Options Options
-	// For is the time over which requests arrive: Options.For, stretched or
-	// compressed so that the work offered is exactly the load asked for.
+	// Duration is the time over which requests arrive: Options.Duration, scaled so that
+	// the offered work is exactly Options.Load.
 	Duration time.Duration
 	Requests []Request
 }
 
-// longestConversation bounds a conversation's prompt in tokens.
-const longestConversation = 12_000
+// maxConversationTokens is the length above which a conversation gets no further turns.
+const maxConversationTokens = 12_000
 
-// builder makes a workload.
+// builder generates the requests of a workload.
 type builder struct {
-	model   Model
-	options Options
-	random  *rand.Rand
-	guides  map[domain.OrganisationID]string
-	places  []domain.DataCentre
-	made    int
-	out     []Request
+	model         Model
+	options       Options
+	random        *rand.Rand
+	systemPrompts map[domain.OrganisationID]string
+	dataCentres   []domain.DataCentre
+	conversations int
+	requests      []Request
 }
 
-// Generate makes the workload; the same options give the same requests.
-// Conversations begin at random instants, so many that their turns that fall
-// into the time are about the load asked for; then the time is stretched to make
-// it exact.
+// Generate returns a workload. Equal options yield equal requests. Conversations start
+// at random times, at a rate at which the turns within the duration offer approximately
+// the requested load; the times are then scaled to make the load exact.
 func Generate(model Model, options Options) (*Workload, error) {
 	rate, err := conversationRate(model, options)
 	if err != nil {
 		return nil, err
 	}
 	b := newBuilder(model, options)
-	if err := b.build(rate); err != nil {
+	if err := b.addConversations(rate); err != nil {
 		return nil, err
 	}
-	slices.SortStableFunc(b.out, func(a, c Request) int {
+	slices.SortStableFunc(b.requests, func(a, c Request) int {
 		if a.At != c.At {
 			return int(a.At - c.At)
 		}
 		return strings.Compare(a.Key, c.Key)
 	})
-	w := &Workload{Name: model.Deployment.Name, Options: options, Requests: b.out, Duration: options.Duration}
-	w.stretch(&model.Deployment.Table)
+	w := &Workload{Name: model.Deployment.Name, Options: options, Requests: b.requests, Duration: options.Duration}
+	w.scaleTimes(&model.Deployment.Table)
 	return w, nil
 }
 
-// Offered is the work of all requests as a part of the table's capacity.
+// Offered returns the work of all requests relative to the capacity of the table's
+// engines.
 func (w *Workload) Offered(table *config.Table) float64 {
 	var work time.Duration
 	for i := range w.Requests {
@@ -78,8 +78,8 @@
 	return work.Seconds() / (Capacity(table) * w.Duration.Seconds())
 }
 
-// stretch moves the requests' instants so that the load is exact.
-func (w *Workload) stretch(table *config.Table) {
+// scaleTimes scales the times of the requests so that the load is exact.
+func (w *Workload) scaleTimes(table *config.Table) {
 	factor := w.Offered(table) / w.Options.Load
 	if factor == 0 {
 		return
@@ -92,89 +92,92 @@
 
 func newBuilder(model Model, options Options) *builder {
 	b := &builder{
-		model:   model,
-		options: options,
-		random:  rand.New(rand.NewPCG(options.Seed, 0x6c6f6164)),
-		guides:  make(map[domain.OrganisationID]string),
+		model:         model,
+		options:       options,
+		random:        rand.New(rand.NewPCG(options.Seed, 0x6c6f6164)),
+		systemPrompts: make(map[domain.OrganisationID]string),
 	}
 	for _, s := range model.Sources {
-		b.guides[s.Organisation] = text(b.random, s.SystemPromptTokens)
+		b.systemPrompts[s.Organisation] = randomText(b.random, s.SystemPromptTokens)
 	}
 	for _, host := range model.Deployment.Hosts {
-		b.places = append(b.places, host.DataCentre)
+		b.dataCentres = append(b.dataCentres, host.DataCentre)
 	}
 	return b
 }
 
-// rateSample is the number of conversations by which the mean work is found, and
-// rateSeed their seed.
+// rateSampleSize is the number of conversations from which the mean work is estimated,
+// rateSeed the seed with which they are generated.
 const (
-	rateSample = 400
-	rateSeed   = 7919
+	rateSampleSize = 400
+	rateSeed       = 7919
 )
 
-// conversationRate returns the conversations a second that make up the load.
+// conversationRate returns the number of conversations per second that offers the load.
 func conversationRate(model Model, options Options) (float64, error) {
 	b := newBuilder(model, Options{Seed: rateSeed, Duration: 1 << 62})
-	for range rateSample {
-		if err := b.converse(b.source(), 0); err != nil {
+	for range rateSampleSize {
+		if err := b.addConversation(b.drawSource(), 0); err != nil {
 			return 0, err
 		}
 	}
 	var work time.Duration
-	for i := range b.out {
-		work += Cost(&b.out[i], referenceBatch)
+	for i := range b.requests {
+		work += Cost(&b.requests[i], referenceBatch)
 	}
-	each := work.Seconds() / float64(b.made)
-	return options.Load * Capacity(&model.Deployment.Table) / each, nil
+	meanWork := work.Seconds() / float64(b.conversations)
+	return options.Load * Capacity(&model.Deployment.Table) / meanWork, nil
 }
 
-// build makes conversations by a Poisson process whose rate rises in bursts.
-// Those in progress at the start began before it.
-func (b *builder) build(rate float64) error {
+// addConversations adds conversations that arrive in a Poisson process whose rate rises
+// in bursts. Arrivals start leadTime before the run, so that conversations are in
+// progress at its start.
+func (b *builder) addConversations(rate float64) error {
 	m := &b.model
 	bursting := m.BurstDuration.Seconds() / (m.BurstInterval + m.BurstDuration).Seconds()
 	base := rate / (1 + bursting*(m.BurstFactor-1))
-	early := -leadTime
-	burst := early + b.exponential(m.BurstInterval)
-	for at := early; at < b.options.Duration; {
-		now := base
+	start := -leadTime
+	burst := start + b.exponential(m.BurstInterval)
+	for at := start; at < b.options.Duration; {
+		current := base
 		if at >= burst {
-			now *= m.BurstFactor
+			current *= m.BurstFactor
 		}
-		at += b.exponential(time.Duration(float64(time.Second) / now))
+		at += b.exponential(time.Duration(float64(time.Second) / current))
 		if at >= burst+m.BurstDuration {
 			burst = at + b.exponential(m.BurstInterval)
 		}
-		if err := b.arrive(at); err != nil {
+		if err := b.addArrival(at); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// leadTime is how long before the start conversations begin, so that there are as
-// many late turns at the start as later.
+// leadTime is how long before the start of the run conversations begin, so that the
+// share of later turns is the same at the start as afterwards.
 const leadTime = 15 * time.Second
 
-// arrive begins a conversation, or rarely many at once that count for as many.
-func (b *builder) arrive(at time.Duration) error {
-	s := b.source()
+// addArrival adds the conversation of one arrival. For a source with groups, one arrival
+// in GroupSize on average adds a whole group and the others add nothing, so that the mean
+// rate stays the same.
+func (b *builder) addArrival(at time.Duration) error {
+	s := b.drawSource()
 	if s.GroupSize <= 1 {
-		return b.converse(s, at)
+		return b.addConversation(s, at)
 	}
 	if b.random.IntN(s.GroupSize) != 0 {
 		return nil
 	}
 	for range s.GroupSize {
-		if err := b.converse(s, at+b.exponential(300*time.Millisecond)); err != nil {
+		if err := b.addConversation(s, at+b.exponential(300*time.Millisecond)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (b *builder) source() *Source {
+func (b *builder) drawSource() *Source {
 	var sum float64
 	for _, s := range b.model.Sources {
 		sum += s.Share
@@ -188,45 +191,45 @@
 	return &b.model.Sources[0]
 }
 
-// converse makes a conversation and its plain calls, as far as they fall into the
-// time.
-func (b *builder) converse(s *Source, at time.Duration) error {
-	b.made++
-	c := b.conversation(s)
+// addConversation adds those requests of a conversation and its service calls that fall
+// within the duration.
+func (b *builder) addConversation(s *Source, at time.Duration) error {
+	b.conversations++
+	c := b.newConversation(s)
 	turns := 1 + b.random.IntN(2*s.MeanTurns-1)
 	for turn := range turns {
-		r, err := c.turn(turn, at)
+		r, err := c.nextRequest(turn, at)
 		if err != nil {
 			return err
 		}
-		b.add(r)
-		if c.tokens > longestConversation {
+		b.addRequest(r)
+		if c.tokens > maxConversationTokens {
 			break
 		}
 		at += s.ThinkTime/2 + b.exponential(s.ThinkTime/2)
 	}
 	for call := range int(b.model.CallsPerConversation) {
-		b.add(b.call(c, call, at-b.exponential(s.ThinkTime)))
+		b.addRequest(b.newCall(c, call, at-b.exponential(s.ThinkTime)))
 	}
 	return nil
 }
 
-func (b *builder) conversation(s *Source) *conversation {
-	row, tier := b.rows(s.Organisation)
+func (b *builder) newConversation(s *Source) *conversation {
+	row, tier := b.organisationRows(s.Organisation)
 	c := &conversation{
-		random: b.random,
-		model:  b.model.Deployment.Model,
-		source: s,
-		row:    row,
-		tier:   tier,
-		place:  b.places[b.random.IntN(len(b.places))],
-		name:   fmt.Sprintf("%s-%d", s.Organisation, b.made),
+		random:       b.random,
+		model:        b.model.Deployment.Model,
+		source:       s,
+		organisation: row,
+		tier:         tier,
+		dataCentre:   b.dataCentres[b.random.IntN(len(b.dataCentres))],
+		name:         fmt.Sprintf("%s-%d", s.Organisation, b.conversations),
 	}
-	c.begin(b.guides[s.Organisation])
+	c.start(b.systemPrompts[s.Organisation])
 	return c
 }
 
-func (b *builder) rows(id domain.OrganisationID) (*config.OrganisationRow, *config.TierRow) {
+func (b *builder) organisationRows(id domain.OrganisationID) (*config.OrganisationRow, *config.TierRow) {
 	table := &b.model.Deployment.Table
 	org := slices.IndexFunc(table.Organisations, func(r config.OrganisationRow) bool { return r.ID == id })
 	row := &table.Organisations[org]
@@ -234,8 +237,8 @@
 	return row, &table.Tiers[tier]
 }
 
-func (b *builder) call(c *conversation, number int, at time.Duration) Request {
-	k := b.callKind()
+func (b *builder) newCall(c *conversation, number int, at time.Duration) Request {
+	k := b.drawCallKind()
 	body := k.Body
 	if strings.Contains(body, "%s") {
 		body = fmt.Sprintf(body, fmt.Sprintf("%s-%d", c.name, number))
@@ -243,9 +246,9 @@
 	return Request{
 		Key:           fmt.Sprintf("%s-call-%d", c.name, number),
 		Kind:          k.Name,
-		Organisation:  c.row.ID,
+		Organisation:  c.organisation.ID,
 		Tier:          c.tier.Rank,
-		DataCentre:    c.place,
+		DataCentre:    c.dataCentre,
 		At:            at,
 		Timeout:       k.Timeout,
 		Method:        k.Method,
@@ -255,7 +258,7 @@
 	}
 }
 
-func (b *builder) callKind() *CallKind {
+func (b *builder) drawCallKind() *CallKind {
 	var sum float64
 	for _, k := range b.model.Calls {
 		sum += k.Share
@@ -269,8 +272,9 @@
 	return &b.model.Calls[0]
 }
 
-// add keeps a request that falls into the time, and draws what its caller does.
-func (b *builder) add(r Request) {
+// addRequest draws the behaviour of the caller and adds the request if it falls within
+// the duration.
+func (b *builder) addRequest(r Request) {
 	retry, hangUp := b.random.Float64() < b.model.RetryShare, b.random.Float64() < b.model.HangUpShare
 	after := b.random.Float64()
 	if r.At < 0 || r.At >= b.options.Duration {
@@ -282,7 +286,7 @@
 	case hangUp && r.IsModelRequest():
 		r.HangUpAfter = time.Duration((0.02 + 0.5*after) * float64(r.Timeout))
 	}
-	b.out = append(b.out, r)
+	b.requests = append(b.requests, r)
 }
 
 func (b *builder) exponential(mean time.Duration) time.Duration {
--- a/load/workload_test.go
+++ b/load/workload_test.go
@@ -10,8 +10,9 @@
 	"hawthornrill.example/hawthornrill/deployment"
 )
 
-// The same seed gives the same requests, another one others; the work offered is
-// that asked for; lengths differ a hundredfold; and every sort of caller is there.
+// Equal seeds yield equal requests and different seeds different ones, the offered work
+// matches the requested load, answer lengths vary by a factor of 100, and all kinds of
+// caller behaviour occur.
 func TestWorkload(t *testing.T) {
 	for _, name := range deployment.Names() {
 		d, err := deployment.ByName(name)
@@ -27,7 +28,7 @@
 
 		keys := make(map[string]bool)
 		var work time.Duration
-		var retries, hangUps, once, turns int
+		var retries, hangUps, nonIdempotent, turns int
 		shortest, longest := 1<<30, 0
 		for i := range w.Requests {
 			r := &w.Requests[i]
@@ -35,7 +36,7 @@
 			assert.Assert(t, i == 0 || r.At >= w.Requests[i-1].At)
 			count(&retries, r.RetryAfter > 0)
 			count(&hangUps, r.HangUpAfter > 0)
-			count(&once, r.NonIdempotent)
+			count(&nonIdempotent, r.NonIdempotent)
 			count(&turns, r.IsModelRequest() && r.NewTokens < r.PromptTokens/2)
 			if r.IsModelRequest() {
 				work += Cost(r, referenceBatch)
@@ -44,30 +45,30 @@
 		}
 		assert.Equal(t, len(keys), len(w.Requests))
 		offered := work.Seconds() / (Capacity(&d.Table) * w.Duration.Seconds())
-		assert.Assert(t, offered > 0.99 && offered < 1.01, "%s: %.2f of capacity", name, offered)
-		assert.Assert(t, w.Duration > w.Options.Duration*3/4 && w.Duration < w.Options.Duration*4/3, "stretched to %v", w.Duration)
+		assert.Assert(t, offered > 0.99 && offered < 1.01, "%s: offered load is %.2f of capacity", name, offered)
+		assert.Assert(t, w.Duration > w.Options.Duration*3/4 && w.Duration < w.Options.Duration*4/3, "duration scaled to %v", w.Duration)
 		assert.Assert(t, w.Requests[len(w.Requests)-1].At < w.Duration)
-		assert.Assert(t, longest >= 100*shortest, "%s: from %d to %d tokens", name, shortest, longest)
-		for _, n := range []int{retries, hangUps, once, turns} {
-			assert.Assert(t, n > len(w.Requests)/100, "%s: %d %d %d %d", name, retries, hangUps, once, turns)
+		assert.Assert(t, longest >= 100*shortest, "%s: answers have %d to %d tokens", name, shortest, longest)
+		for _, n := range []int{retries, hangUps, nonIdempotent, turns} {
+			assert.Assert(t, n > len(w.Requests)/100, "%s: %d retries, %d hang-ups, %d non-idempotent calls, %d later turns", name, retries, hangUps, nonIdempotent, turns)
 		}
 	}
 }
 
-func count(n *int, yes bool) {
-	if yes {
+func count(n *int, condition bool) {
+	if condition {
 		*n++
 	}
 }
 
-// A request whose work does not fit any more is not in the bound, nor one that no
-// engine could answer in time, and a higher tier's comes first.
-func TestBound(t *testing.T) {
+// The bound excludes requests that exceed the capacity and those that no engine could
+// answer in time, and counts requests of higher tiers first.
+func TestGoodputBound(t *testing.T) {
 	d := deployment.Cucine()
 	request := Request{Timeout: time.Second, AnswerTokens: 90}
-	fitting := int(2 * Capacity(&d.Table) / Cost(&request, batchOf(&d.Table)).Seconds())
+	capacity := int(2 * Capacity(&d.Table) / Cost(&request, batchSize(&d.Table)).Seconds())
 	w := &Workload{}
-	for i := range 2 * fitting {
+	for i := range 2 * capacity {
 		request.Tier = 1
 		if i%4 == 0 {
 			request.Tier = 0
@@ -76,6 +77,6 @@
 	}
 	w.Requests = append(w.Requests, Request{Timeout: time.Second, AnswerTokens: 101})
 	bound := GoodputBound(w, &d.Table)
-	assert.Equal(t, bound[0], (2*fitting+3)/4)
-	assert.Equal(t, bound[0]+bound[1], fitting)
+	assert.Equal(t, bound[0], (2*capacity+3)/4)
+	assert.Equal(t, bound[0]+bound[1], capacity)
 }
