--- a/load/conversation.go
+++ b/load/conversation.go
@@ -53,12 +53,12 @@
 func (c *conversation) nextRequest(number int, at time.Duration) (Request, error) {
 	kind := pickKind(c.random, c.source.Kinds)
 	tokensBefore := c.tokens
-	c.appendMessage("user", randomText(c.random, kind.drawLength(c.random, kind.QuestionTokens)))
-	answerTokens := kind.drawLength(c.random, kind.AnswerTokens)
+	c.appendMessage("user", randomText(c.random, kind.drawLength(c.random, kind.MeanQuestionTokens)))
+	answerTokens := kind.drawLength(c.random, kind.MeanAnswerTokens)
 	body, err := json.Marshal(chatBody{
 		Model:        c.model,
 		Messages:     c.messages,
-		MaxTokens:    maxLengthFactor * kind.AnswerTokens,
+		MaxTokens:    maxLengthFactor * kind.MeanAnswerTokens,
 		AnswerTokens: answerTokens,
 		Stream:       true,
 	})
--- a/load/cucine.go
+++ b/load/cucine.go
@@ -10,10 +10,10 @@
 // explaining line items and checking measurements. Bursts occur when showrooms open and
 // when fitters arrive on site.
 func cucine(d *deployment.Deployment) Model {
-	check := Kind{Name: "check", Share: 50, QuestionTokens: 40, AnswerTokens: 24, Sigma: 0.5, Timeout: 6 * time.Second}
-	item := Kind{Name: "item", Share: 35, QuestionTokens: 120, AnswerTokens: 110, Sigma: 0.6, Timeout: 10 * time.Second}
-	quote := Kind{Name: "quote", Share: 15, QuestionTokens: 700, AnswerTokens: 800, Sigma: 0.7, Timeout: 30 * time.Second}
-	draft := Kind{Name: "draft", Share: 15, QuestionTokens: 900, AnswerTokens: 900, Sigma: 0.7, Timeout: 40 * time.Second}
+	check := Kind{Name: "check", Share: 50, MeanQuestionTokens: 40, MeanAnswerTokens: 24, Sigma: 0.5, Timeout: 6 * time.Second}
+	item := Kind{Name: "item", Share: 35, MeanQuestionTokens: 120, MeanAnswerTokens: 110, Sigma: 0.6, Timeout: 10 * time.Second}
+	quote := Kind{Name: "quote", Share: 15, MeanQuestionTokens: 700, MeanAnswerTokens: 800, Sigma: 0.7, Timeout: 30 * time.Second}
+	draft := Kind{Name: "draft", Share: 15, MeanQuestionTokens: 900, MeanAnswerTokens: 900, Sigma: 0.7, Timeout: 40 * time.Second}
 	salesKinds := []Kind{check, item, quote}
 	return Model{
 		Deployment: d,
--- a/load/kind.go
+++ b/load/kind.go
@@ -11,10 +11,10 @@
 	Name string
 	// Share is the weight of this kind among the kinds of an organisation.
 	Share float64
-	// QuestionTokens is the mean length in tokens of the new text of a turn, AnswerTokens
-	// that of the answer. Both follow a log-normal distribution with parameter Sigma.
-	QuestionTokens, AnswerTokens int
-	Sigma                        float64
+	// MeanQuestionTokens is the mean length in tokens of the new text of a turn,
+	// MeanAnswerTokens that of the answer. Both follow a log-normal distribution with parameter Sigma.
+	MeanQuestionTokens, MeanAnswerTokens int
+	Sigma                                float64
 	// Timeout is how long the caller waits for the complete answer.
 	Timeout time.Duration
 }
--- a/load/pryce.go
+++ b/load/pryce.go
@@ -10,10 +10,10 @@
 // during a hunt, and long recaps that teams request at the same time when they finish
 // together.
 func pryce(d *deployment.Deployment) Model {
-	check := Kind{Name: "check", Share: 50, QuestionTokens: 30, AnswerTokens: 16, Sigma: 0.4, Timeout: 5 * time.Second}
-	hint := Kind{Name: "hint", Share: 50, QuestionTokens: 80, AnswerTokens: 70, Sigma: 0.5, Timeout: 8 * time.Second}
-	story := Kind{Name: "story", Share: 15, QuestionTokens: 300, AnswerTokens: 300, Sigma: 0.6, Timeout: 20 * time.Second}
-	recap := Kind{Name: "recap", Share: 100, QuestionTokens: 1500, AnswerTokens: 1400, Sigma: 0.5, Timeout: 45 * time.Second}
+	check := Kind{Name: "check", Share: 50, MeanQuestionTokens: 30, MeanAnswerTokens: 16, Sigma: 0.4, Timeout: 5 * time.Second}
+	hint := Kind{Name: "hint", Share: 50, MeanQuestionTokens: 80, MeanAnswerTokens: 70, Sigma: 0.5, Timeout: 8 * time.Second}
+	story := Kind{Name: "story", Share: 15, MeanQuestionTokens: 300, MeanAnswerTokens: 300, Sigma: 0.6, Timeout: 20 * time.Second}
+	recap := Kind{Name: "recap", Share: 100, MeanQuestionTokens: 1500, MeanAnswerTokens: 1400, Sigma: 0.5, Timeout: 45 * time.Second}
 	return Model{
 		Deployment: d,
 		Sources: []Source{
