--- a/cmd/hawthornrill-demo/main.go
+++ b/cmd/hawthornrill-demo/main.go
@@ -1,4 +1,4 @@
-// Command hawthornrill-demo runs a whole deployment in one process on loopback.
+// Command hawthornrill-demo runs a complete deployment in one process on loopback.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"hawthornrill.example/hawthornrill/settings"
 )
 
-// startTimeout bounds the start of the whole deployment.
+// startTimeout bounds the startup of the deployment.
 const startTimeout = 30 * time.Second
 
 // Exit codes.
@@ -70,13 +70,13 @@
 		return err
 	}
 	if once {
-		err := errors.Join(d.Sample(ctx, os.Stdout), d.Stop())
+		err := errors.Join(d.RunSample(ctx, os.Stdout), d.Stop())
 		if err == nil {
 			err = samplePlatform(ctx, os.Stdout, options.Log)
 		}
 		return err
 	}
-	if err := d.Guide(os.Stdout); err != nil {
+	if err := d.WriteGuide(os.Stdout); err != nil {
 		return errors.Join(err, d.Stop())
 	}
 	<-ctx.Done()
--- a/coordinator/fleet_test.go
+++ b/coordinator/fleet_test.go
@@ -106,7 +106,7 @@
 			r.dc = "p"
 		}
 		s.Table.Endpoints = append(s.Table.Endpoints, config.EndpointRow{ID: id, Kind: config.KindEngine, DataCentre: r.dc, Serves: r.serves, ChecksFencing: !r.ignoresFencing})
-		options := engine.Options{IgnoreFencing: r.ignoresFencing, Speed: engine.Speed{Load: 4 * time.Second}}
+		options := engine.Options{IgnoreFencing: r.ignoresFencing, Speed: engine.Speed{ModelLoad: 4 * time.Second}}
 		if r.loaded != "" {
 			options.Models = splitModels(r.loaded)
 		}
--- a/coordinator/service_test.go
+++ b/coordinator/service_test.go
@@ -105,7 +105,7 @@
 			assert.Assert(t, f.holder() == f.otherNode(old))
 			lateOrder := f.orders("e1")[0]
 			assert.Equal(t, lateOrder.Order.Fence, fence)
-			assert.Equal(t, lateOrder.Obeyed, ignores)
+			assert.Equal(t, lateOrder.Applied, ignores)
 			if ignores {
 				// Detected and corrected within a period.
 				correction := f.orders("e1")[1]
@@ -132,7 +132,7 @@
 		orders := f.orders("e1")
 		assert.Equal(t, orders[1].Order.Fence, fence)
 		for _, r := range orders {
-			assert.Assert(t, !r.Old, "%v", orders)
+			assert.Assert(t, !r.Stale, "%v", orders)
 		}
 	})
 }
@@ -151,7 +151,7 @@
 		time.Sleep(takeoverTime)
 		for id := range f.engines {
 			for _, r := range f.engines[id].OrderLog() {
-				assert.Assert(t, !r.Old, "%s: %v", id, r)
+				assert.Assert(t, !r.Stale, "%s: %v", id, r)
 			}
 		}
 		for _, id := range []domain.EndpointID{"e1", "e2"} {
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -10,8 +10,8 @@
 	"hawthornrill.example/hawthornrill/deployment"
 )
 
-// TestSample runs the demo's sample over real sockets; how long it takes does not
-// matter.
+// TestSample runs the demo's sample over real sockets, without any bound on its
+// duration.
 func TestSample(t *testing.T) {
 	for _, name := range deployment.Names() {
 		t.Run(name, func(t *testing.T) {
@@ -21,7 +21,7 @@
 			running, err := Start(context.Background(), Options{Deployment: d, Log: zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.WarnLevel)})
 			assert.NilError(t, err)
 			defer func() { assert.Check(t, running.Stop()) }()
-			assert.NilError(t, running.Sample(context.Background(), t.Output()))
+			assert.NilError(t, running.RunSample(context.Background(), t.Output()))
 		})
 	}
 }
--- a/entry/call.go
+++ b/entry/call.go
@@ -114,7 +114,7 @@
 // repeatable reports whether the configuration allows the call to be repeated
 // under another key. It does not if the once column is invalid.
 func repeatable(service *config.ServiceRow, call *endpoint.ServiceRequest) *bool {
-	rules, err := config.ParseOnce(service.Once)
+	rules, err := config.ParseNonIdempotentRules(service.Once)
 	path, _, _ := strings.Cut(call.Path, "?")
 	allowed := err == nil && !rules.Match(call.Method, path)
 	return &allowed
--- a/load/choosers.go
+++ b/load/choosers.go
@@ -9,30 +9,31 @@
 	"hawthornrill.example/hawthornrill/endpoint"
 )
 
-// balancer is the part that the plain choosers share: they learn nothing.
-type balancer struct{}
+// chooserBase implements the methods of capacity.Chooser that the baseline choosers do
+// not use: it admits every request, makes no forecasts and ignores results.
+type chooserBase struct{}
 
 // Admit implements capacity.Chooser.
-func (balancer) Admit(time.Time, *capacity.Request) error { return nil }
+func (chooserBase) Admit(time.Time, *capacity.Request) error { return nil }
 
 // Granted implements capacity.Chooser.
-func (balancer) Granted(time.Time, *capacity.EndpointState, *capacity.Request) {}
+func (chooserBase) Granted(time.Time, *capacity.EndpointState, *capacity.Request) {}
 
 // Forecast implements capacity.Chooser.
-func (balancer) Forecast(time.Time, *capacity.EndpointState, *capacity.Request) capacity.Forecast {
+func (chooserBase) Forecast(time.Time, *capacity.EndpointState, *capacity.Request) capacity.Forecast {
 	return capacity.Forecast{}
 }
 
 // Observe implements capacity.Chooser.
-func (balancer) Observe(time.Time, *capacity.EndpointState, *capacity.Request, capacity.Result) {}
+func (chooserBase) Observe(time.Time, *capacity.EndpointState, *capacity.Request, capacity.Result) {}
 
-// Random takes any endpoint.
+// Random chooses an endpoint at random.
 type Random struct {
-	balancer
+	chooserBase
 	random *rand.Rand
 }
 
-// NewRandom returns a seeded Random.
+// NewRandom returns a Random with the given seed.
 func NewRandom(seed uint64) *Random { return &Random{random: rand.New(rand.NewPCG(seed, 1))} }
 
 // Choose implements capacity.Chooser.
@@ -40,9 +41,9 @@
 	return c.random.IntN(len(candidates)), true
 }
 
-// RoundRobin takes the endpoints in turn.
+// RoundRobin chooses the endpoints in rotation.
 type RoundRobin struct {
-	balancer
+	chooserBase
 	turn int
 }
 
@@ -52,22 +53,22 @@
 	return c.turn % len(candidates), true
 }
 
-// LeastReported takes the endpoint whose last report told the least load.
-type LeastReported struct {
-	balancer
+// LeastReportedLoad chooses the endpoint with the lowest load in its last report.
+type LeastReportedLoad struct {
+	chooserBase
 	load map[domain.EndpointID]int
 	turn int
 }
 
-var _ capacity.ReportReceiver = (*LeastReported)(nil)
+var _ capacity.ReportReceiver = (*LeastReportedLoad)(nil)
 
-// NewLeastReported returns a LeastReported that has no reports yet.
-func NewLeastReported() *LeastReported {
-	return &LeastReported{load: make(map[domain.EndpointID]int)}
+// NewLeastReportedLoad returns a LeastReportedLoad without reports.
+func NewLeastReportedLoad() *LeastReportedLoad {
+	return &LeastReportedLoad{load: make(map[domain.EndpointID]int)}
 }
 
-// Choose implements capacity.Chooser. Among equals it takes turns.
-func (c *LeastReported) Choose(_ time.Time, _ *capacity.QueuedRequest, candidates []*capacity.EndpointState) (int, bool) {
+// Choose implements capacity.Chooser. Ties are broken in rotation.
+func (c *LeastReportedLoad) Choose(_ time.Time, _ *capacity.QueuedRequest, candidates []*capacity.EndpointState) (int, bool) {
 	c.turn++
 	best := c.turn % len(candidates)
 	for i := range candidates {
@@ -80,9 +81,9 @@
 }
 
 // Report implements capacity.ReportReceiver.
-func (c *LeastReported) Report(_ time.Time, e *capacity.EndpointState, report endpoint.LoadReport) {
+func (c *LeastReportedLoad) Report(_ time.Time, e *capacity.EndpointState, report endpoint.LoadReport) {
 	c.load[e.ID] = report.Running + report.Waiting
 }
 
 // CacheEvents implements capacity.ReportReceiver.
-func (*LeastReported) CacheEvents(time.Time, *capacity.EndpointState, []endpoint.CacheEvent) {}
+func (*LeastReportedLoad) CacheEvents(time.Time, *capacity.EndpointState, []endpoint.CacheEvent) {}
--- a/load/result.go
+++ b/load/result.go
@@ -2,78 +2,79 @@
 
 import "time"
 
-// Result is what became of a request.
+// Result holds the attempts of a request.
 type Result struct {
 	Request  *Request
 	Attempts []Attempt
 }
 
-// Fate is how a request ended for its caller.
-type Fate string
+// ResultStatus is the final status of a request as seen by its caller.
+type ResultStatus string
 
-// Fates. Of several attempts the best counts.
+// Result statuses. If a request has several attempts, the best status counts.
 const (
-	FateOnTime Fate = "on_time"
-	// FateLate answers were complete, but after the caller's patience.
-	FateLate    Fate = "late"
-	FateNotRun  Fate = "not_run"
-	FateUnknown Fate = "unknown"
-	FateRan     Fate = "ran"
-	FateHungUp  Fate = "hung_up"
-	// FateBroken means an end without an answer and without an outcome.
-	FateBroken Fate = "broken"
+	ResultOnTime ResultStatus = "on_time"
+	// ResultLate means that the answer was complete but came after the caller's timeout.
+	ResultLate    ResultStatus = "late"
+	ResultNotRun  ResultStatus = "not_run"
+	ResultUnknown ResultStatus = "unknown"
+	ResultRan     ResultStatus = "ran"
+	ResultHungUp  ResultStatus = "hung_up"
+	// ResultBroken means that the request ended without a complete answer or an outcome.
+	ResultBroken ResultStatus = "broken"
 )
 
-// order of fates, the best first.
-var fates = []Fate{FateOnTime, FateLate, FateHungUp, FateRan, FateUnknown, FateNotRun, FateBroken}
+// statusesBestFirst ranks the statuses.
+var statusesBestFirst = []ResultStatus{ResultOnTime, ResultLate, ResultHungUp, ResultRan, ResultUnknown, ResultNotRun, ResultBroken}
 
-// Fate returns how the request ended.
-func (r *Result) Fate() Fate {
-	best := len(fates) - 1
+// Status returns the best status of all attempts.
+func (r *Result) Status() ResultStatus {
+	best := len(statusesBestFirst) - 1
 	for i := range r.Attempts {
-		fate := r.fateOf(&r.Attempts[i])
-		for rank, f := range fates {
-			if f == fate {
+		status := r.attemptStatus(&r.Attempts[i])
+		for rank, s := range statusesBestFirst {
+			if s == status {
 				best = min(best, rank)
 			}
 		}
 	}
-	return fates[best]
+	return statusesBestFirst[best]
 }
 
-func (r *Result) fateOf(a *Attempt) Fate {
+func (r *Result) attemptStatus(a *Attempt) ResultStatus {
 	switch {
-	case a.Complete && a.Ended-r.Request.At <= r.Request.Patience:
-		return FateOnTime
+	case a.Complete && a.Ended-r.Request.At <= r.Request.Timeout:
+		return ResultOnTime
 	case a.Complete:
-		return FateLate
+		return ResultLate
 	case a.HungUp:
-		return FateHungUp
+		return ResultHungUp
 	case a.Outcome != "":
-		return Fate(a.Outcome)
+		return ResultStatus(a.Outcome)
 	default:
-		return FateBroken
+		return ResultBroken
 	}
 }
 
-// FirstToken returns the time from the request's instant to the first token, zero
-// if there was none.
-func (r *Result) FirstToken() time.Duration {
+// TimeToFirstToken returns the time from Request.At to the earliest first token of all
+// attempts, or zero if no token was received.
+func (r *Result) TimeToFirstToken() time.Duration {
 	var best time.Duration
 	for i := range r.Attempts {
 		a := &r.Attempts[i]
-		if a.First == 0 {
+		if a.FirstTokenAt == 0 {
 			continue
 		}
-		if d := a.First - r.Request.At; best == 0 || d < best {
+		if d := a.FirstTokenAt - r.Request.At; best == 0 || d < best {
 			best = d
 		}
 	}
 	return best
 }
 
-// Prompt reports whether the first token came within its aim.
-func (r *Result) Prompt() bool {
-	first := r.FirstToken()
-	return r.Request.FirstToken == 0 || first > 0 && first <= r.Request.FirstToken
+// FirstTokenOnTime reports whether the time to first token met the target, if there is
+// one.
+func (r *Result) FirstTokenOnTime() bool {
+	first := r.TimeToFirstToken()
+	return r.Request.FirstTokenTarget == 0 || first > 0 && first <= r.Request.FirstTokenTarget
 }
--- a/node/node.go
+++ b/node/node.go
@@ -96,7 +96,7 @@
 		return err
 	}
 	n.documents = documents
-	n.config, err = agreed.New(documents, agreed.Options{InForce: n.logInForce})
+	n.config, err = agreed.New(documents, agreed.Options{OnApply: n.logInForce})
 	return err
 }
 
--- a/operatorapi/api.go
+++ b/operatorapi/api.go
@@ -110,7 +110,7 @@
 // previewChanges returns the effect that the changes would have on the table.
 func previewChanges(current config.Table, changes []config.Change) (PreviewReply, error) {
 	var reply PreviewReply
-	next, err := config.Next(current, changes)
+	next, err := config.ApplyChanges(current, changes)
 	if errors.As(err, &reply.Conflicts) || errors.As(err, &reply.Problems) {
 		return reply, nil
 	}
--- a/standin/engine/handler.go
+++ b/standin/engine/handler.go
@@ -12,10 +12,10 @@
 	"hawthornrill.example/hawthornrill/standin/api"
 )
 
-// headerRequestKey names the stream of a request.
+// headerRequestKey carries the request key, which names the stream.
 const headerRequestKey = "X-Request-Key"
 
-// maxBodyBytes bounds a request's body.
+// maxBodyBytes is the maximum size of a request body.
 const maxBodyBytes = 16 << 20
 
 // handler serves an engine over HTTP.
@@ -59,7 +59,7 @@
 }
 
 func (h *handler) resume(c echo.Context) error {
-	from, err := api.QueryNumber(c, "from")
+	from, err := api.QueryUint(c, "from")
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 }
 
 func (h *handler) cacheEvents(c echo.Context) error {
-	after, err := api.QueryNumber(c, "after")
+	after, err := api.QueryUint(c, "after")
 	if err != nil {
 		return err
 	}
--- a/standin/engine/speed.go
+++ b/standin/engine/speed.go
@@ -2,63 +2,69 @@
 
 import "time"
 
-// Speed is how fast an engine's hardware is. The zero value takes no time.
+// Speed describes the performance of an engine's hardware. With the zero value all
+// work takes no time.
 type Speed struct {
 	// Prefill is the time for one uncached prompt token.
 	Prefill time.Duration
-	// Step is the time to decode one token for a batch of one; PerSequence is
+	// DecodeStep is the time to decode one token with a batch of one; PerSequence is
 	// added for each further sequence in the batch.
-	Step        time.Duration
+	DecodeStep  time.Duration
 	PerSequence time.Duration
-	// Chunk is the number of prompt tokens that one step computes at most.
-	Chunk int
-	// Load is the time to load a model's weights, Adapter an adapter's.
-	Load    time.Duration
-	Adapter time.Duration
+	// PrefillChunk is the maximum number of prompt tokens that one step computes.
+	PrefillChunk int
+	// ModelLoad is the time to load a model's weights, AdapterLoad an adapter's.
+	ModelLoad   time.Duration
+	AdapterLoad time.Duration
 	// Transfer is the time to export or import one token of KV cache.
 	Transfer time.Duration
 }
 
 const defaultChunk = 256
 
-// GenerationB is the older hardware, which takes 2.5 times as long.
+// GenerationB returns the speed of the older hardware, which takes 2.5 times as
+// long.
 func GenerationB() Speed {
 	return Speed{
-		Prefill:     150 * time.Microsecond,
-		Step:        25 * time.Millisecond,
-		PerSequence: 500 * time.Microsecond,
-		Chunk:       defaultChunk,
-		Load:        50 * time.Second,
-		Adapter:     2500 * time.Millisecond,
-		Transfer:    10 * time.Microsecond,
+		Prefill:      150 * time.Microsecond,
+		DecodeStep:   25 * time.Millisecond,
+		PerSequence:  500 * time.Microsecond,
+		PrefillChunk: defaultChunk,
+		ModelLoad:    50 * time.Second,
+		AdapterLoad:  2500 * time.Millisecond,
+		Transfer:     10 * time.Microsecond,
 	}
 }
 
-// GenerationA is the newer hardware.
+// GenerationA returns the speed of the newer hardware.
 func GenerationA() Speed {
 	return Speed{
-		Prefill:     60 * time.Microsecond,
-		Step:        10 * time.Millisecond,
-		PerSequence: 200 * time.Microsecond,
-		Chunk:       defaultChunk,
-		Load:        20 * time.Second,
-		Adapter:     time.Second,
-		Transfer:    4 * time.Microsecond,
+		Prefill:      60 * time.Microsecond,
+		DecodeStep:   10 * time.Millisecond,
+		PerSequence:  200 * time.Microsecond,
+		PrefillChunk: defaultChunk,
+		ModelLoad:    20 * time.Second,
+		AdapterLoad:  time.Second,
+		Transfer:     4 * time.Microsecond,
 	}
 }
 
-// NoDelay takes no time for anything; it serves to measure what others add.
-func NoDelay() Speed { return Speed{Chunk: defaultChunk} }
+// NoDelay returns a speed with which all work takes no time. It is used to measure
+// the overhead of other components.
+func NoDelay() Speed { return Speed{PrefillChunk: defaultChunk} }
 
-// Flat yields a token every interval whatever the batch and the prompt, so that
-// what others add to it can be told from its own delays.
-func Flat(interval time.Duration) Speed { return Speed{Step: interval, Chunk: 1 << 20} }
+// FixedInterval returns a speed that yields one token every interval, whatever the
+// batch and the prompt, so that delays added by other components can be told from
+// those of the engine.
+func FixedInterval(interval time.Duration) Speed {
+	return Speed{DecodeStep: interval, PrefillChunk: 1 << 20}
+}
 
-// step is the time of one step of the batch.
+// step returns the duration of one step of the batch.
 func (s Speed) step(decoding, prefill int) time.Duration {
 	d := time.Duration(prefill) * s.Prefill
 	if decoding > 0 {
-		d += s.Step + time.Duration(decoding-1)*s.PerSequence
+		d += s.DecodeStep + time.Duration(decoding-1)*s.PerSequence
 	}
 	return d
 }
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -30,7 +30,7 @@
 	return err
 }
 
-func TestGoesDownAndComesBack(t *testing.T) {
+func TestUnavailableThenAvailable(t *testing.T) {
 	entered := make(chan struct{})
 	release := make(chan struct{})
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -53,10 +53,10 @@
 
 	go wait()
 	<-entered
-	s.SetUp(false)
+	s.SetAvailable(false)
 	assert.ErrorIs(t, <-waiting, endpoint.ErrBroken)
 	assert.ErrorIs(t, get(transport, s.URL()), endpoint.ErrNotDispatched)
-	s.SetUp(true)
+	s.SetAvailable(true)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if err := get(transport, s.URL()); err != nil {
 			return poll.Continue("%v", err)
