--- a/routing/holdback.go
+++ b/routing/holdback.go
@@ -23,9 +23,9 @@
 	interval := speed.Interval.At(float64(n))
 	remaining := float64(e.lastLoad.answerTokens) / float64(n)
 	wait := 2 * remaining * interval / float64(n+1)
-	cached := prefixTokens(r.Ask, e.prefixes.Depth(r.Ask.Blocks, 0))
-	prompt := max(r.Ask.PromptTokens-cached, 0)
-	return wait + speed.FirstToken.At(float64(prompt)) + float64(r.Ask.AnswerTokens)*interval
+	cached := prefixTokens(r.Request, e.prefixes.Depth(r.Request.Blocks, 0))
+	prompt := max(r.Request.PromptTokens-cached, 0)
+	return wait + speed.FirstToken.At(float64(prompt)) + float64(r.Request.AnswerTokens)*interval
 }
 
 // fullEndpoints returns the healthy endpoints of the request's pool that are not among the candidates.
@@ -42,7 +42,7 @@
 // worthWaitingFor reports whether the endpoint serves the request's pool, was seen recently, and is
 // busy but healthy.
 func (e *Endpoint) worthWaitingFor(r *Request, o Options) bool {
-	return slices.Contains(e.pools, r.Ask.Pool) &&
+	return slices.Contains(e.pools, r.Request.Pool) &&
 		e.lastLoad.requests > 0 &&
 		!e.lastLoad.leaving &&
 		e.ejector.Health(r.Now) == HealthInService &&
--- a/routing/request.go
+++ b/routing/request.go
@@ -9,8 +9,8 @@
 
 // Request is the input of the pipeline steps.
 type Request struct {
-	Now time.Time
-	Ask *capacity.Request
+	Now     time.Time
+	Request *capacity.Request
 	// Due is the deadline for the complete answer.
 	Due time.Time
 	// Suspect is true if the same content was running on an endpoint when it crashed.
--- a/routing/router.go
+++ b/routing/router.go
@@ -104,7 +104,7 @@
 	if !waiting.Urgent {
 		return 0, false
 	}
-	return rt.pipeline.Choose(r, rt.candidates(r.Now, states, r.Ask.Pool)).index, true
+	return rt.pipeline.Choose(r, rt.candidates(r.Now, states, r.Request.Pool)).index, true
 }
 
 // shouldHoldBack reports whether the request should wait for an endpoint that is currently full.
@@ -132,16 +132,16 @@
 // trackGrant records what is needed to evaluate the grant when it ends.
 func (rt *Router) trackGrant(r *Request, c *Candidate) {
 	e := c.Learned
-	if r.Ask.Fingerprint == 0 {
+	if r.Request.Fingerprint == 0 {
 		rt.markProbe(r, e)
 		return
 	}
 	e.addGrant(trackedGrant{
-		fingerprint: r.Ask.Fingerprint,
+		fingerprint: r.Request.Fingerprint,
 		placed:      r.Now,
 		work:        c.Estimate.Work,
 		batch:       float64(c.State.Requests + 1),
-		prompt:      float64(r.Ask.PromptTokens),
+		prompt:      float64(r.Request.PromptTokens),
 		cached:      c.Estimate.CachedTokens,
 		probe:       rt.markProbe(r, e),
 		suspect:     r.Suspect,
@@ -153,7 +153,7 @@
 	now := r.Now
 	probe := false
 	if e.ejector.Health(now) != HealthInService {
-		e.ejector.StartProbe(now, r.Ask.PromptTokens > 0)
+		e.ejector.StartProbe(now, r.Request.PromptTokens > 0)
 		probe = true
 	}
 	if e.straggler.IsStraggler(rt.options.StragglerRatio) && e.straggler.ProbeDue(now, rt.options.ProbeInterval) {
@@ -217,7 +217,7 @@
 	ask := waiting.Request
 	rt.requestScratch = Request{
 		Now:      now,
-		Ask:      ask,
+		Request:  ask,
 		Due:      waiting.Due,
 		Suspect:  rt.options.Quarantine.Suspect(ask.Fingerprint),
 		Affinity: rt.affinity(ask),
--- a/routing/scorer_outstanding.go
+++ b/routing/scorer_outstanding.go
@@ -16,10 +16,10 @@
 
 func (s OutstandingScorer) score(r *Request, c *Candidate) {
 	e := &c.Estimate
-	e.OwnWork = max(float64(r.Ask.PromptTokens)-e.CachedTokens, 0)
+	e.OwnWork = max(float64(r.Request.PromptTokens)-e.CachedTokens, 0)
 	ahead := float64(c.State.PrefillTokens) * c.Learned.uncachedFraction()
 	e.Work = ahead + e.OwnWork + float64(s.RequestOverheadTokens*c.State.Requests)
-	e.Batch = meanBatch(c.State.Requests, c.State.AnswerTokens, r.Ask.AnswerTokens)
+	e.Batch = meanBatch(c.State.Requests, c.State.AnswerTokens, r.Request.AnswerTokens)
 }
 
 // meanBatch returns the mean batch size while an answer of own tokens is generated, given the number
--- a/routing/scorer_prefix.go
+++ b/routing/scorer_prefix.go
@@ -9,7 +9,7 @@
 	depth := 0
 	for i := range candidates {
 		c := &candidates[i]
-		depth = c.Learned.prefixes.Depth(r.Ask.Blocks, depth)
-		c.Estimate.CachedTokens = float64(prefixTokens(r.Ask, depth)) * c.Learned.cacheTrust.Fraction()
+		depth = c.Learned.prefixes.Depth(r.Request.Blocks, depth)
+		c.Estimate.CachedTokens = float64(prefixTokens(r.Request, depth)) * c.Learned.cacheTrust.Fraction()
 	}
 }
--- a/routing/scorer_session.go
+++ b/routing/scorer_session.go
@@ -20,6 +20,6 @@
 	if r.Session.Endpoint != c.State.ID || r.Now.Sub(r.Session.PlacedAt) > s.TTL {
 		return
 	}
-	tokens := float64(min(r.Session.Tokens, r.Ask.PromptTokens)) * c.Learned.cacheTrust.Fraction()
+	tokens := float64(min(r.Session.Tokens, r.Request.PromptTokens)) * c.Learned.cacheTrust.Fraction()
 	c.Estimate.CachedTokens = max(c.Estimate.CachedTokens, tokens)
 }
--- a/routing/scorer_speed.go
+++ b/routing/scorer_speed.go
@@ -14,5 +14,5 @@
 }
 
 func (s SpeedScorer) score(r *Request, c *Candidate) {
-	c.Estimate.predict(c.Learned.Speed(), r.Ask.AnswerTokens, s.PrefillWeight)
+	c.Estimate.predict(c.Learned.Speed(), r.Request.AnswerTokens, s.PrefillWeight)
 }
--- a/routing/scorer_straggler.go
+++ b/routing/scorer_straggler.go
@@ -26,7 +26,7 @@
 		return
 	}
 	slow := c.Estimate
-	slow.predict(&c.Learned.generation.profile.speed, r.Ask.AnswerTokens, s.PrefillWeight)
+	slow.predict(&c.Learned.generation.profile.speed, r.Request.AnswerTokens, s.PrefillWeight)
 	slow.scale(straggler.Ratio())
 	if straggler.ProbeDue(r.Now, s.ProbeInterval) && meetsDeadline(r, slow.Total) {
 		return
--- a/routing/steps_test.go
+++ b/routing/steps_test.go
@@ -32,7 +32,7 @@
 }
 
 func request(change ...func(r *Request)) *Request {
-	r := &Request{Now: t0, Ask: &capacity.Request{PromptTokens: 640, AnswerTokens: 100, Blocks: []uint64{1, 2, 3, 4, 5}}}
+	r := &Request{Now: t0, Request: &capacity.Request{PromptTokens: 640, AnswerTokens: 100, Blocks: []uint64{1, 2, 3, 4, 5}}}
 	for _, f := range change {
 		f(r)
 	}
