--- a/routing/quarantine/messages.go
+++ b/routing/quarantine/messages.go
@@ -13,11 +13,11 @@
 // report distributes new evidence.
 type report struct {
 	Evidence []Evidence `cbor:"1,keyasint"`
-	// Relay asks the receiver to forward the evidence within its data centre.
+	// Relay requests that the receiver forward the evidence within its data centre.
 	Relay bool `cbor:"2,keyasint,omitempty"`
 }
 
-// pullRequest asks a peer for all its evidence if its digest differs.
+// pullRequest requests all evidence of a peer if its digest differs.
 type pullRequest struct {
 	Digest uint64 `cbor:"1,keyasint"`
 }
--- a/routing/quarantine/quarantine_test.go
+++ b/routing/quarantine/quarantine_test.go
@@ -165,14 +165,14 @@
 // submit places a request with the content and returns false if the content is quarantined.
 func (p *testPool) submit(fingerprint uint64) bool {
 	now := time.Now()
-	ask := capacity.Request{Pool: "model/m", Fingerprint: fingerprint, PromptTokens: 100, AnswerTokens: 10}
-	if p.router.Admit(now, &ask) != nil {
+	request := capacity.Request{Pool: "model/m", Fingerprint: fingerprint, PromptTokens: 100, AnswerTokens: 10}
+	if p.router.Admit(now, &request) != nil {
 		return false
 	}
-	if at, ok := p.router.Choose(now, &capacity.QueuedRequest{Request: &ask}, p.states); ok {
-		p.router.Granted(now, p.states[at], &ask)
+	if at, ok := p.router.Choose(now, &capacity.QueuedRequest{Request: &request}, p.states); ok {
+		p.router.Granted(now, p.states[at], &request)
 		p.states[at].Requests++
-		p.running[at] = append(p.running[at], ask)
+		p.running[at] = append(p.running[at], request)
 	}
 	return true
 }
@@ -180,17 +180,17 @@
 // finishAll ends all running requests and returns the number of crashes.
 func (p *testPool) finishAll() int {
 	crashes := 0
-	for at, asks := range p.running {
+	for at, requests := range p.running {
 		result := capacity.Result{Dispatched: true, Complete: true, FirstToken: time.Second, Total: 2 * time.Second, AnswerTokens: 10}
-		for _, ask := range asks {
-			if ask.Fingerprint == poison {
+		for _, request := range requests {
+			if request.Fingerprint == poison {
 				result = capacity.Result{Dispatched: true, Crashed: true}
 				crashes++
 			}
 		}
-		for _, ask := range asks {
+		for _, request := range requests {
 			p.states[at].Requests--
-			p.router.Observe(time.Now(), p.states[at], &ask, result)
+			p.router.Observe(time.Now(), p.states[at], &request, result)
 		}
 	}
 	clear(p.running)
