--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -26,9 +26,9 @@
 		}
 		states = append(states, state)
 		for c := range conversations {
-			ask := conversationAsk(uint64(i*conversations + c))
-			rt.Granted(now, state, &ask)
-			rt.Observe(now, state, &ask, capacity.Result{
+			request := conversationRequest(uint64(i*conversations + c))
+			rt.Granted(now, state, &request)
+			rt.Observe(now, state, &request, capacity.Result{
 				Dispatched: true, Complete: true, PromptTokens: 2048, AnswerTokens: 200,
 				FirstToken: 100 * time.Millisecond, Total: 4 * time.Second, CachedTokens: int(512),
 			})
@@ -37,7 +37,7 @@
 	return rt, states
 }
 
-func conversationAsk(n uint64) capacity.Request {
+func conversationRequest(n uint64) capacity.Request {
 	blocks := make([]uint64, 32)
 	for i := range blocks {
 		blocks[i] = mix(uint64(i) + 1)
@@ -53,9 +53,9 @@
 
 func benchmarkDecision(b *testing.B, size int) {
 	rt, states := trainedRouter(size, 40)
-	ask := conversationAsk(uint64(size*20 + 7))
+	request := conversationRequest(uint64(size*20 + 7))
 	now := time.Unix(1, 0)
-	waiting := capacity.QueuedRequest{Request: &ask, Due: now.Add(time.Minute)}
+	waiting := capacity.QueuedRequest{Request: &request, Due: now.Add(time.Minute)}
 	b.ReportAllocs()
 	for b.Loop() {
 		rt.Choose(now, &waiting, states)
@@ -82,13 +82,13 @@
 // BenchmarkGrant measures a grant and its completion.
 func BenchmarkGrant(b *testing.B) {
 	rt, states := trainedRouter(20, 40)
-	ask := conversationAsk(7)
+	request := conversationRequest(7)
 	now := time.Unix(1, 0)
 	result := capacity.Result{Dispatched: true, Complete: true, PromptTokens: 2048, AnswerTokens: 200, FirstToken: time.Second, Total: 2 * time.Second}
 	b.ReportAllocs()
 	for b.Loop() {
-		rt.Granted(now, states[3], &ask)
-		rt.Observe(now, states[3], &ask, result)
+		rt.Granted(now, states[3], &request)
+		rt.Observe(now, states[3], &request, result)
 	}
 }
 
--- a/routing/compare_test.go
+++ b/routing/compare_test.go
@@ -33,7 +33,7 @@
 	firstTokenAt time.Time // zero once processed
 	endAt        time.Time
 	engine       *modelEngine
-	ask          capacity.Request
+	request      capacity.Request
 	result       capacity.Result
 }
 
@@ -93,41 +93,41 @@
 	for len(turns) <= index {
 		turns = append(turns, capacity.Request{Pool: "model/m", Blocks: []uint64{1, 2, 3, 4, 5, 6, 7, 8}})
 	}
-	ask := turns[index]
-	if len(ask.Blocks) > 100 {
-		ask.Blocks = ask.Blocks[:8]
+	request := turns[index]
+	if len(request.Blocks) > 100 {
+		request.Blocks = request.Blocks[:8]
 	}
-	ask.Blocks = slices.Clone(ask.Blocks)
+	request.Blocks = slices.Clone(request.Blocks)
 	for range 2 + m.random.IntN(12) {
-		ask.Blocks = append(ask.Blocks, m.random.Uint64())
+		request.Blocks = append(request.Blocks, m.random.Uint64())
 	}
-	ask.Fingerprint = uint64(m.turnCount)
-	ask.PromptTokens = 64*len(ask.Blocks) + 20
-	ask.AnswerTokens = int(math.Exp(3 + 3*m.random.Float64()))
-	turns[index] = ask
-	waiting := capacity.QueuedRequest{Request: &ask, Due: m.now.Add(time.Minute), Urgent: true}
-	m.place(m.engines[choose(m, &waiting)], ask)
+	request.Fingerprint = uint64(m.turnCount)
+	request.PromptTokens = 64*len(request.Blocks) + 20
+	request.AnswerTokens = int(math.Exp(3 + 3*m.random.Float64()))
+	turns[index] = request
+	waiting := capacity.QueuedRequest{Request: &request, Due: m.now.Add(time.Minute), Urgent: true}
+	m.place(m.engines[choose(m, &waiting)], request)
 	return turns
 }
 
-func (m *model) place(e *modelEngine, ask capacity.Request) {
-	m.router.Granted(m.now, e.state, &ask)
-	cached := 64 * e.cache.Depth(ask.Blocks, 0)
-	e.cache.Dispatched(m.now, ask.Blocks)
-	m.computedTokens += float64(64*(len(ask.Blocks)) - cached)
+func (m *model) place(e *modelEngine, request capacity.Request) {
+	m.router.Granted(m.now, e.state, &request)
+	cached := 64 * e.cache.Depth(request.Blocks, 0)
+	e.cache.Dispatched(m.now, request.Blocks)
+	m.computedTokens += float64(64*(len(request.Blocks)) - cached)
 	e.state.Requests++
-	e.state.PrefillTokens += ask.PromptTokens
-	e.state.AnswerTokens += ask.AnswerTokens
+	e.state.PrefillTokens += request.PromptTokens
+	e.state.AnswerTokens += request.AnswerTokens
 	start := m.now
 	if e.prefillDoneAt.After(start) {
 		start = e.prefillDoneAt
 	}
-	first := start.Add(durationFromSeconds(e.slowdown * (0.02 + 60e-6*float64(ask.PromptTokens-cached))))
+	first := start.Add(durationFromSeconds(e.slowdown * (0.02 + 60e-6*float64(request.PromptTokens-cached))))
 	e.prefillDoneAt = first
-	end := first.Add(durationFromSeconds(e.slowdown * float64(ask.AnswerTokens) * (0.010 + 0.0008*float64(e.state.Requests))))
-	m.running = append(m.running, modelRequest{first, end, e, ask, capacity.Result{
+	end := first.Add(durationFromSeconds(e.slowdown * float64(request.AnswerTokens) * (0.010 + 0.0008*float64(e.state.Requests))))
+	m.running = append(m.running, modelRequest{first, end, e, request, capacity.Result{
 		Dispatched: true, Complete: true, FirstToken: first.Sub(m.now), Total: end.Sub(m.now),
-		PromptTokens: ask.PromptTokens, CachedTokens: cached, AnswerTokens: ask.AnswerTokens,
+		PromptTokens: request.PromptTokens, CachedTokens: cached, AnswerTokens: request.AnswerTokens,
 	}})
 	m.totals = append(m.totals, end.Sub(m.now).Seconds())
 }
@@ -137,7 +137,7 @@
 	for i := range m.running {
 		if r := &m.running[i]; !r.firstTokenAt.IsZero() && !r.firstTokenAt.After(m.now) {
 			r.firstTokenAt = time.Time{}
-			r.engine.state.PrefillTokens -= r.ask.PromptTokens
+			r.engine.state.PrefillTokens -= r.request.PromptTokens
 		}
 	}
 	m.running = slices.DeleteFunc(m.running, func(r modelRequest) bool {
@@ -146,8 +146,8 @@
 		}
 		s := r.engine.state
 		s.Requests--
-		s.AnswerTokens -= r.ask.AnswerTokens
-		m.router.Observe(r.endAt, s, &r.ask, r.result)
+		s.AnswerTokens -= r.request.AnswerTokens
+		m.router.Observe(r.endAt, s, &r.request, r.result)
 		return true
 	})
 }
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -15,7 +15,7 @@
 // are dropped.
 const trackedGrantSlack = 16
 
-// Endpoint is the learned state of an endpoint. It is stored in capacity.EndpointState.Learned.
+// Endpoint is the learned state of an endpoint. It is stored in capacity.EndpointState.ChooserState.
 type Endpoint struct {
 	// Fields read by every decision come first, for cache locality.
 	generationName string
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -19,22 +19,22 @@
 )
 
 // Observe implements capacity.Chooser.
-func (rt *Router) Observe(now time.Time, state *capacity.EndpointState, ask *capacity.Request, result capacity.Result) {
+func (rt *Router) Observe(now time.Time, state *capacity.EndpointState, request *capacity.Request, result capacity.Result) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.pruneEndpoints(now)
 	e := rt.endpoint(now, state)
-	grant, known := e.removeGrant(ask.Fingerprint)
+	grant, known := e.removeGrant(request.Fingerprint)
 	if !known {
-		grant = rt.untrackedGrant(now, state, ask)
+		grant = rt.untrackedGrant(now, state, request)
 	}
 	switch {
 	case result.Crashed:
-		rt.handleCrash(now, e, grant, ask, state.Requests == 0)
+		rt.handleCrash(now, e, grant, request, state.Requests == 0)
 	case result.Unreachable:
 		rt.handleUnreachable(now, e, grant)
 	case result.Complete:
-		rt.handleCompleted(now, e, grant, ask, state, result)
+		rt.handleCompleted(now, e, grant, request, state, result)
 	case result.Dispatched && result.FirstToken > 0:
 		rt.learnSpeed(now, e, grant, state, result)
 		e.ejector.RecordSuccess()
@@ -45,18 +45,18 @@
 }
 
 // untrackedGrant returns an approximation of a grant that was not tracked.
-func (rt *Router) untrackedGrant(now time.Time, state *capacity.EndpointState, ask *capacity.Request) trackedGrant {
+func (rt *Router) untrackedGrant(now time.Time, state *capacity.EndpointState, request *capacity.Request) trackedGrant {
 	return trackedGrant{
 		placed: now,
-		work:   float64(ask.PromptTokens + rt.options.RequestOverheadTokens*state.Requests),
+		work:   float64(request.PromptTokens + rt.options.RequestOverheadTokens*state.Requests),
 		batch:  float64(state.Requests + 1),
-		prompt: float64(ask.PromptTokens),
+		prompt: float64(request.PromptTokens),
 	}
 }
 
-func (rt *Router) handleCompleted(now time.Time, e *Endpoint, grant trackedGrant, ask *capacity.Request, state *capacity.EndpointState, result capacity.Result) {
+func (rt *Router) handleCompleted(now time.Time, e *Endpoint, grant trackedGrant, request *capacity.Request, state *capacity.EndpointState, result capacity.Result) {
 	e.ejector.RecordSuccess()
-	rt.options.Quarantine.Completed(ask.Fingerprint)
+	rt.options.Quarantine.Completed(request.Fingerprint)
 	e.cacheTrust.Observe(grant.cached, float64(result.CachedTokens))
 	rt.counters.reportedCachedTokens.Add(result.CachedTokens)
 	rt.learnSpeed(now, e, grant, state, result)
@@ -123,14 +123,14 @@
 
 // handleCrash records the request's content with the quarantine, clears the prefix table since the
 // cache is lost, and ejects the endpoint.
-func (rt *Router) handleCrash(now time.Time, e *Endpoint, grant trackedGrant, ask *capacity.Request, alone bool) {
+func (rt *Router) handleCrash(now time.Time, e *Endpoint, grant trackedGrant, request *capacity.Request, alone bool) {
 	if now.Sub(e.crash.at) > crashWindow {
 		e.crash = crashEvent{at: now, alone: alone}
 		e.prefixes.Clear()
 	} else {
 		e.crash.alone = false
 	}
-	rt.options.Quarantine.Crashed(e.id, ask.Fingerprint, e.crash.alone)
+	rt.options.Quarantine.Crashed(e.id, request.Fingerprint, e.crash.alone)
 	rt.eject(now, e, grant, now)
 }
 
--- a/routing/prefixtokens.go
+++ b/routing/prefixtokens.go
@@ -6,13 +6,13 @@
 )
 
 // prefixTokens returns the number of tokens in the request's first blocks.
-func prefixTokens(ask *capacity.Request, blocks int) int {
-	if ask.BlockTokens == nil {
-		return min(blocks*prefix.BlockTokens, ask.PromptTokens)
+func prefixTokens(request *capacity.Request, blocks int) int {
+	if request.BlockTokens == nil {
+		return min(blocks*prefix.BlockTokens, request.PromptTokens)
 	}
 	tokens := 0
-	for _, n := range ask.BlockTokens[:min(blocks, len(ask.BlockTokens))] {
+	for _, n := range request.BlockTokens[:min(blocks, len(request.BlockTokens))] {
 		tokens += n
 	}
-	return min(tokens, ask.PromptTokens)
+	return min(tokens, request.PromptTokens)
 }
--- a/routing/prefixtokens_test.go
+++ b/routing/prefixtokens_test.go
@@ -11,10 +11,10 @@
 
 func TestPrefixTokens(t *testing.T) {
 	tests := []struct {
-		name   string
-		ask    capacity.Request
-		blocks int
-		tokens int
+		name    string
+		request capacity.Request
+		blocks  int
+		tokens  int
 	}{
 		{"default block length", capacity.Request{PromptTokens: 1000}, 2, 2 * prefix.BlockTokens},
 		{"capped at the prompt", capacity.Request{PromptTokens: 10}, 2, 10},
@@ -24,7 +24,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, prefixTokens(&test.ask, test.blocks), test.tokens)
+			assert.Equal(t, prefixTokens(&test.request, test.blocks), test.tokens)
 		})
 	}
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -57,8 +57,8 @@
 }
 
 // Admit implements capacity.Chooser. It refuses quarantined contents.
-func (rt *Router) Admit(_ time.Time, ask *capacity.Request) error {
-	remaining := rt.options.Quarantine.Quarantined(ask.Fingerprint)
+func (rt *Router) Admit(_ time.Time, request *capacity.Request) error {
+	remaining := rt.options.Quarantine.Quarantined(request.Fingerprint)
 	if remaining <= 0 {
 		return nil
 	}
@@ -116,17 +116,17 @@
 }
 
 // Granted implements capacity.Chooser.
-func (rt *Router) Granted(now time.Time, state *capacity.EndpointState, ask *capacity.Request) {
+func (rt *Router) Granted(now time.Time, state *capacity.EndpointState, request *capacity.Request) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	e := rt.endpoint(now, state)
 	e.updateState(now, state)
-	r := rt.newRequest(now, &capacity.QueuedRequest{Request: ask})
+	r := rt.newRequest(now, &capacity.QueuedRequest{Request: request})
 	c := rt.estimate(r, state, e)
-	rt.countTokens(ask, c)
+	rt.countTokens(request, c)
 	rt.trackGrant(r, c)
-	e.prefixes.Dispatched(now, ask.Blocks)
-	rt.recordSession(now, state.ID, ask)
+	e.prefixes.Dispatched(now, request.Blocks)
+	rt.recordSession(now, state.ID, request)
 }
 
 // trackGrant records what is needed to evaluate the grant when it ends.
@@ -166,33 +166,33 @@
 	return probe
 }
 
-func (rt *Router) countTokens(ask *capacity.Request, c *Candidate) {
-	rt.counters.promptTokens.Add(ask.PromptTokens)
+func (rt *Router) countTokens(request *capacity.Request, c *Candidate) {
+	rt.counters.promptTokens.Add(request.PromptTokens)
 	rt.counters.predictedCachedTokens.Add(int(c.Estimate.CachedTokens))
 }
 
 // recordSession records the endpoint of the session's last turn.
-func (rt *Router) recordSession(now time.Time, id domain.EndpointID, ask *capacity.Request) {
-	if ask.Session == "" {
+func (rt *Router) recordSession(now time.Time, id domain.EndpointID, request *capacity.Request) {
+	if request.Session == "" {
 		return
 	}
-	rt.sessions.Add(xxhash.Sum64String(ask.Session), SessionLocation{
+	rt.sessions.Add(xxhash.Sum64String(request.Session), SessionLocation{
 		Endpoint: id,
-		Tokens:   ask.PromptTokens + ask.AnswerTokens,
+		Tokens:   request.PromptTokens + request.AnswerTokens,
 		PlacedAt: now,
 	})
 }
 
 // Forecast implements capacity.Chooser. It returns a zero Forecast while both the endpoint and its
 // generation have few samples.
-func (rt *Router) Forecast(now time.Time, state *capacity.EndpointState, ask *capacity.Request) capacity.Forecast {
+func (rt *Router) Forecast(now time.Time, state *capacity.EndpointState, request *capacity.Request) capacity.Forecast {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	e := rt.endpoint(now, state)
 	if max(e.profile.Samples(), e.generation.profile.Samples()) < rt.options.MinForecastSamples {
 		return capacity.Forecast{}
 	}
-	r := rt.newRequest(now, &capacity.QueuedRequest{Request: ask})
+	r := rt.newRequest(now, &capacity.QueuedRequest{Request: request})
 	c := rt.estimate(r, state, e)
 	return capacity.Forecast{
 		FirstToken: durationFromSeconds(c.Estimate.FirstToken),
@@ -214,28 +214,28 @@
 
 // newRequest returns the pipeline input for a queued request.
 func (rt *Router) newRequest(now time.Time, waiting *capacity.QueuedRequest) *Request {
-	ask := waiting.Request
+	request := waiting.Request
 	rt.requestScratch = Request{
 		Now:      now,
-		Request:  ask,
+		Request:  request,
 		Due:      waiting.Due,
-		Suspect:  rt.options.Quarantine.Suspect(ask.Fingerprint),
-		Affinity: rt.affinity(ask),
+		Suspect:  rt.options.Quarantine.Suspect(request.Fingerprint),
+		Affinity: rt.affinity(request),
 	}
-	if ask.Session != "" {
-		rt.requestScratch.Session, _ = rt.sessions.Peek(xxhash.Sum64String(ask.Session))
+	if request.Session != "" {
+		rt.requestScratch.Session, _ = rt.sessions.Peek(xxhash.Sum64String(request.Session))
 	}
 	return &rt.requestScratch
 }
 
 // affinity returns the hash used to break ties: that of the session or of the first prompt block.
 // Requests with neither are distributed by a counter.
-func (rt *Router) affinity(ask *capacity.Request) uint64 {
+func (rt *Router) affinity(request *capacity.Request) uint64 {
 	switch {
-	case ask.Session != "":
-		return xxhash.Sum64String(ask.Session)
-	case len(ask.Blocks) > 0:
-		return ask.Blocks[0]
+	case request.Session != "":
+		return xxhash.Sum64String(request.Session)
+	case len(request.Blocks) > 0:
+		return request.Blocks[0]
 	default:
 		rt.affinityCounter++
 		return mix(rt.affinityCounter)
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -16,11 +16,11 @@
 
 // testOwner drives a Router as a pool owner does, with a simulated clock.
 type testOwner struct {
-	t      *testing.T
-	now    time.Time
-	router *Router
-	states []*capacity.EndpointState
-	asks   uint64
+	t            *testing.T
+	now          time.Time
+	router       *Router
+	states       []*capacity.EndpointState
+	requestCount uint64
 }
 
 func newTestOwner(t *testing.T, endpoints int, options Options) *testOwner {
@@ -33,40 +33,40 @@
 
 // heldGrant is a grant that has not ended.
 type heldGrant struct {
-	ask   capacity.Request
-	state *capacity.EndpointState
+	request capacity.Request
+	state   *capacity.EndpointState
 }
 
-func (o *testOwner) ask() capacity.Request {
-	o.asks++
-	return capacity.Request{Pool: "model/m", PromptTokens: 400, AnswerTokens: 100, Fingerprint: o.asks}
+func (o *testOwner) newRequest() capacity.Request {
+	o.requestCount++
+	return capacity.Request{Pool: "model/m", PromptTokens: 400, AnswerTokens: 100, Fingerprint: o.requestCount}
 }
 
 // choose returns the index of the chosen endpoint, or -1 if the request has to wait.
-func (o *testOwner) choose(ask capacity.Request, pressing bool) int {
-	waiting := capacity.QueuedRequest{Request: &ask, Due: o.now.Add(time.Minute), Urgent: pressing}
+func (o *testOwner) choose(request capacity.Request, urgent bool) int {
+	waiting := capacity.QueuedRequest{Request: &request, Due: o.now.Add(time.Minute), Urgent: urgent}
 	if at, ok := o.router.Choose(o.now, &waiting, o.states); ok {
 		return at
 	}
 	return -1
 }
 
-func (o *testOwner) grant(at int, ask capacity.Request) heldGrant {
+func (o *testOwner) grant(at int, request capacity.Request) heldGrant {
 	state := o.states[at]
-	o.router.Granted(o.now, state, &ask)
+	o.router.Granted(o.now, state, &request)
 	state.Requests++
-	state.PromptTokens += ask.PromptTokens
-	state.PrefillTokens += ask.PromptTokens
-	state.AnswerTokens += ask.AnswerTokens
-	return heldGrant{ask, state}
+	state.PromptTokens += request.PromptTokens
+	state.PrefillTokens += request.PromptTokens
+	state.AnswerTokens += request.AnswerTokens
+	return heldGrant{request, state}
 }
 
 func (o *testOwner) end(h heldGrant, result capacity.Result) {
 	h.state.Requests--
-	h.state.PromptTokens -= h.ask.PromptTokens
-	h.state.PrefillTokens = max(h.state.PrefillTokens-h.ask.PromptTokens, 0)
-	h.state.AnswerTokens -= h.ask.AnswerTokens
-	o.router.Observe(o.now, h.state, &h.ask, result)
+	h.state.PromptTokens -= h.request.PromptTokens
+	h.state.PrefillTokens = max(h.state.PrefillTokens-h.request.PromptTokens, 0)
+	h.state.AnswerTokens -= h.request.AnswerTokens
+	o.router.Observe(o.now, h.state, &h.request, result)
 }
 
 // completeResult returns the result of a request that took factor times the normal duration.
@@ -81,7 +81,7 @@
 func (o *testOwner) train(rounds int, factors ...float64) {
 	for range rounds {
 		for at, factor := range factors {
-			h := o.grant(at, o.ask())
+			h := o.grant(at, o.newRequest())
 			o.now = o.now.Add(100 * time.Millisecond)
 			o.end(h, completeResult(factor))
 		}
@@ -92,7 +92,7 @@
 func (o *testOwner) selectionShare(at int) float64 {
 	count := 0
 	for range 200 {
-		if o.choose(o.ask(), false) == at {
+		if o.choose(o.newRequest(), false) == at {
 			count++
 		}
 	}
@@ -108,7 +108,7 @@
 func (o *testOwner) addLoad(requests int, endpoints ...int) {
 	for _, at := range endpoints {
 		for range requests {
-			o.grant(at, o.ask())
+			o.grant(at, o.newRequest())
 		}
 	}
 }
@@ -123,12 +123,12 @@
 	assert.Equal(t, o.selectionShare(0), 0.0, "avoided even when the others take twice as long as normal")
 	o.now = o.now.Add(DefaultProbeInterval)
 	assert.Equal(t, o.selectionShare(0), 1.0, "probed")
-	first := o.grant(0, o.ask())
+	first := o.grant(0, o.newRequest())
 	assert.Equal(t, o.selectionShare(0), 0.0, "probed by one request at a time")
 	o.end(first, completeResult(1))
 	for range 2 {
 		o.now = o.now.Add(DefaultProbeInterval)
-		o.end(o.grant(0, o.ask()), completeResult(1))
+		o.end(o.grant(0, o.newRequest()), completeResult(1))
 	}
 	speed := o.router.State()[0].Speed
 	assert.Assert(t, speed.FirstToken.At(400) < 0.115, "samples from before the detection are discarded: %v", speed)
@@ -148,7 +148,7 @@
 	o.addLoad(1, 1)
 	assert.Equal(t, o.selectionShare(0), 1.0)
 	o.states[1].PrefillTokens = 400
-	o.choose(o.ask(), false)
+	o.choose(o.newRequest(), false)
 	o.now = o.now.Add(DefaultStallTimeout)
 	assert.Equal(t, o.selectionShare(0), 0.0, "an endpoint without a first token is avoided")
 }
@@ -181,17 +181,17 @@
 
 func TestEjection(t *testing.T) {
 	o := newTestOwner(t, 3, Options{})
-	o.end(o.grant(0, o.ask()), unreachableResult)
+	o.end(o.grant(0, o.newRequest()), unreachableResult)
 	assert.Equal(t, o.selectionShare(0), 0.0)
 	o.now = o.now.Add(DefaultInitialEjection)
-	probe := o.grant(0, o.ask())
+	probe := o.grant(0, o.newRequest())
 	probe.state.PrefillTokens = 400
 	assert.Equal(t, o.selectionShare(0), 0.0, "probed by a single request")
 	o.end(probe, unreachableResult)
 	o.now = o.now.Add(DefaultInitialEjection)
 	assert.Equal(t, o.selectionShare(0), 0.0, "the second ejection is twice as long")
 	o.now = o.now.Add(DefaultInitialEjection)
-	o.end(o.grant(0, o.ask()), completeResult(1))
+	o.end(o.grant(0, o.newRequest()), completeResult(1))
 	assert.Assert(t, o.selectionShare(0) > 0)
 }
 
@@ -199,7 +199,7 @@
 	o := newTestOwner(t, 3, Options{})
 	var running []heldGrant
 	for range 8 {
-		running = append(running, o.grant(0, o.ask()))
+		running = append(running, o.grant(0, o.newRequest()))
 	}
 	o.now = o.now.Add(time.Second)
 	for _, h := range running {
@@ -213,41 +213,41 @@
 func TestMostlyEjectedPoolIsProbed(t *testing.T) {
 	o := newTestOwner(t, 3, Options{})
 	for at := range 3 {
-		o.end(o.grant(at, o.ask()), crashedResult)
+		o.end(o.grant(at, o.newRequest()), crashedResult)
 	}
-	assert.Assert(t, o.choose(o.ask(), false) >= 0, "the remaining endpoints are probed by single requests")
+	assert.Assert(t, o.choose(o.newRequest(), false) >= 0, "the remaining endpoints are probed by single requests")
 	for range 2 {
-		at := o.choose(o.ask(), false)
+		at := o.choose(o.newRequest(), false)
 		assert.Assert(t, at >= 0)
-		o.grant(at, o.ask())
+		o.grant(at, o.newRequest())
 	}
 	o = newTestOwner(t, 1, Options{})
 	for range 9 {
-		o.end(o.grant(0, o.ask()), unreachableResult)
-		assert.Equal(t, o.choose(o.ask(), false), -1)
-		assert.Equal(t, o.choose(o.ask(), true), 0, "a request that cannot wait takes the ejected endpoint")
+		o.end(o.grant(0, o.newRequest()), unreachableResult)
+		assert.Equal(t, o.choose(o.newRequest(), false), -1)
+		assert.Equal(t, o.choose(o.newRequest(), true), 0, "a request that cannot wait takes the ejected endpoint")
 		o.now = o.now.Add(DefaultInitialEjection)
-		assert.Equal(t, o.choose(o.ask(), false), 0, "a single endpoint is probed each second")
+		assert.Equal(t, o.choose(o.newRequest(), false), 0, "a single endpoint is probed each second")
 	}
 }
 
 func TestPrefixAndSessionAffinity(t *testing.T) {
 	o := newTestOwner(t, 4, Options{})
 	o.train(10, 1, 1, 1, 1)
-	ask := o.ask()
-	ask.PromptTokens, ask.Blocks, ask.Session = 4096, make([]uint64, 64), "s"
-	for i := range ask.Blocks {
-		ask.Blocks[i] = mix(uint64(i) + 99)
+	request := o.newRequest()
+	request.PromptTokens, request.Blocks, request.Session = 4096, make([]uint64, 64), "s"
+	for i := range request.Blocks {
+		request.Blocks[i] = mix(uint64(i) + 99)
 	}
-	first := o.choose(ask, false)
-	o.end(o.grant(first, ask), completeResult(1))
-	other := ask
+	first := o.choose(request, false)
+	o.end(o.grant(first, request), completeResult(1))
+	other := request
 	other.Session = "another"
-	next := ask
+	next := request
 	next.Blocks = []uint64{1}
-	for name, ask := range map[string]capacity.Request{"shared prompt": other, "next turn": next} {
-		o.grant(first, o.ask())
-		assert.Equal(t, o.choose(ask, false), first, name)
+	for name, request := range map[string]capacity.Request{"shared prompt": other, "next turn": next} {
+		o.grant(first, o.newRequest())
+		assert.Equal(t, o.choose(request, false), first, name)
 	}
 	o.addLoad(40, first)
 	assert.Assert(t, o.choose(other, false) != first, "load outweighs affinity")
@@ -256,22 +256,22 @@
 	assert.Assert(t, o.router.State()[first].CacheTrust < before, "a missed cache prediction reduces the trust")
 	o.router.CacheEvents(o.now, o.states[first], []endpoint.CacheEvent{{Sequence: 9, Block: 5, Stored: true}})
 	e := o.states[first].ChooserState.(*Endpoint)
-	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 64)
+	assert.Equal(t, e.prefixes.Depth(request.Blocks, 0), 64)
 	o.router.CacheEvents(o.now, o.states[first], []endpoint.CacheEvent{{Sequence: 1, Block: 5, Stored: true}})
-	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 0, "a restarted sequence clears the prefix table")
-	o.router.Granted(o.now, o.states[first], &ask)
-	o.router.Observe(o.now, o.states[first], &ask, crashedResult)
-	assert.Equal(t, e.prefixes.Depth(ask.Blocks, 0), 0, "a crash clears the prefix table")
+	assert.Equal(t, e.prefixes.Depth(request.Blocks, 0), 0, "a restarted sequence clears the prefix table")
+	o.router.Granted(o.now, o.states[first], &request)
+	o.router.Observe(o.now, o.states[first], &request, crashedResult)
+	assert.Equal(t, e.prefixes.Depth(request.Blocks, 0), 0, "a crash clears the prefix table")
 }
 
 func TestServiceCallsAreDistributed(t *testing.T) {
 	o := newTestOwner(t, 4, Options{})
 	served := make(map[int]int)
 	for range 400 {
-		ask := capacity.Request{Pool: "service/catalogue"}
-		at := o.choose(ask, false)
+		request := capacity.Request{Pool: "service/catalogue"}
+		at := o.choose(request, false)
 		served[at]++
-		h := o.grant(at, ask)
+		h := o.grant(at, request)
 		o.now = o.now.Add(time.Millisecond)
 		o.end(h, capacity.Result{Dispatched: true, Complete: true, FirstToken: 5 * time.Millisecond, Total: 6 * time.Millisecond})
 	}
@@ -289,24 +289,24 @@
 		o := newTestOwner(t, 2, Options{HoldRatio: ratio})
 		o.states[1].Row = &config.EndpointRow{ID: "1", Generation: "old"}
 		o.train(40, 0.2, 4)
-		o.choose(o.ask(), false)
-		o.grant(0, o.ask())
+		o.choose(o.newRequest(), false)
+		o.grant(0, o.newRequest())
 		o.states[0].AnswerTokens = 5
 		o.router.Report(o.now, o.states[0], endpoint.LoadReport{})
 		o.router.Granted(o.now, o.states[0], &capacity.Request{})
 		o.states = o.states[1:]
-		got := o.choose(o.ask(), false)
+		got := o.choose(o.newRequest(), false)
 		assert.Equal(t, got, min(want, 0), "ratio %v", ratio)
-		assert.Equal(t, o.choose(o.ask(), true), 0, "a request that cannot wait is not held back")
+		assert.Equal(t, o.choose(o.newRequest(), true), 0, "a request that cannot wait is not held back")
 	}
 }
 
 func TestForecastNeedsSamples(t *testing.T) {
 	o := newTestOwner(t, 1, Options{})
-	ask := o.ask()
-	assert.Equal(t, o.router.Forecast(o.now, o.states[0], &ask), capacity.Forecast{})
+	request := o.newRequest()
+	assert.Equal(t, o.router.Forecast(o.now, o.states[0], &request), capacity.Forecast{})
 	o.train(30, 1)
-	f := o.router.Forecast(o.now, o.states[0], &ask)
+	f := o.router.Forecast(o.now, o.states[0], &request)
 	assert.Assert(t, f.FirstToken > 80*time.Millisecond && f.FirstToken < 120*time.Millisecond, "%v", f)
 	assert.Assert(t, f.Total > time.Second && f.Total < 1200*time.Millisecond, "%v", f)
 }
@@ -328,25 +328,25 @@
 func TestQuarantineIntegration(t *testing.T) {
 	q := &fakeQuarantine{}
 	o := newTestOwner(t, 2, Options{Quarantine: q})
-	ask := o.ask()
-	assert.NilError(t, o.router.Admit(o.now, &ask))
+	request := o.newRequest()
+	assert.NilError(t, o.router.Admit(o.now, &request))
 	q.left = time.Minute
-	err := o.router.Admit(o.now, &ask)
+	err := o.router.Admit(o.now, &request)
 	var refusal *capacity.Refusal
 	assert.Assert(t, errors.As(err, &refusal) && refusal.RetryAfter == time.Minute)
 	assert.ErrorIs(t, err, capacity.ErrQuarantined)
 
-	o.end(o.grant(0, o.ask()), crashedResult)
-	first, second := o.grant(1, o.ask()), o.grant(1, o.ask())
+	o.end(o.grant(0, o.newRequest()), crashedResult)
+	first, second := o.grant(1, o.newRequest()), o.grant(1, o.newRequest())
 	o.end(first, crashedResult)
 	o.end(second, crashedResult)
 	assert.DeepEqual(t, q.alone, []bool{true, false, false})
 
 	o = newTestOwner(t, 2, Options{Quarantine: q})
 	q.suspect = true
-	at := o.choose(o.ask(), false)
-	o.grant(at, o.ask())
-	assert.Equal(t, o.choose(o.ask(), false), 1-at, "suspects run on different endpoints")
+	at := o.choose(o.newRequest(), false)
+	o.grant(at, o.newRequest())
+	assert.Equal(t, o.choose(o.newRequest(), false), 1-at, "suspects run on different endpoints")
 }
 
 func TestLengthPredictor(t *testing.T) {
--- a/routing/steps_test.go
+++ b/routing/steps_test.go
@@ -31,7 +31,7 @@
 	return c
 }
 
-func request(change ...func(r *Request)) *Request {
+func pipelineRequest(change ...func(r *Request)) *Request {
 	r := &Request{Now: t0, Request: &capacity.Request{PromptTokens: 640, AnswerTokens: 100, Blocks: []uint64{1, 2, 3, 4, 5}}}
 	for _, f := range change {
 		f(r)
@@ -87,7 +87,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := candidate("e", tt.change)
-			assert.Equal(t, tt.filter.Keep(request(tt.request), &c), tt.keep)
+			assert.Equal(t, tt.filter.Keep(pipelineRequest(tt.request), &c), tt.keep)
 		})
 	}
 }
@@ -155,7 +155,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := []Candidate{candidate("e", tt.change)}
-			tt.scorer.Score(request(tt.request), c)
+			tt.scorer.Score(pipelineRequest(tt.request), c)
 			assert.Assert(t, math.Abs(tt.read(&c[0])-tt.want) < 1e-9, "got %v, want %v", tt.read(&c[0]), tt.want)
 		})
 	}
@@ -170,10 +170,10 @@
 		}
 		return list
 	}
-	assert.Equal(t, picker.Pick(request(), costs(3, 1, 2)), 1)
+	assert.Equal(t, picker.Pick(pipelineRequest(), costs(3, 1, 2)), 1)
 	chosen := make(map[int]int)
 	for affinity := range uint64(300) {
-		r := request(func(r *Request) { r.Affinity = mix(affinity) })
+		r := pipelineRequest(func(r *Request) { r.Affinity = mix(affinity) })
 		first := picker.Pick(r, costs(1.005, 1, 9, 1))
 		assert.Equal(t, picker.Pick(r, costs(1, 1.005, 9, 1)), first)
 		chosen[first]++
