--- a/config/agreed/service.go
+++ b/config/agreed/service.go
@@ -127,7 +127,7 @@
 
 // Settle determines the outcome of an edit that returned
 // document.ErrUnknownOutcome; see document.Service.Settle.
-func (s *Service) Settle(ctx context.Context, id document.EditID, base uint64) (document.Version, error) {
+func (s *Service) ResolveEdit(ctx context.Context, id document.EditID, base uint64) (document.Version, error) {
 	return s.documents.ResolveEdit(ctx, DocumentName, id, base)
 }
 
--- a/node/matrix_control_test.go
+++ b/node/matrix_control_test.go
@@ -84,7 +84,7 @@
 // editAccepted reports whether an edit with an unknown outcome was accepted.
 func (x *trial) editAccepted(edit document.Edit) bool {
 	n := x.node(0)
-	_, err := n.config.Settle(context.Background(), edit.ID, 1)
+	_, err := n.config.ResolveEdit(context.Background(), edit.ID, 1)
 	if err != nil && !errors.Is(err, document.ErrNotAccepted) {
 		x.fail("outcome of the edit could not be resolved: %v", err)
 	}
--- a/operatorapi/api.go
+++ b/operatorapi/api.go
@@ -29,7 +29,7 @@
 type Table interface {
 	Edit(ctx context.Context, edit document.Edit, changes []config.Change) (document.Version, error)
 	Rollback(ctx context.Context, edit document.Edit, generation, expected uint64) (document.Version, error)
-	Settle(ctx context.Context, id document.EditID, base uint64) (document.Version, error)
+	ResolveEdit(ctx context.Context, id document.EditID, base uint64) (document.Version, error)
 	History(ctx context.Context) ([]document.Version, error)
 	Table(ctx context.Context, generation uint64) (config.Table, document.Version, error)
 	Status(ctx context.Context) []document.NodeStatus
@@ -165,7 +165,7 @@
 	}
 	ctx, cancel := detachedContext(c)
 	defer cancel()
-	version, err := a.table.Settle(ctx, id, base)
+	version, err := a.table.ResolveEdit(ctx, id, base)
 	if err != nil {
 		return respondProblem(c, err)
 	}
