--- a/config/agreed/service.go
+++ b/config/agreed/service.go
@@ -78,7 +78,7 @@
 
 // Edit applies the changes to the table. The error is document.ErrNotAccepted, which
 // wraps config.Conflicts or config.Problems if those are the reason, or
-// document.ErrUnknownOutcome, which Settle resolves.
+// document.ErrUnknownOutcome, which ResolveEdit resolves.
 func (s *Service) Edit(ctx context.Context, edit document.Edit, changes []config.Change) (document.Version, error) {
 	return s.documents.Update(ctx, DocumentName, edit, func(_ document.Version, value []byte) (document.Value, error) {
 		current, err := config.Decode(value)
@@ -125,8 +125,8 @@
 	return document.Value{Parts: parts}, err
 }
 
-// Settle determines the outcome of an edit that returned
-// document.ErrUnknownOutcome; see document.Service.Settle.
+// ResolveEdit determines the outcome of an edit that returned
+// document.ErrUnknownOutcome; see document.Service.ResolveEdit.
 func (s *Service) ResolveEdit(ctx context.Context, id document.EditID, base uint64) (document.Version, error) {
 	return s.documents.ResolveEdit(ctx, DocumentName, id, base)
 }
