--- a/operatorapi/message.go
+++ b/operatorapi/message.go
@@ -14,7 +14,7 @@
 	Table   config.Table     `json:"table"`
 }
 
-// EditRequest asks for changes of rows. Base is the generation that the changes
+// EditRequest requests changes of rows. Base is the generation that the changes
 // were made from.
 type EditRequest struct {
 	ID      document.EditID `json:"id"`
@@ -23,7 +23,7 @@
 	Changes []config.Change `json:"changes"`
 }
 
-// RollbackRequest asks to restore the table of an earlier generation. It fails
+// RollbackRequest requests the restoration of the table of an earlier generation. It fails
 // unless Expected is the current generation.
 type RollbackRequest struct {
 	ID         document.EditID `json:"id"`
@@ -37,7 +37,7 @@
 	Version document.Version `json:"version"`
 }
 
-// PreviewRequest asks for the effect of changes without making them.
+// PreviewRequest requests the effect of changes without making them.
 type PreviewRequest struct {
 	Changes []config.Change `json:"changes"`
 }
@@ -103,7 +103,7 @@
 	Displaced   uint64 `json:"displaced,omitempty"`
 }
 
-// Outcome tells whether an edit that returned an error may have been accepted.
+// Outcome says whether an edit that returned an error may have been accepted.
 type Outcome string
 
 const (
