--- a/limits/allocator_test.go
+++ b/limits/allocator_test.go
@@ -56,17 +56,17 @@
 func TestAllocatorSharesAndExpiry(t *testing.T) {
 	alloc := newAllocator("o")
 	params := testParams(10, 0, 3)
-	ask := func(node int, sequence uint64, d demand) allocation {
+	request := func(node int, sequence uint64, d demand) allocation {
 		d.Sequence = sequence
 		return alloc.allocate(startTime, member(node), d, params)
 	}
-	assert.Equal(t, ask(1, 1, demand{Wanted: 99}).Share, 10)
-	assert.Equal(t, ask(2, 1, demand{Wanted: 99}).Share, 0, "the whole limit is committed")
-	assert.Equal(t, ask(1, 2, demand{Share: 10, InFlight: 8, Wanted: 99}).Share, 5)
-	assert.Equal(t, ask(2, 2, demand{Wanted: 99}).Share, 0, "the reply may have been lost")
-	assert.Equal(t, ask(1, 3, demand{Share: 5, InFlight: 7, Wanted: 99}).Share, 5)
-	assert.Equal(t, ask(2, 3, demand{Wanted: 99}).Share, 3, "seven are still in flight")
-	assert.Equal(t, ask(1, 3, demand{Wanted: 99}).Ignored, true, "a stale report is ignored")
+	assert.Equal(t, request(1, 1, demand{Wanted: 99}).Share, 10)
+	assert.Equal(t, request(2, 1, demand{Wanted: 99}).Share, 0, "the whole limit is committed")
+	assert.Equal(t, request(1, 2, demand{Share: 10, InFlight: 8, Wanted: 99}).Share, 5)
+	assert.Equal(t, request(2, 2, demand{Wanted: 99}).Share, 0, "the reply may have been lost")
+	assert.Equal(t, request(1, 3, demand{Share: 5, InFlight: 7, Wanted: 99}).Share, 5)
+	assert.Equal(t, request(2, 3, demand{Wanted: 99}).Share, 3, "seven are still in flight")
+	assert.Equal(t, request(1, 3, demand{Wanted: 99}).Ignored, true, "a stale report is ignored")
 	t1 := startTime.Add(params.expiry)
 	assert.Equal(t, alloc.allocate(t1, member(2), demand{Sequence: 4, Wanted: 99}, params).Share, 10, "a node without reports expires")
 	params.ended = func(node domain.NodeID, _ domain.Incarnation) bool { return node == "2" }
@@ -74,35 +74,35 @@
 	params = testParams(10, 0, 3)
 	params.settling = true
 	alloc = newAllocator("o")
-	assert.Equal(t, ask(1, 1, demand{Wanted: 99}).Share, 4, "an equal part while settling")
-	assert.Equal(t, ask(2, 1, demand{Share: 6, InFlight: 6, Wanted: 99}).Share, 6, "a held share is kept while settling")
-	assert.Equal(t, ask(3, 1, demand{Wanted: 99}).Share, 0)
+	assert.Equal(t, request(1, 1, demand{Wanted: 99}).Share, 4, "an equal part while settling")
+	assert.Equal(t, request(2, 1, demand{Share: 6, InFlight: 6, Wanted: 99}).Share, 6, "a held share is kept while settling")
+	assert.Equal(t, request(3, 1, demand{Wanted: 99}).Share, 0)
 }
 
 func TestAllocatorTokens(t *testing.T) {
 	alloc := newAllocator("o")
 	params := testParams(0, 600, 3)
 	sequence := uint64(0)
-	ask := func(at time.Duration, node int, d demand) allocation {
+	request := func(at time.Duration, node int, d demand) allocation {
 		sequence++
 		d.Sequence = sequence
 		return alloc.allocate(startTime.Add(at), member(node), d, params)
 	}
-	assert.Equal(t, ask(0, 1, demand{Tokens: 500}).Tokens, 500)
-	assert.Equal(t, ask(0, 2, demand{Tokens: 500}).Tokens, 50, "half of the level, as another node wants as many")
-	assert.Equal(t, ask(time.Second, 3, demand{AdvanceTokens: 90}).Tokens, 0)
-	a := ask(3*time.Second, 1, demand{Tokens: 500})
+	assert.Equal(t, request(0, 1, demand{Tokens: 500}).Tokens, 500)
+	assert.Equal(t, request(0, 2, demand{Tokens: 500}).Tokens, 50, "half of the level, as another node wants as many")
+	assert.Equal(t, request(time.Second, 3, demand{AdvanceTokens: 90}).Tokens, 0)
+	a := request(3*time.Second, 1, demand{Tokens: 500})
 	assert.Equal(t, a.Tokens, 0, "tokens used in advance are charged first")
 	assert.Equal(t, a.Wait, time.Second)
-	assert.Equal(t, ask(4*time.Second, 1, demand{ReturnedTokens: 1000}).Tokens, 0)
-	assert.Equal(t, ask(4*time.Second, 3, demand{Tokens: 700}).Tokens, 350, "at most one minute's limit, proportional to demand")
+	assert.Equal(t, request(4*time.Second, 1, demand{ReturnedTokens: 1000}).Tokens, 0)
+	assert.Equal(t, request(4*time.Second, 3, demand{Tokens: 700}).Tokens, 350, "at most one minute's limit, proportional to demand")
 	params.tokensPerMinute = 60
-	assert.Equal(t, ask(4*time.Second, 2, demand{}).Tokens, 0)
+	assert.Equal(t, request(4*time.Second, 2, demand{}).Tokens, 0)
 	assert.Equal(t, alloc.bucket.level, 60.0, "a lower limit applies at once")
 	params.settling = true
 	alloc = newAllocator("o")
-	ask(0, 1, demand{RecentTokens: 45})
-	assert.Equal(t, ask(0, 2, demand{RecentTokens: 5, Tokens: 60}).Tokens, 10, "a new owner charges recently used tokens")
+	request(0, 1, demand{RecentTokens: 45})
+	assert.Equal(t, request(0, 2, demand{RecentTokens: 5, Tokens: 60}).Tokens, 10, "a new owner charges recently used tokens")
 }
 
 // The shares and the requests in flight of all nodes must stay within the limit when
--- a/limits/node_set.go
+++ b/limits/node_set.go
@@ -18,15 +18,15 @@
 	changedAt time.Time
 }
 
-// update returns the node set for a view. Changes within settle of each other count
+// update returns the node set for a view. Changes within settleTime of each other count
 // as one.
-func (n *nodeSet) update(now time.Time, view *membership.Snapshot, settle time.Duration) *nodeSet {
+func (n *nodeSet) update(now time.Time, view *membership.Snapshot, settleTime time.Duration) *nodeSet {
 	live := liveMembers(view)
 	if slices.EqualFunc(n.live, live, domain.Member.SameIncarnation) {
 		return &nodeSet{view: view, live: n.live, previous: n.previous, changedAt: n.changedAt}
 	}
 	previous := n.live
-	if now.Sub(n.changedAt) < settle {
+	if now.Sub(n.changedAt) < settleTime {
 		previous = n.previous
 	}
 	return &nodeSet{view: view, live: live, previous: previous, changedAt: now}
@@ -55,10 +55,10 @@
 	return firstInOrder(n.live, organisation)
 }
 
-// settling reports whether another node owned the organisation until less than settle
+// settling reports whether another node owned the organisation until less than settleTime
 // ago.
-func (n *nodeSet) settling(now time.Time, organisation domain.OrganisationID, self domain.NodeID, settle time.Duration) bool {
-	if now.Sub(n.changedAt) >= settle {
+func (n *nodeSet) settling(now time.Time, organisation domain.OrganisationID, self domain.NodeID, settleTime time.Duration) bool {
+	if now.Sub(n.changedAt) >= settleTime {
 		return false
 	}
 	previousOwner, ok := firstInOrder(n.previous, organisation)
