--- a/tokenlimit/account.go
+++ b/tokenlimit/account.go
@@ -30,7 +30,7 @@
 // account is one organisation's use of its limit over all nodes, as far as this node knows.
 type account struct {
 	used window
-	// usedPartitioned is the part of used that was admitted while some nodes were not heard from.
+	// usedPartitioned is the part of used that was admitted while reports from some nodes were missing.
 	usedPartitioned window
 	// assumedUse is the estimated use in the window before assumedAt that is not in used. It leaves the window at a constant rate.
 	assumedUse float64
@@ -104,8 +104,8 @@
 }
 
 // excess is the amount by which a cost exceeds the share of the limit that the reachable nodes may use, given by fraction. Use from
-// before a partition is known to both sides, and each side gets its fraction of what that leaves; the fractions sum up to the
-// whole, so that both sides together stay within the limit. When that use was counted in full against each side's share, an
+// before a partition is known to both sides, and each side gets its fraction of what that leaves; the fractions sum up to
+// one, so that both sides together stay within the limit. When that use was counted in full against each side's share, an
 // organisation that had used a third of its limit was refused everything by a third of the nodes for the rest of the window.
 func (a *account) excess(now boottime.Instant, length time.Duration, cost, fraction float64) float64 {
 	shared := a.usedInWindow(now, length) - a.usedPartitioned.sum
--- a/tokenlimit/limiter.go
+++ b/tokenlimit/limiter.go
@@ -4,9 +4,9 @@
 // what it admits and, from reports, what its peers admit. The limit is exceeded by at most what the peers admit between two
 // reports, for which the operators leave room.
 //
-// Guarantees under failure. A node that does not hear from some of its peers uses only the reachable nodes' share of the remaining
-// limit, so that both sides of a partition together stay within the limit. A restarted node does not start with an unused limit:
-// until a peer reports the use, everything but part of the burst counts as used, spread evenly over the window before.
+// Guarantees under failure. A node that receives no reports from some of its peers uses only the reachable nodes' share of the
+// remaining limit, so that both sides of a partition together stay within the limit. A restarted node does not start with an unused
+// limit: until a peer reports the use, everything but part of the burst counts as used, spread evenly over the window before.
 package tokenlimit
 
 import (
@@ -30,7 +30,7 @@
 	// Window is the time over which the operators measure the limits.
 	Window time.Duration
 	Clock  boottime.Clock
-	// Fleet returns the number of nodes known and the number heard from.
+	// Fleet returns the number of nodes known and the number of those whose reports arrive.
 	Fleet   func() gossip.Fleet
 	Metrics *metrics.Set
 }
@@ -43,7 +43,7 @@
 	mu       sync.Mutex
 	accounts map[domain.OrganisationID]*account
 	peers    map[domain.NodeID]*peerTotals
-	// partitioned is true while some nodes are not heard from.
+	// partitioned is true while reports from some nodes are missing.
 	partitioned bool
 
 	admitted *metrics.Counter
@@ -92,7 +92,7 @@
 	return true, 0
 }
 
-// setPartitioned records whether some nodes are not heard from. The lock is held.
+// setPartitioned records whether reports from some nodes are missing. The lock is held.
 func (l *Limiter) setPartitioned(partitioned bool) {
 	if l.partitioned && !partitioned {
 		for _, a := range l.accounts {
@@ -102,7 +102,7 @@
 	l.partitioned = partitioned
 }
 
-// reachableFraction is the fraction of the limit that the nodes heard from may use.
+// reachableFraction is the fraction of the limit that the reachable nodes may use.
 func reachableFraction(fleet gossip.Fleet) float64 {
 	if fleet.Known <= 0 {
 		return 1
@@ -189,7 +189,7 @@
 		more := s.Total - p.admitted[s.Organisation]
 		p.admitted[s.Organisation] = s.Total
 		a, ok := l.accounts[s.Organisation]
-		// Use from before this process first heard from a peer is part of what it adopts.
+		// Use from before this process received a peer's first report is part of what it adopts.
 		if ok && (known || a.adopted) {
 			a.advance(now, l.config.Window)
 			a.use(more, l.partitioned)
