--- a/endpointlimit/doc.go
+++ b/endpointlimit/doc.go
@@ -5,6 +5,7 @@
 // share the limit, each with a token bucket of its own, and no message is needed before a request.
 //
 // Guarantees under failure. In any time t, the nodes that know of a limit together send at most (t + burstSeconds) times the
-// limit (one request at least), even if they don't hear each other. A node that is silent keeps its share until its peers forget
-// it. A restarted node sends without a limit until it learns of the limit, and then starts with an empty bucket.
+// limit (one request at least), even if they don't receive each other's reports. A node that sends no reports keeps its share
+// until its peers forget it. A restarted node sends without a limit until it learns of the limit, and then starts with an empty
+// bucket.
 package endpointlimit
--- a/endpointlimit/limiter.go
+++ b/endpointlimit/limiter.go
@@ -151,7 +151,7 @@
 		l.config.Log.Info().Str("endpoint", string(reported.Endpoint)).Float64("per_second", reported.PerSecond).
 			Bool("ended", reported.Ended).Float64("per_second_before", known.perSecond).Str("from", from).Int64("age_ms", reported.AgeMillis).
 			Msg("endpoint limit changed")
-		known.shareComputedAt = 0 // forces the share to be computed anew
+		known.shareComputedAt = 0 // forces the share to be recomputed
 		if known.ended {
 			known.bucket = newBucket(now)
 		}
--- a/endpointlimit/share.go
+++ b/endpointlimit/share.go
@@ -20,8 +20,8 @@
 //
 // The limit is shared evenly by the nodes of the endpoint's data centre, which send it the most, and those of data centres that
 // have no endpoint of its service; if there are none, by all nodes. Since each of them may send one request at once, their number
-// is limited by burstSeconds. All nodes make the same choice from the nodes known, silent ones included, so nodes that don't hear
-// each other together stay within the limit.
+// is limited by burstSeconds. All nodes make the same choice from the nodes known, silent ones included, so nodes that don't
+// receive each other's reports together stay within the limit.
 func share(self domain.NodeID, e *directory.Endpoint, perSecond float64, members []domain.Member, all *directory.Snapshot) float64 {
 	perSecond = max(perSecond, minPerSecond)
 	sharing := sharingMembers(e, members, all)
