--- a/places/allocator.go
+++ b/places/allocator.go
@@ -110,7 +110,7 @@
 	a.syncDirectory()
 	now := time.Now()
 	p := a.pool(request.Service)
-	request.routerAsk = request.toRouterAsk()
+	request.capacityRequest = request.toCapacityRequest()
 	if !p.hasUsable(request, func(*trackedEndpoint) bool { return true }) {
 		a.refused.Inc()
 		return nil, nil, &Refusal{Err: ErrNoEndpoint, RetryAfter: minRetryAfter}
--- a/places/allocator_test.go
+++ b/places/allocator_test.go
@@ -104,14 +104,14 @@
 			place.Release(served(time.Second)) // the mean hold time becomes long
 		}
 		f.fill(testSlots)
-		began := time.Now()
+		start := time.Now()
 		request := testRequest()
-		request.FirstByteDue = began.Add(500 * time.Millisecond)
+		request.FirstByteDue = start.Add(500 * time.Millisecond)
 		_, err := f.Acquire(f.t.Context(), request)
 		var refusal *Refusal
 		assert.Assert(t, errors.As(err, &refusal) && errors.Is(err, ErrOverloaded))
-		assert.Assert(t, refusal.RetryAfter >= minRetryAfter && refusal.RetryAfter <= request.Due.Sub(began)/3)
-		assert.Equal(t, time.Since(began), time.Duration(0))
+		assert.Assert(t, refusal.RetryAfter >= minRetryAfter && refusal.RetryAfter <= request.Due.Sub(start)/3)
+		assert.Equal(t, time.Since(start), time.Duration(0))
 	})
 }
 
@@ -121,10 +121,10 @@
 		f.fill(testSlots)
 		request := testRequest()
 		request.FirstByteDue = time.Now().Add(-time.Second)
-		began := time.Now()
+		start := time.Now()
 		_, err := f.Acquire(f.t.Context(), request)
 		assert.ErrorIs(t, err, ErrOverloaded)
-		assert.Assert(t, time.Since(began) <= maxLateWait)
+		assert.Assert(t, time.Since(start) <= maxLateWait)
 		assert.Equal(t, f.Waiting(), 0)
 	})
 }
@@ -324,10 +324,10 @@
 		f := newFixture(t, 1)
 		f.fill(testSlots)
 		ctx, cancel := context.WithCancelCause(t.Context())
-		gone := errors.New("gone")
-		time.AfterFunc(time.Second, func() { cancel(gone) })
+		errCancelled := errors.New("cancelled")
+		time.AfterFunc(time.Second, func() { cancel(errCancelled) })
 		_, err := f.Acquire(ctx, testRequest())
-		assert.ErrorIs(t, err, gone)
+		assert.ErrorIs(t, err, errCancelled)
 		assert.Equal(t, f.Waiting(), 0)
 	})
 }
--- a/places/choose.go
+++ b/places/choose.go
@@ -47,7 +47,7 @@
 		return nil
 	}
 	w := capacity.QueuedRequest{
-		Request: request.routerAsk, Arrived: now, FirstTokenDue: request.FirstByteDue, Due: request.Due, Urgent: true,
+		Request: request.capacityRequest, Arrived: now, FirstTokenDue: request.FirstByteDue, Due: request.Due, Urgent: true,
 	}
 	at, ok := p.router.Choose(now, &w, p.candidateStates)
 	if !ok {
--- a/places/grant.go
+++ b/places/grant.go
@@ -15,11 +15,11 @@
 	ep.ownLoad.subtract(place.load)
 	ep.refreshState()
 	ep.recordResult(now, result)
-	p.router.Observe(now, &ep.state, place.routerAsk, result)
+	p.router.Observe(now, &ep.state, place.capacityRequest, result)
 	if result.Dispatched {
-		p.recordHold(place.routerAsk, place.tier, now.Sub(place.granted).Seconds())
+		p.recordHold(place.capacityRequest, place.tier, now.Sub(place.granted).Seconds())
 		if result.FirstToken > 0 {
-			p.firstByteTimes.add(place.routerAsk.PromptTokens, result.FirstToken)
+			p.firstByteTimes.add(place.capacityRequest.PromptTokens, result.FirstToken)
 		}
 	}
 	// The slot goes to this node's own waiters first: the peers count it as used until the next report.
--- a/places/item.go
+++ b/places/item.go
@@ -69,8 +69,8 @@
 	return min(max(r.FirstByteDue.Sub(now), 0)+maxLateWait, r.Due.Sub(now))
 }
 
-// retryAfter is the delay after which a refused caller is told to retry. It is up to a third of the remaining time, the
-// longest that callers wait when told to: a later retry is more likely to come after the overload, and an answer on
+// retryAfter is the delay after which a refused caller is asked to retry. It is up to a third of the remaining time, the
+// longest that callers wait when asked to: a later retry is more likely to come after the overload, and an answer on
 // time is no longer possible anyway.
 func (r *Request) retryAfter(now time.Time) time.Duration {
 	most := min(r.Due.Sub(now)/3, maxRetryAfter)
--- a/places/options.go
+++ b/places/options.go
@@ -63,13 +63,13 @@
 	// engines hold 500,000 tokens and run about ten requests at a time.
 	longPromptTokens = 16000
 	// maxPredictedLateWait is the longest predicted wait of a request that will miss its latency objective in any case,
-	// and maxLateWait the longest actual wait. Such a request is served if a slot is free and is otherwise told soon
-	// when to retry, since its wait takes capacity from requests that can be on time. With 0.8 s and 1.7 s, and a
+	// and maxLateWait the longest actual wait. Such a request is served if a slot is free and is otherwise refused soon
+	// with a time to retry, since its wait takes capacity from requests that can be on time. With 0.8 s and 1.7 s, and a
 	// reserve of 0.2, overloaded days of small copies of two large deployments had a mean worth of 0.231 and 0.245 (1
 	// is all that callers requested, on time); with these values 0.265 and 0.272.
 	maxPredictedLateWait = 50 * time.Millisecond
 	maxLateWait          = 300 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound the delay after which a refused caller is told to retry.
+	// minRetryAfter and maxRetryAfter bound the delay after which a refused caller is asked to retry.
 	minRetryAfter = 300 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
 )
--- a/places/place.go
+++ b/places/place.go
@@ -24,10 +24,10 @@
 	// none.
 	Limit float64
 
-	allocator *Allocator
-	pool      *pool
-	tracked   *trackedEndpoint
-	routerAsk *capacity.Request
+	allocator       *Allocator
+	pool            *pool
+	tracked         *trackedEndpoint
+	capacityRequest *capacity.Request
 	// tier is the one in which the request was counted.
 	tier    demandTier
 	granted time.Time
@@ -39,16 +39,16 @@
 
 func newPlace(a *Allocator, p *pool, ep *trackedEndpoint, request *Request, now time.Time) *Place {
 	return &Place{
-		Endpoint:   ep.endpoint,
-		allocator:  a,
-		pool:       p,
-		tracked:    ep,
-		routerAsk:  request.routerAsk,
-		tier:       demandTierOf(request),
-		granted:    now,
-		Load:       ep.state.Requests,
-		ReportedAt: a.reportedAt,
-		TokenTime:  ep.tokenTime.estimate(now),
+		Endpoint:        ep.endpoint,
+		allocator:       a,
+		pool:            p,
+		tracked:         ep,
+		capacityRequest: request.capacityRequest,
+		tier:            demandTierOf(request),
+		granted:         now,
+		Load:            ep.state.Requests,
+		ReportedAt:      a.reportedAt,
+		TokenTime:       ep.tokenTime.estimate(now),
 		load: load{
 			requests:      1,
 			prefillTokens: request.PromptTokens,
--- a/places/pool.go
+++ b/places/pool.go
@@ -70,7 +70,7 @@
 	p.demand.forTier(demandTierOf(request)).served.add(now)
 	ep.ownLoad.add(place.load)
 	ep.refreshState()
-	p.router.Granted(now, &ep.state, place.routerAsk)
+	p.router.Granted(now, &ep.state, place.capacityRequest)
 	return place
 }
 
@@ -122,18 +122,18 @@
 // node's slots become free at the rate of its outstanding requests divided by their mean hold time.
 func (p *pool) predictedWait(request *Request, ahead int) time.Duration {
 	outstanding := max(p.outstanding(), 1)
-	return time.Duration(float64(ahead+1) * p.expectedHoldTime(request.routerAsk) / float64(outstanding) * float64(time.Second))
+	return time.Duration(float64(ahead+1) * p.expectedHoldTime(request.capacityRequest) / float64(outstanding) * float64(time.Second))
 }
 
 // expectedHoldTime is the mean time in seconds that a request holds a slot, a default by the kind of request until
 // there is a sample. With the engines' default for plain calls too, nodes that had just been restarted refused them:
 // 585 in the second after all 69 nodes of a large deployment had been restarted, though half of the plain calls of that
 // second were answered in 44 ms.
-func (p *pool) expectedHoldTime(ask *capacity.Request) float64 {
+func (p *pool) expectedHoldTime(request *capacity.Request) float64 {
 	switch {
 	case p.holdTime.samples > 0:
 		return p.holdTime.value
-	case ask.PromptTokens == 0 && ask.AnswerTokens == 0:
+	case request.PromptTokens == 0 && request.AnswerTokens == 0:
 		return plainHoldTime.Seconds()
 	default:
 		return defaultHoldTime.Seconds()
@@ -141,8 +141,8 @@
 }
 
 // recordHold records the time in seconds that the request held a slot.
-func (p *pool) recordHold(ask *capacity.Request, tier demandTier, holdTime float64) {
-	p.holdTime.value = p.expectedHoldTime(ask)
+func (p *pool) recordHold(request *capacity.Request, tier demandTier, holdTime float64) {
+	p.holdTime.value = p.expectedHoldTime(request)
 	p.holdTime.add(holdTime)
 	p.demand.forTier(tier).recordHold(holdTime)
 }
--- a/places/prediction.go
+++ b/places/prediction.go
@@ -54,7 +54,7 @@
 	maxMeanGap := time.Duration(eventGapFraction * float64(request.EventGap))
 	maxPrefill := time.Duration(prefillGapFraction * float64(request.EventGap))
 	return func(ep *trackedEndpoint) prediction {
-		f := p.router.Forecast(now, &ep.state, request.routerAsk)
+		f := p.router.Forecast(now, &ep.state, request.capacityRequest)
 		return prediction{
 			finishesInTime: request.AnswerTokens < longAnswerTokens || f.Total <= maxTotal,
 			startsOnTime:   late || f.FirstToken <= maxFirstByte,
--- a/places/request.go
+++ b/places/request.go
@@ -36,11 +36,11 @@
 	Due          time.Time
 	// Excluded endpoints must not be chosen.
 	Excluded []domain.EndpointID
-	// Urgent requests continue an answer that has begun: they are not refused for a long queue.
+	// Urgent requests continue an answer that has started: they are not refused for a long queue.
 	Urgent bool
 
-	// routerAsk is the router's form of the request, built once on arrival.
-	routerAsk *capacity.Request
+	// capacityRequest is the router's form of the request, built once on arrival.
+	capacityRequest *capacity.Request
 }
 
 func (r *Request) excludes(id domain.EndpointID) bool {
@@ -52,7 +52,7 @@
 	return false
 }
 
-func (r *Request) toRouterAsk() *capacity.Request {
+func (r *Request) toCapacityRequest() *capacity.Request {
 	return &capacity.Request{
 		Name:         r.ID,
 		Pool:         domain.PoolName(r.Service),
