--- a/gateway/callertimeouts.go
+++ b/gateway/callertimeouts.go
@@ -14,7 +14,7 @@
 }
 
 const (
-	// maxTrackedRoutes bounds the routes recorded; beyond it the record starts anew.
+	// maxTrackedRoutes bounds the routes recorded; beyond it all records are discarded.
 	maxTrackedRoutes = 4096
 	// timeoutSpreadFraction is the fraction of the longest timeout by which first attempts may fall short of it. In
 	// deployments seen, callers' timeouts are spread evenly over the upper 0.15 of the longest; without this allowance
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -251,7 +251,7 @@
 	return a.retry(err, false)
 }
 
-// retry logs the failure and asks for another attempt, unless the request's deadline has passed or its caller is gone.
+// retry logs the failure and requests another attempt, unless the deadline has passed or the caller has disconnected.
 func (a *attempt) retry(err error, notSent bool) attemptResult {
 	t := a.task
 	if t.ctx.Err() != nil {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -226,7 +226,7 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// breakAfterTwoEvents sends the first two events, then calls breakOff. Asked to resume after the second, it sends the third.
+// breakAfterTwoEvents sends the first two events, then calls breakOff. A request to resume after the second gets the third.
 func breakAfterTwoEvents(breakOff func(http.ResponseWriter)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Last") == "2" {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -35,7 +35,7 @@
 type ConfigSource interface {
 	// Table returns the configuration, nil until one is known.
 	Table() *routetable.Table
-	// Age is how long a change to the configuration may have gone unnoticed by this node.
+	// Age is how long a change to the configuration may have remained unnoticed by this node.
 	Age(now boottime.Instant) time.Duration
 	// Behind is how long a later configuration has been known to exist that this node does not have; zero if there is none.
 	Behind(now boottime.Instant) time.Duration
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -157,9 +157,9 @@
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	}
-	var asked atomic.Int64
+	var requests atomic.Int64
 	replacedTwice := func(w http.ResponseWriter, r *http.Request) {
-		if asked.Add(1) <= 2 {
+		if requests.Add(1) <= 2 {
 			replaced(w, r)
 			return
 		}
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// hopByHop are the header fields that are not forwarded (RFC 9110, section 7.6.1). Content-Length is set anew.
+// hopByHop are the header fields that are not forwarded (RFC 9110, section 7.6.1). Content-Length is computed for each message.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
--- a/gateway/send_test.go
+++ b/gateway/send_test.go
@@ -82,9 +82,9 @@
 }
 
 func TestRequestNotRunIsNotChargedToLimit(t *testing.T) {
-	var asked atomic.Int64
+	var requests atomic.Int64
 	f := newFixture(t, func(r *routetable.Route) { r.MaxEndpoints = 1 }, func(w http.ResponseWriter, _ *http.Request) {
-		if asked.Add(1) == 1 {
+		if requests.Add(1) == 1 {
 			w.Header().Set("X-Not-Run", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
--- a/gateway/task.go
+++ b/gateway/task.go
@@ -136,7 +136,7 @@
 		return attemptResult{final: true, refusal: refusal}
 	}
 	if e := t.gateway.deps.Directory.Current().Endpoint(slot.Endpoint.Incarnation()); e == nil || e.Leaving {
-		// The endpoint began to leave, or left, while the request was queued.
+		// The endpoint started to leave, or left, while the request was queued.
 		slot.Release(resultNotDispatched)
 		return attemptResult{}
 	}
@@ -250,7 +250,7 @@
 		t.gateway.deps.OrganisationLimits.Refund(t.organisation, t.cost)
 	}
 	if t.headSent && r.refusal != nil {
-		// The node's response can't follow part of an endpoint's: the caller would take the whole for a complete response.
+		// The node's response can't follow part of an endpoint's: the caller would take the two for one complete response.
 		r.abort = true
 	}
 	t.logEnd(r)
