--- a/ledger/api.go
+++ b/ledger/api.go
@@ -46,7 +46,7 @@
 	// VerdictFinished: the answer is complete and held by Holder.
 	VerdictFinished
 	// VerdictTakeover: the request was dispatched to Endpoint by an incarnation that is
-	// gone; this attempt may resume the stream there, and must not dispatch.
+	// no longer running; this attempt may resume the stream there, and must not dispatch.
 	VerdictTakeover
 	// VerdictRan: the request was dispatched and its answer is no longer held.
 	VerdictRan
@@ -78,7 +78,7 @@
 // Ledger is the interface that the scheduler uses. Implementations are safe for
 // concurrent use.
 type Ledger interface {
-	// Claim asks the key's home for the right to run the request. It returns
+	// Claim requests the right to run the request from the key's home. It returns
 	// ErrUnknown, ErrFingerprintMismatch or ErrFull instead of a claim.
 	Claim(ctx context.Context, key domain.RequestKey, fingerprint Fingerprint) (Claim, error)
 	// Commit records that the request is about to be dispatched to the endpoint. After
--- a/ledger/audit.go
+++ b/ledger/audit.go
@@ -10,8 +10,8 @@
 	query holderQuery
 	// isHome is set if this incarnation is the key's home; otherwise it holds a copy.
 	isHome bool
-	// holderGone is set if the holder's incarnation has ended.
-	holderGone bool
+	// holderEnded is set if the holder's incarnation has ended.
+	holderEnded bool
 }
 
 // audit checks records that have been unfinished for the whole retention period, one
@@ -21,7 +21,7 @@
 		switch {
 		case !item.isHome:
 			r.auditCopy(ctx, item.query)
-		case item.holderGone:
+		case item.holderEnded:
 			r.closeAbandoned(item.query)
 		default:
 			r.resolveWithHolder(ctx, item.query)
@@ -65,13 +65,13 @@
 		home = ok && m.SameIncarnation(r.self)
 	}
 	return auditItem{
-		query:      *r.newHolderQuery(key, rec),
-		isHome:     home,
-		holderGone: r.holderGone(rec),
+		query:       *r.newHolderQuery(key, rec),
+		isHome:      home,
+		holderEnded: r.holderEnded(rec),
 	}
 }
 
-// closeAbandoned ends a record whose holder is gone and that no attempt has claimed.
+// closeAbandoned ends a record whose holder has ended and that no attempt has claimed.
 func (r *Replica) closeAbandoned(q holderQuery) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,7 +86,7 @@
 	r.records.set(q.key, rec, StateFailed, time.Now())
 }
 
-// auditCopy asks the key's home for the state of the record that a copy was made of.
+// auditCopy fetches the state of a copied record from the key's home.
 func (r *Replica) auditCopy(ctx context.Context, q holderQuery) {
 	h := r.history.Load()
 	if q.outsideTable || h == nil {
--- a/ledger/client.go
+++ b/ledger/client.go
@@ -33,7 +33,7 @@
 	return r.acceptClaim(t, attempt, fingerprint, reply), nil
 }
 
-// logUnknownHistory logs the cause of ErrUnknown, since the caller is not told it.
+// logUnknownHistory logs the cause of ErrUnknown, since the caller does not receive it.
 func (r *Replica) logUnknownHistory(t target, err error) {
 	if !errors.Is(err, ErrUnknown) {
 		return
@@ -128,7 +128,7 @@
 	return r.withdraw(ctx, t, claim, err)
 }
 
-// markCommitted writes the commit into the local copy before the home is asked, so that
+// markCommitted writes the commit into the local copy before the home is called, so that
 // the copy counts as the second one. copied reports whether it may count; ok is false
 // if this incarnation no longer has the claim.
 func (r *Replica) markCommitted(t target, claim ClaimID, endpoint domain.EndpointID) (copied, ok bool) {
@@ -159,8 +159,8 @@
 	return ok && home.SameIncarnation(r.self)
 }
 
-// mayDispatch marks the local copy as committed. It reports false if the copy is gone
-// or has ended.
+// mayDispatch marks the local copy as committed. It reports false if the copy was
+// deleted or has ended.
 func (r *Replica) mayDispatch(t target, claim ClaimID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/ledger/cluster_test.go
+++ b/ledger/cluster_test.go
@@ -239,7 +239,8 @@
 	c.edit(c.anyExcept(id), Remove(member))
 }
 
-// markGone makes every node's membership view show an incarnation as gone.
+// markGone makes every node's membership view show an incarnation with
+// StatusGone.
 func (c *cluster) markGone(member domain.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/ledger/export.go
+++ b/ledger/export.go
@@ -9,7 +9,7 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// exportSession is a collection that another member has begun: the keys of which it is
+// exportSession is a collection that another member has started: the keys of which it is
 // the home and this member has records.
 type exportSession struct {
 	epoch uint64
--- a/ledger/fault_test.go
+++ b/ledger/fault_test.go
@@ -24,9 +24,9 @@
 func (n *testNode) mustClaimAndRelease(t *testing.T, k domain.RequestKey) {
 	t.Helper()
 	claim := n.mustClaim(t, k)
-	asked := time.Now()
+	calledAt := time.Now()
 	assert.NilError(t, n.Release(t.Context(), claim))
-	n.cluster.invariants.toldNotRun(k, n.member, asked)
+	n.cluster.invariants.reportedNotRun(k, n.member, calledAt)
 }
 
 // verdict claims a key and returns the home's verdict.
@@ -103,8 +103,8 @@
 	})
 }
 
-// A paused holder commits after its claim was revoked and another attempt was told that
-// the request was not run: the commit must be refused.
+// A paused holder commits after its claim was revoked and another attempt was informed
+// that the request was not run: the commit must be refused.
 func TestPausedHolderCommitsAfterRevocation(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		holder, k := c.nodes[nodeName(1)], c.keyAt(nodeName(0))
@@ -161,7 +161,7 @@
 }
 
 // The table changes while the witness's reply to the home is in transit. The new home
-// has already collected from the old one and never asks the witness, yet must know of
+// has already collected from the old one and never queries the witness, yet must know of
 // the commit.
 func TestTableChangeDuringCommit(t *testing.T) {
 	inCluster(t, 4, func(t *testing.T, c *cluster) {
@@ -278,7 +278,7 @@
 	})
 }
 
-// The messages that end a claim are lost: the home asks the holder for the state.
+// The messages that end a claim are lost: the home queries the holder for the state.
 func TestLostMessagesAreRecovered(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
 		holder, k := c.nodes[nodeName(1)], c.keyAt(nodeName(0))
--- a/ledger/fence.go
+++ b/ledger/fence.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// fenced reports whether too few members have confirmed the epoch lately or, for an
-// only member, the store was not checked lately. The lock is held.
+// fenced reports whether too few members have confirmed the epoch recently or, for an
+// only member, the store was not checked recently. The lock is held.
 func (r *Replica) fenced(h *history, now time.Time) bool {
 	members := h.current()
 	if len(members) == 1 && r.options.Editor != nil {
@@ -68,7 +68,7 @@
 	return h != nil && !r.fenced(h, time.Now())
 }
 
-// confirmAll asks the members that have not confirmed the epoch lately.
+// confirmAll calls the members that have not confirmed the epoch recently.
 func (r *Replica) confirmAll(ctx context.Context) {
 	h := r.history.Load()
 	if h == nil || !h.table.Contains(r.self) {
@@ -115,7 +115,7 @@
 	return members
 }
 
-// confirm asks a member whether it is in the epoch, and catches up if it has a later
+// confirm queries a member whether it is in the epoch, and catches up if it has a later
 // one. It reports whether the member is in the epoch.
 func (r *Replica) confirm(ctx context.Context, member domain.Member, epoch uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, r.options.nestedTimeout())
@@ -131,8 +131,8 @@
 	return reply.Status == statusOK
 }
 
-// confirmWithAny asks the key's witness candidates in turn until one is in the epoch.
-// It reports true for an only member, which has nobody to ask.
+// confirmWithAny queries the key's witness candidates in turn until one is in the epoch.
+// It reports true for an only member, which has no other to query.
 func (r *Replica) confirmWithAny(ctx context.Context, h *history, key KeyHash) bool {
 	candidates := r.witnessCandidates(h, key)
 	for _, member := range candidates {
--- a/ledger/foreign.go
+++ b/ledger/foreign.go
@@ -50,7 +50,7 @@
 }
 
 // refreshAfterFailure looks for a later table after a home of another data centre has
-// not answered, since the home may be gone.
+// not answered, since the home may have ended.
 func (r *Replica) refreshAfterFailure(ctx context.Context, t target, at route) {
 	scope := t.key.Scope
 	if scope.Kind == domain.ScopeDataCentre && scope.DataCentre != r.self.DataCentre {
--- a/ledger/holder_query.go
+++ b/ledger/holder_query.go
@@ -8,7 +8,7 @@
 	"hawthornrill.example/hawthornrill/peer"
 )
 
-// holderQuery describes a record whose holder should be asked whether the claim is
+// holderQuery describes a record whose holder should be queried whether the claim is
 // still valid: the message that ended the claim, or the reply that granted it, may have
 // been lost.
 type holderQuery struct {
--- a/ledger/home.go
+++ b/ledger/home.go
@@ -73,10 +73,10 @@
 	return d.history == nil || !r.fenced(d.history, d.now)
 }
 
-// holderGone reports whether the incarnation that holds a record's claim has ended. A
-// member of the table is gone when the table no longer has it; for other incarnations
-// membership is asked. The lock is held.
-func (r *Replica) holderGone(rec record) bool {
+// holderEnded reports whether the incarnation that holds a record's claim has ended. A
+// member of the table has ended when the table no longer has it; for other incarnations
+// membership decides. The lock is held.
+func (r *Replica) holderEnded(rec record) bool {
 	holder := r.records.members.value(rec.holder)
 	if holder.SameIncarnation(r.self) {
 		return false
@@ -84,7 +84,7 @@
 	if rec.has(flagMember) {
 		return !r.history.Load().table.Contains(holder)
 	}
-	return r.incarnationGone(holder)
+	return r.incarnationEnded(holder)
 }
 
 // mayTakeOver reports whether another attempt may take over the claim of a record that
@@ -93,15 +93,15 @@
 func (r *Replica) mayTakeOver(rec record) bool {
 	switch rec.state {
 	case StateClaimed:
-		return r.holderGone(rec)
+		return r.holderEnded(rec)
 	case StateCommitted:
-		return r.holderGone(rec) || r.incarnationGone(r.records.members.value(rec.holder))
+		return r.holderEnded(rec) || r.incarnationEnded(r.records.members.value(rec.holder))
 	}
 	return false
 }
 
-// incarnationGone reports whether membership considers an incarnation ended.
-func (r *Replica) incarnationGone(member domain.Member) bool {
+// incarnationEnded reports whether membership considers an incarnation ended.
+func (r *Replica) incarnationEnded(member domain.Member) bool {
 	if r.options.Membership == nil {
 		return false
 	}
--- a/ledger/home_claim.go
+++ b/ledger/home_claim.go
@@ -38,7 +38,7 @@
 		return claimReply{Status: statusFingerprint, Epoch: d.epoch()}, nil
 	}
 	if r.mayTakeOver(rec) {
-		return r.claimFromGoneHolder(d, from, request, rec), nil
+		return r.claimFromEndedHolder(d, from, request, rec), nil
 	}
 	return r.claimHeld(d, from, request, rec)
 }
@@ -81,9 +81,10 @@
 	return 0
 }
 
-// claimFromGoneHolder decides on a key whose holder's incarnation has ended: a mere
-// claim is revoked and granted anew, a commit is taken over. The lock is held.
-func (r *Replica) claimFromGoneHolder(d decision, from domain.Member, request claimRequest, rec record) claimReply {
+// claimFromEndedHolder decides on a key whose holder's incarnation has ended: a claim
+// without a commit is revoked and a new one granted, a commit is taken over. The lock
+// is held.
+func (r *Replica) claimFromEndedHolder(d decision, from domain.Member, request claimRequest, rec record) claimReply {
 	if !r.hasFullHistory(d, request.Key) {
 		return claimReply{Status: statusRecovering, Epoch: d.epoch()}
 	}
@@ -112,7 +113,7 @@
 		return r.verdict(d, from, VerdictGranted, rec), nil
 	case same && rec.state == StateCommitted && rec.has(flagTakenOver):
 		return r.verdict(d, from, VerdictTakeover, rec), nil
-	case rec.state == StateFailed, rec.state == StateFinished && r.holderGone(rec):
+	case rec.state == StateFailed, rec.state == StateFinished && r.holderEnded(rec):
 		return r.verdict(d, from, VerdictRan, rec), nil
 	case rec.state == StateFinished:
 		return r.verdict(d, from, VerdictFinished, rec), nil
--- a/ledger/home_end.go
+++ b/ledger/home_end.go
@@ -108,7 +108,7 @@
 }
 
 // sendWitnessUpdate sends a witness the end of a record, without waiting. If the
-// message is lost, the witness asks at its next audit.
+// message is lost, the witness queries the home at its next audit.
 func (r *Replica) sendWitnessUpdate(ctx context.Context, d decision, update witnessUpdate) {
 	_ = peer.Send(ctx, r.transport, update.witness, methodMirror, mirrorRequest{d.epoch(), []entry{update.entry}})
 }
--- a/ledger/invariants_test.go
+++ b/ledger/invariants_test.go
@@ -10,10 +10,10 @@
 
 // invariants checks dispatches and answers to callers from outside the ledger.
 type invariants struct {
-	mu           sync.Mutex
-	runs         map[domain.RequestKey][]*execution
-	toldNotRunAt map[domain.RequestKey]time.Time
-	failures     []string
+	mu               sync.Mutex
+	runs             map[domain.RequestKey][]*execution
+	reportedNotRunAt map[domain.RequestKey]time.Time
+	failures         []string
 	// events is the trace of a run, printed with a failure.
 	start  time.Time
 	events []string
@@ -33,7 +33,7 @@
 }
 
 func newInvariants() *invariants {
-	return &invariants{start: time.Now(), runs: make(map[domain.RequestKey][]*execution), toldNotRunAt: make(map[domain.RequestKey]time.Time)}
+	return &invariants{start: time.Now(), runs: make(map[domain.RequestKey][]*execution), reportedNotRunAt: make(map[domain.RequestKey]time.Time)}
 }
 
 // inRetention reports whether the execution is running or ended within the retention
@@ -52,7 +52,7 @@
 			v.failures = append(v.failures, fmt.Sprintf("%s dispatched by %s and again by %s", k, a.holder, holder))
 		}
 	}
-	if answered, ok := v.toldNotRunAt[k]; ok && granted.Before(answered) {
+	if answered, ok := v.reportedNotRunAt[k]; ok && granted.Before(answered) {
 		v.failures = append(v.failures, fmt.Sprintf("%s dispatched by %s after its caller was told that the request was not run", k, holder))
 	}
 	a := &execution{at: now, holder: holder}
@@ -81,19 +81,19 @@
 	}
 }
 
-// toldNotRun records that a caller was told that its request was not run, after the
-// home was asked at the given time. The answer must have been true at some time since
-// then: nothing had been dispatched, and no claim granted before is dispatched later.
-func (v *invariants) toldNotRun(k domain.RequestKey, by domain.Member, asked time.Time) {
+// reportedNotRun records that a caller was informed that its request was not run, after
+// the home was called at the given time. The answer must have been true at some time
+// since then: nothing had been dispatched, and no claim granted before is dispatched later.
+func (v *invariants) reportedNotRun(k domain.RequestKey, by domain.Member, calledAt time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, a := range v.runs[k] {
-		if a.at.Before(asked) && a.inRetention(asked) {
+		if a.at.Before(calledAt) && a.inRetention(calledAt) {
 			v.failures = append(v.failures, fmt.Sprintf("%s reported as not run by %s, but dispatched by %s", k, by, a.holder))
 		}
 	}
-	if asked.After(v.toldNotRunAt[k]) {
-		v.toldNotRunAt[k] = asked
+	if calledAt.After(v.reportedNotRunAt[k]) {
+		v.reportedNotRunAt[k] = calledAt
 	}
 }
 
--- a/ledger/message.go
+++ b/ledger/message.go
@@ -40,7 +40,7 @@
 	statusTooFewMembers
 )
 
-// claimRequest asks for the right to run a request. In all requests, Epoch is zero for
+// claimRequest requests the right to run a request. In all requests, Epoch is zero for
 // keys of node scope.
 type claimRequest struct {
 	Key         KeyHash     `cbor:"1,keyasint"`
@@ -101,7 +101,7 @@
 	Entries []entry `cbor:"2,keyasint"`
 }
 
-// collectRequest asks for the records of the keys whose home is the sender.
+// collectRequest requests the records of the keys whose home is the sender.
 type collectRequest struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 	// After is the Next of the previous page, nil for the first page.
@@ -116,7 +116,7 @@
 	Next *KeyHash `cbor:"4,keyasint,omitempty"`
 }
 
-// tableRequest asks for the receiver's table.
+// tableRequest requests the receiver's table.
 type tableRequest struct {
 	DataCentre domain.DataCentre `cbor:"1,keyasint"`
 }
@@ -125,13 +125,13 @@
 	Table *Table `cbor:"1,keyasint,omitempty"`
 }
 
-// settledRequest tells the member that counts settlements that the sender has all
+// settledRequest notifies the member that counts settlements that the sender has all
 // records of its keys in the epoch, and that a second member holds each of them.
 type settledRequest struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 }
 
-// holdsRequest asks whether the receiver still intends to use a claim.
+// holdsRequest queries whether the receiver still intends to use a claim.
 type holdsRequest struct {
 	Key   KeyHash `cbor:"1,keyasint"`
 	Claim ClaimID `cbor:"2,keyasint"`
@@ -145,7 +145,7 @@
 	State State `cbor:"1,keyasint"`
 }
 
-// confirmRequest asks whether the receiver is in the same epoch.
+// confirmRequest queries whether the receiver is in the same epoch.
 type confirmRequest struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 }
--- a/ledger/options.go
+++ b/ledger/options.go
@@ -36,8 +36,8 @@
 	// Editor records settlements. Without it they are not recorded, and two losses
 	// within LossWindow make keys uncertain even if far apart.
 	Editor TableEditor
-	// Membership tells which incarnations outside the data centre's table are gone, and
-	// where the incarnations of node-scope keys are reached. Without it none is known.
+	// Membership reports which incarnations outside the data centre's table have ended,
+	// and where the incarnations of node-scope keys are reached. Without it none is known.
 	Membership membership.View
 	Metrics    *metrics.Set
 	Logger     zerolog.Logger
--- a/ledger/partition_test.go
+++ b/ledger/partition_test.go
@@ -93,7 +93,7 @@
 }
 
 // A node without the table of another data centre requests it from that data centre's
-// members, and again when the home it knows is gone. A record lost by all its members
+// members, and again when the home it knows has ended. A record lost by all its members
 // is restored by its holder's Finish.
 func TestForeignTableLookup(t *testing.T) {
 	inCluster(t, 5, func(t *testing.T, c *cluster) {
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -29,10 +29,10 @@
 	// flagNodeScope marks a key of node scope, of which this incarnation is the only
 	// home.
 	flagNodeScope recordFlags = 1 << iota
-	// flagTakenOver marks a commit whose first holder is gone: the present holder can't
+	// flagTakenOver marks a commit whose first holder has ended: the present holder can't
 	// withdraw the claim.
 	flagTakenOver
-	// flagMember marks a holder that was in the table when it got the claim: it is gone
+	// flagMember marks a holder that was in the table when it got the claim: it has ended
 	// once the table no longer has it.
 	flagMember
 	// flagPending marks a commit that is not yet held by two members.
--- a/ledger/replica.go
+++ b/ledger/replica.go
@@ -37,7 +37,7 @@
 	// none.
 	ready    uint64
 	recovery *recovery
-	// exports are the collections that other members have begun.
+	// exports are the collections that other members have started.
 	exports map[domain.NodeID]*exportSession
 	// holderQueries are the keys with a query to their holder in progress. No query
 	// starts after stopped is set.
@@ -47,7 +47,7 @@
 	// unresponsive is when a member last failed to answer a call for a copy or a
 	// confirmation.
 	unresponsive map[domain.Member]time.Time
-	// storeCheckedAt is when the last check of the store for a later table began,
+	// storeCheckedAt is when the last check of the store for a later table started,
 	// whether it succeeded or not.
 	storeCheckedAt time.Time
 	// lastConfirmed is when a member was last known to have no later epoch.
--- a/ledger/schedule_test.go
+++ b/ledger/schedule_test.go
@@ -199,13 +199,13 @@
 // attempt runs one request through the ledger.
 func (s *schedule) attempt(n *testNode, k domain.RequestKey, delays []int, release bool) {
 	ctx := context.Background()
-	asked := time.Now()
+	calledAt := time.Now()
 	claim, err := n.Claim(ctx, k, Fingerprint{1})
 	granted := time.Now()
 	s.invariants.trace("%s claim %s: %v %v", n.member, k.Client, claim, err)
 	switch {
 	case errors.Is(err, ErrFull):
-		s.invariants.toldNotRun(k, n.member, asked)
+		s.invariants.reportedNotRun(k, n.member, calledAt)
 		return
 	case err != nil:
 		return
@@ -218,11 +218,11 @@
 	}
 	sleepMillis(delays[0])
 	if release {
-		asked = time.Now()
+		calledAt = time.Now()
 		err = n.Release(ctx, claim)
 		s.invariants.trace("%s release %s: %v", n.member, k.Client, err)
 		if err == nil && !n.crashed.Load() {
-			s.invariants.toldNotRun(k, n.member, asked)
+			s.invariants.reportedNotRun(k, n.member, calledAt)
 		}
 		return
 	}
@@ -278,8 +278,8 @@
 	s.removeMember(id)
 }
 
-// removeMember removes a node from the table; if it has crashed, membership shows it as
-// gone.
+// removeMember removes a node from the table; if it has crashed, membership shows it with
+// StatusGone.
 func (s *schedule) removeMember(id domain.NodeID) {
 	member := s.nodes[id].member
 	if s.down[id] {
--- a/ledger/settle.go
+++ b/ledger/settle.go
@@ -13,7 +13,7 @@
 	return topRanked(h.current(), KeyHash{})
 }
 
-// reportSettled tells the counting member that this one has all records of its keys and
+// reportSettled notifies the counting member that this one has all records of its keys and
 // that a second member holds each. It reports whether the table already records the
 // settlement.
 func (r *Replica) reportSettled(ctx context.Context, epoch uint64) bool {
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -22,5 +22,5 @@
 }
 
 // ended reports whether the state is final, so that the record's retention period has
-// begun.
+// started.
 func (s State) ended() bool { return s >= StateFinished }
--- a/ledger/table_change.go
+++ b/ledger/table_change.go
@@ -52,7 +52,7 @@
 }
 
 // Remove takes an incarnation out of the table. Its records count as lost unless the
-// table has been settled since the incarnation began to leave.
+// table has been settled since the incarnation started to leave.
 func Remove(member domain.Member) TableChange {
 	return func(t *Table) (*Table, error) {
 		if !t.Contains(member) {
--- a/ledger/tablestore_test.go
+++ b/ledger/tablestore_test.go
@@ -54,9 +54,9 @@
 		c.crash(nodeName(1))
 		for range 2 {
 			claim := home.mustClaim(t, c.keyBetween(nodeName(0), nodeName(1)))
-			began := time.Now()
+			start := time.Now()
 			assert.NilError(t, home.commit(claim))
-			waits = append(waits, time.Since(began))
+			waits = append(waits, time.Since(start))
 		}
 		assert.Assert(t, waits[0] >= home.options.nestedTimeout())
 		assert.Assert(t, waits[1] < home.options.nestedTimeout())
--- a/ledger/target.go
+++ b/ledger/target.go
@@ -67,7 +67,7 @@
 		return route{home: r.self}, nil
 	}
 	member := domain.Member{Node: scope.Node, Incarnation: scope.Incarnation}
-	if r.options.Membership == nil || r.incarnationGone(member) {
+	if r.options.Membership == nil || r.incarnationEnded(member) {
 		return route{}, fmt.Errorf("%w: incarnation %s is gone", ErrUnknown, member)
 	}
 	for _, p := range r.options.Membership.Current().Peers {
--- a/ledger/witness.go
+++ b/ledger/witness.go
@@ -28,7 +28,7 @@
 	return members[:min(maxWitnesses, len(members))]
 }
 
-// unresponsiveRank is 1 for a member that did not answer lately, else 0. The lock is
+// unresponsiveRank is 1 for a member that did not answer recently, else 0. The lock is
 // held.
 func (r *Replica) unresponsiveRank(m domain.Member, now time.Time) int {
 	if at, ok := r.unresponsive[m]; ok && now.Sub(at) < unresponsivePeriod {
