--- a/sizing/limits_bench_test.go
+++ b/sizing/limits_bench_test.go
@@ -78,10 +78,10 @@
 	}
 	time.Sleep(2 * limits.DefaultSlowReportInterval / limitsSpeedup)
 	network.ResetCounts()
-	began := time.Now()
+	start := time.Now()
 	time.Sleep(limitsIntervals * limits.DefaultSlowReportInterval / limitsSpeedup)
 	sent := network.Total("")
-	seconds := time.Since(began).Seconds() * limitsSpeedup
+	seconds := time.Since(start).Seconds() * limitsSpeedup
 	return float64(sent.Messages) / seconds, float64(sent.Bytes) / seconds
 }
 
--- a/sizing/membership_bench_test.go
+++ b/sizing/membership_bench_test.go
@@ -104,11 +104,11 @@
 // await waits until match holds for every peer in every node's view.
 func (f *membershipFleet) await(b *testing.B, match func(membership.Peer) bool) {
 	b.Helper()
-	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 		if f.allPeers(match) {
 			return
 		}
-		assert.Assert(b, time.Since(began) < time.Minute, "membership did not converge within a minute")
+		assert.Assert(b, time.Since(start) < time.Minute, "membership did not converge within a minute")
 	}
 }
 
@@ -218,10 +218,10 @@
 			for b.Loop() {
 				idle, _ := f.count(restartWindow)
 				f.network.ResetCounts()
-				began := time.Now()
+				start := time.Now()
 				incarnation++
 				f.restart(b, incarnation)
-				time.Sleep(restartWindow - time.Since(began))
+				time.Sleep(restartWindow - time.Since(start))
 				sent := f.network.Total("")
 				messages += float64(sent.Messages - idle.Messages)
 				bytes += float64(sent.Bytes - idle.Bytes)
--- a/sizing/node_bench_test.go
+++ b/sizing/node_bench_test.go
@@ -87,8 +87,8 @@
 	_, err := nodes[0].Config().Edit(b.Context(), edit, config.Diff(config.Table{}, fleetTable(29)))
 	assert.NilError(b, err)
 	for _, n := range nodes {
-		for began := time.Now(); n.Ready() != nil; time.Sleep(10 * time.Millisecond) {
-			assert.Assert(b, time.Since(began) < time.Minute, "%v", n.Ready())
+		for start := time.Now(); n.Ready() != nil; time.Sleep(10 * time.Millisecond) {
+			assert.Assert(b, time.Since(start) < time.Minute, "%v", n.Ready())
 		}
 	}
 	time.Sleep(30 * time.Second)
