--- a/places/choose.go
+++ b/places/choose.go
@@ -29,7 +29,7 @@
 // grants a released slot to its own waiters first. A node in a data centre with few nodes, with twice the demand of the
 // others, then refuses twice as many requests. Below its share it may send a request to a full endpoint, which starts
 // it when the next request there ends, whichever node sent that one. On nine overloaded runs with data centres of two
-// to four nodes, the share of the requested worth that callers got was 0.634 with this rule and 0.632 without, in the
+// to four nodes, the share of the requested value that callers got was 0.634 with this rule and 0.632 without, in the
 // data centre with two nodes 0.81 and 0.79; on six runs of another deployment 0.632 and 0.621.
 func (p *pool) belowDemandShare(now time.Time, limits capacityLimits, a *Allocator) bool {
 	if limits.reserve > 0 || limits.demandReserve > 0 {
@@ -122,7 +122,7 @@
 // used its slot for nothing. As long as any such endpoint has capacity, they must also be likely to start the answer
 // and to keep the gaps between its events within the objectives. Without that last rule a node filled its subset
 // evenly, and half of the streams on hardware six times as slow as the fastest were late. On runs with faults of two
-// large deployments it raised the share of the requested worth that callers got from 0.803 to 0.845 and from 0.796 to
+// large deployments it raised the share of the requested value that callers got from 0.803 to 0.845 and from 0.796 to
 // 0.827, under overload from 0.618 to 0.623 and from 0.631 to 0.638.
 //
 // It returns false if no candidate qualifies but an endpoint without free capacity would. A crashed endpoint has many
--- a/places/demand.go
+++ b/places/demand.go
@@ -16,7 +16,7 @@
 // would take many of the reserved slots.
 //
 // Under overload and faults (four days, three seeds), in a deployment whose long streams hold a slot three times as
-// long as higher-priority requests, the share of the requested worth that callers got on time was 0.663 with the
+// long as higher-priority requests, the share of the requested value that callers got on time was 0.663 with the
 // reserve and 0.640 without. In two deployments whose most urgent requests are the longest (three days, two seeds) it
 // was 0.635 against 0.630, and 0.621 against 0.621.
 
@@ -148,8 +148,8 @@
 	return own.served.valueAt(now)*requested < minServedRatio*served*own.requested.valueAt(now)
 }
 
-// placeMillis is the demand of all tiers in slot-milliseconds.
-func (d *demand) placeMillis(now time.Time) int {
+// slotMillis is the demand of all tiers in slot-milliseconds.
+func (d *demand) slotMillis(now time.Time) int {
 	var sum float64
 	for _, t := range d.tiers {
 		sum += t.requested.valueAt(now) * t.holdTime.value
--- a/places/item.go
+++ b/places/item.go
@@ -26,7 +26,7 @@
 // rank is the request's queue rank, given the predicted time from dispatch to first byte.
 //
 // SubTier orders the requests of one tier. Without it the routes' tiers would have no effect where organisations share
-// a tier: with it, mean worth on overloaded days rose from 0.603 to 0.614 and from 0.603 to 0.608 (two small
+// a tier: with it, the mean value served on overloaded days rose from 0.603 to 0.614 and from 0.603 to 0.608 (two small
 // deployments), from 0.295 to 0.299 and from 0.261 to 0.268 (small copies of two large ones), where 1 is all that
 // callers requested, on time.
 func (r *Request) rank(now time.Time, start time.Duration) domain.Tier {
--- a/places/options.go
+++ b/places/options.go
@@ -38,7 +38,7 @@
 	// of the endpoints, so that it knows more of their load itself and needs fewer connections. foreignReserve is the
 	// fraction of the slots of all other endpoints that it leaves free: with reports a third of a second old, many
 	// nodes would take the last slots at the same time. Up to the 20th second of an overloaded day with 72 nodes the
-	// share of the requested worth that callers got was 0.537 with 0.1, 0.552 with 0.25 and 0.563 with 0.4. But the
+	// share of the requested value that callers got was 0.537 with 0.1, 0.552 with 0.25 and 0.563 with 0.4. But the
 	// less work goes to other subsets, the worse is the share in the most loaded data centre: 0.502, 0.479, 0.473.
 	nodesPerEndpoint = 4
 	foreignReserve   = 0.25
@@ -65,8 +65,8 @@
 	// maxPredictedLateWait is the longest predicted wait of a request that will miss its latency objective in any case,
 	// and maxLateWait the longest actual wait. Such a request is served if a slot is free and is otherwise refused soon
 	// with a time to retry, since its wait takes capacity from requests that can be on time. With 0.8 s and 1.7 s, and a
-	// reserve of 0.2, overloaded days of small copies of two large deployments had a mean worth of 0.231 and 0.245 (1
-	// is all that callers requested, on time); with these values 0.265 and 0.272.
+	// reserve of 0.2, overloaded days of small copies of two large deployments had a mean value served of 0.231 and 0.245
+	// (1 is all that callers requested, on time); with these values 0.265 and 0.272.
 	maxPredictedLateWait = 50 * time.Millisecond
 	maxLateWait          = 300 * time.Millisecond
 	// minRetryAfter and maxRetryAfter bound the delay after which a refused caller is asked to retry.
--- a/places/peers.go
+++ b/places/peers.go
@@ -30,7 +30,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for service, p := range a.pools {
-		if millis := p.demand.placeMillis(now); millis > 0 {
+		if millis := p.demand.slotMillis(now); millis > 0 {
 			report.Asked = append(report.Asked, gossip.ServiceDemand{Service: service, PlaceMillis: millis})
 		}
 		for id, ep := range p.endpoints {
@@ -117,7 +117,7 @@
 
 // demandShare is this node's fraction of the fleet's demand for a service, zero if there is none.
 func (a *Allocator) demandShare(p *pool, now time.Time) float64 {
-	own := p.demand.placeMillis(now)
+	own := p.demand.slotMillis(now)
 	all := own
 	for _, peer := range a.peers {
 		all += peer.demandMillis[p.service]
--- a/places/prediction.go
+++ b/places/prediction.go
@@ -20,7 +20,7 @@
 	eventGapFraction = 0.25
 	// prefillGapFraction is the fraction of the longest allowed event gap for which an endpoint may prefill prompts
 	// while it generates answers: it produces almost none of their tokens meanwhile. On twelve runs with overload and
-	// faults the share of the requested worth that callers got on time was 0.663 with this rule and 0.655 without.
+	// faults the share of the requested value that callers got on time was 0.663 with this rule and 0.655 without.
 	prefillGapFraction = 0.7
 )
 
--- a/places/request.go
+++ b/places/request.go
@@ -7,7 +7,7 @@
 	"hawthornrill.example/hawthornrill/domain"
 )
 
-// Request is a request for a place at an endpoint of a service.
+// Request is a request for a slot at an endpoint of a service.
 type Request struct {
 	// ID is the request's ID, for the log.
 	ID           string
--- a/places/share_test.go
+++ b/places/share_test.go
@@ -10,9 +10,9 @@
 	"hawthornrill.example/hawthornrill/gossip"
 )
 
-// countPlacesBeside returns how many places one of four nodes gets at three endpoints that are full of a peer's
+// countSlotsBeside returns how many slots one of four nodes gets at three endpoints that are full of a peer's
 // requests, given the demand at both nodes.
-func countPlacesBeside(t *testing.T, own, other int) int {
+func countSlotsBeside(t *testing.T, own, other int) int {
 	taken := 0
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, 3)
@@ -41,8 +41,8 @@
 
 // A data centre with few nodes has more demand than the others when all endpoints are full.
 func TestNodeWithMoreDemandGetsMorePlaces(t *testing.T) {
-	assert.Equal(t, countPlacesBeside(t, 1, 90_000), 2, "half of an equal share, as for any node")
-	assert.Equal(t, countPlacesBeside(t, 9, 1000), 3, "up to a quarter more than each endpoint has slots")
+	assert.Equal(t, countSlotsBeside(t, 1, 90_000), 2, "half of an equal share, as for any node")
+	assert.Equal(t, countSlotsBeside(t, 9, 1000), 3, "up to a quarter more than each endpoint has slots")
 }
 
 func TestDemandIsReported(t *testing.T) {
