--- a/ledger/cluster_test.go
+++ b/ledger/cluster_test.go
@@ -82,7 +82,7 @@
 
 func nodeName(i int) domain.NodeID { return domain.NodeID(fmt.Sprintf("host-%02d", i)) }
 
-// start begins a new incarnation of a node, which joins the table of its data centre.
+// start starts a new incarnation of a node, which joins the table of its data centre.
 func (c *cluster) start(id domain.NodeID, dataCentre domain.DataCentre) *testNode {
 	n := c.startOutside(id, dataCentre)
 	if dataCentre == testDataCentre {
@@ -91,7 +91,7 @@
 	return n
 }
 
-// startOutside begins a new incarnation of a node that does not join.
+// startOutside starts a new incarnation of a node that does not join.
 func (c *cluster) startOutside(id domain.NodeID, dataCentre domain.DataCentre) *testNode {
 	c.serial++
 	member := domain.Member{Node: id, Incarnation: domain.Incarnation(c.serial), DataCentre: dataCentre, Address: "10.0.0.1:7000"}
--- a/ledger/fault_test.go
+++ b/ledger/fault_test.go
@@ -312,7 +312,7 @@
 	})
 }
 
-// A member begins to leave and crashes before its records were collected. Their new
+// A member starts to leave and crashes before its records were collected. Their new
 // home has not seen the epoch in between.
 func TestLeavingMemberCrashes(t *testing.T) {
 	inCluster(t, 4, func(t *testing.T, c *cluster) {
