--- a/capacity/dump.go
+++ b/capacity/dump.go
@@ -42,11 +42,11 @@
 
 // HolderDump is what the owner has recorded of one node for one pool.
 type HolderDump struct {
-	Pool    domain.PoolName `json:"pool"`
-	Holder  string          `json:"holder"`
-	Grants  int             `json:"grants"`
-	Waiting int             `json:"waiting"`
-	Heard   time.Duration   `json:"heard_ago_ns"`
+	Pool         domain.PoolName `json:"pool"`
+	Holder       string          `json:"holder"`
+	Grants       int             `json:"grants"`
+	Waiting      int             `json:"waiting"`
+	SinceContact time.Duration   `json:"heard_ago_ns"`
 }
 
 // LinkDump is this node's client-side state towards one owner.
@@ -126,11 +126,11 @@
 	var dumps []HolderDump
 	for _, h := range p.holders {
 		dumps = append(dumps, HolderDump{
-			Pool:    p.name,
-			Holder:  h.member.String(),
-			Grants:  len(h.grants),
-			Waiting: len(h.entries),
-			Heard:   now.Sub(h.heard),
+			Pool:         p.name,
+			Holder:       h.member.String(),
+			Grants:       len(h.grants),
+			Waiting:      len(h.entries),
+			SinceContact: now.Sub(h.heard),
 		})
 	}
 	slices.SortFunc(dumps, func(a, b HolderDump) int { return cmp.Compare(a.Holder, b.Holder) })
--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -170,7 +170,7 @@
 	n.mesh = gossip.New(gossip.Dependencies{
 		Self:               n.settings.Node,
 		DataCentre:         n.settings.DataCentre,
-		Life:               rand.Uint64(),
+		Incarnation:        rand.Uint64(),
 		Transport:          socket,
 		Clock:              boottime.Now,
 		Peers:              n.peerAddresses,
--- a/gossip/mesh.go
+++ b/gossip/mesh.go
@@ -53,11 +53,11 @@
 
 // Dependencies are the collaborators and the identity of a Mesh.
 type Dependencies struct {
-	Self       domain.NodeID
-	DataCentre domain.DataCentre
-	Life       uint64
-	Transport  Transport
-	Clock      boottime.Clock
+	Self        domain.NodeID
+	DataCentre  domain.DataCentre
+	Incarnation uint64
+	Transport   Transport
+	Clock       boottime.Clock
 	// Peers returns the nodes to report to. An entry for this node is ignored.
 	Peers func() []Address
 	// Fill sets the contents of a report before it is sent.
@@ -172,7 +172,7 @@
 		return
 	}
 	var sent boottime.Instant
-	if report.EchoLife == m.deps.Life {
+	if report.EchoLife == m.deps.Incarnation {
 		sent = report.Echo
 	}
 	m.deps.OnReport(&report, sent)
@@ -270,7 +270,7 @@
 	if len(targets) == 0 {
 		return
 	}
-	report := Report{From: m.deps.Self, Life: m.deps.Life, DataCentre: m.deps.DataCentre}
+	report := Report{From: m.deps.Self, Life: m.deps.Incarnation, DataCentre: m.deps.DataCentre}
 	m.deps.Fill(&report)
 	changes := report.Changes
 	updates := configurationUpdates{configurationSince: m.deps.ConfigurationSince, cache: make(map[uint64]configurationUpdate)}
--- a/gossip/mesh_test.go
+++ b/gossip/mesh_test.go
@@ -115,7 +115,7 @@
 		m.documentBytes.Store(100)
 		m.changes.Store(&changeList{})
 		m.Mesh = New(Dependencies{
-			Self: a.Node, DataCentre: a.DataCentre, Life: uint64(i + 1), Transport: port{net, a.HostPort}, Clock: clock,
+			Self: a.Node, DataCentre: a.DataCentre, Incarnation: uint64(i + 1), Transport: port{net, a.HostPort}, Clock: clock,
 			Peers: func() []Address { return addresses },
 			Fill: func(r *Report) {
 				if n := m.padding.Load(); n > 0 {
--- a/standin/command/engine.go
+++ b/standin/command/engine.go
@@ -58,7 +58,7 @@
 	f.StringVar(&o.Poison, "poison", "", "`text` that crashes the engine when it is in a prompt")
 	f.baseURL("weights", &weights, "`URL` of the weight store to load from, such as http://127.0.0.1:8004 (default: none, loading only takes time)")
 	return func(onAvailabilityChange func(available bool)) instance {
-		o.OnUp = onAvailabilityChange
+		o.OnAvailabilityChange = onAvailabilityChange
 		o.RestartDelay = restart
 		o.Seed = uint64(seed)
 		if weights != "" {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -33,7 +33,7 @@
 	unpaused    chan struct{}
 	loopRunning bool
 	// down is true between a crash and the restart. reportedUp is the state last
-	// passed to Options.OnUp.
+	// passed to Options.OnAvailabilityChange.
 	down, reportedUp bool
 	closed           bool
 	// incarnationEnd is closed when the engine crashes.
--- a/standin/engine/lifecycle.go
+++ b/standin/engine/lifecycle.go
@@ -64,15 +64,15 @@
 	e.notifyUp()
 }
 
-// notifyUp calls Options.OnUp if the engine has become reachable or unreachable.
+// notifyUp calls Options.OnAvailabilityChange if the engine has become reachable or unreachable.
 func (e *Engine) notifyUp() {
 	up := !e.unreachable()
 	if up == e.reportedUp {
 		return
 	}
 	e.reportedUp = up
-	if e.options.OnUp != nil {
-		e.options.OnUp(up)
+	if e.options.OnAvailabilityChange != nil {
+		e.options.OnAvailabilityChange(up)
 	}
 }
 
