--- a/capacity/accounts.go
+++ b/capacity/accounts.go
@@ -12,7 +12,7 @@
 	if !ok {
 		return
 	}
-	h.heard = now
+	h.lastContact = now
 	if e, ok := h.entries[message.ID]; ok {
 		o.removeEntry(e)
 		return
--- a/capacity/acquire.go
+++ b/capacity/acquire.go
@@ -188,8 +188,8 @@
 }
 
 // searchElsewhere tries the other data centres while the request stays queued at its
-// present owner. If none takes it, the owner is told that it has to serve the request
-// itself.
+// present owner. If none takes it, the owner is notified that it has to serve the
+// request itself.
 func (a *acquisition) searchElsewhere(ctx context.Context, r decision) {
 	if a.moveCount < a.s.options.MaxMoves && a.moveWithoutRevoking(ctx, r.DeadlineAtRisk) {
 		return
--- a/capacity/api.go
+++ b/capacity/api.go
@@ -65,7 +65,7 @@
 type Result struct {
 	// Dispatched is false if the grant was released unused.
 	Dispatched bool `cbor:"1,keyasint"`
-	// Complete is true if the whole answer was received.
+	// Complete is true if the answer was received completely.
 	Complete bool `cbor:"2,keyasint"`
 	// Crashed is true if the endpoint broke off the answer and it could not be resumed.
 	Crashed bool `cbor:"3,keyasint"`
--- a/capacity/chooser.go
+++ b/capacity/chooser.go
@@ -88,7 +88,7 @@
 }
 
 // ReportReceiver is a Chooser that uses what the endpoints report about themselves. The
-// node that owns an endpoint reads its reports and passes them on through
+// node that owns an endpoint reads its reports and forwards them through
 // Service.Report and Service.CacheEvents.
 type ReportReceiver interface {
 	// Report takes an endpoint's own load report, which is already stale.
--- a/capacity/collect.go
+++ b/capacity/collect.go
@@ -161,7 +161,7 @@
 	return others
 }
 
-// serveCollect tells a new owner what this node holds.
+// serveCollect reports to a new owner what this node holds.
 func (s *Service) serveCollect(r *collectRequest) collectReply {
 	var reply collectReply
 	view := s.currentLayout()
--- a/capacity/dump.go
+++ b/capacity/dump.go
@@ -130,7 +130,7 @@
 			Holder:       h.member.String(),
 			Grants:       len(h.grants),
 			Waiting:      len(h.entries),
-			SinceContact: now.Sub(h.heard),
+			SinceContact: now.Sub(h.lastContact),
 		})
 	}
 	slices.SortFunc(dumps, func(a, b HolderDump) int { return cmp.Compare(a.Holder, b.Holder) })
--- a/capacity/failures_test.go
+++ b/capacity/failures_test.go
@@ -159,7 +159,7 @@
 }
 
 // When a holder crashes, its queued requests are dropped as soon as that is known. Its
-// slots are kept until nothing was heard of it for GrantTTL, since an engine may still
+// slots are kept until GrantTTL has passed since its last message, as an engine may still
 // be working on its requests.
 func TestHolderCrash(t *testing.T) {
 	rows := []config.EndpointRow{engine("e1", "a", 1, "quote")}
--- a/capacity/holder.go
+++ b/capacity/holder.go
@@ -8,10 +8,10 @@
 
 // holder is what an owner has recorded of one incarnation of a node for one pool.
 type holder struct {
-	member  domain.Member
-	heard   time.Time
-	entries map[requestID]*entry
-	grants  map[requestID]*grant
+	member      domain.Member
+	lastContact time.Time
+	entries     map[requestID]*entry
+	grants      map[requestID]*grant
 	// The digests cover the keys of the two maps.
 	entriesDigest digest
 	grantsDigest  digest
--- a/capacity/owner_test.go
+++ b/capacity/owner_test.go
@@ -57,7 +57,7 @@
 func (t *ownerTest) advance(d time.Duration) {
 	for end := t.now.Add(d); t.now.Before(end); t.tick(t.now) {
 		t.now = t.now.Add(t.options.Tick)
-		t.holderOf(quotePool).heard = t.now
+		t.holderOf(quotePool).lastContact = t.now
 	}
 }
 
--- a/capacity/ownertick.go
+++ b/capacity/ownertick.go
@@ -31,7 +31,7 @@
 func (o *owner) expireHolders(now time.Time) {
 	for _, p := range o.pools {
 		for key, h := range p.holders {
-			if now.Sub(h.heard) < o.options.GrantTTL {
+			if now.Sub(h.lastContact) < o.options.GrantTTL {
 				continue
 			}
 			o.dropHolder(now, h)
--- a/capacity/pool.go
+++ b/capacity/pool.go
@@ -46,7 +46,7 @@
 		h = newHolder(member)
 		p.holders[key] = h
 	}
-	h.heard = now
+	h.lastContact = now
 	return h
 }
 
--- a/capacity/service.go
+++ b/capacity/service.go
@@ -312,7 +312,7 @@
 }
 
 // Owned returns the endpoints of the pools that this node owns, sorted. The node reads
-// these endpoints' reports and passes them on through Report and CacheEvents.
+// these endpoints' reports and forwards them through Report and CacheEvents.
 func (s *Service) Owned() []domain.EndpointID {
 	s.currentLayout()
 	var owned []domain.EndpointID
