--- a/scheduler/attach.go
+++ b/scheduler/attach.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// followEnded passes on the end of the followed answer. A not_run outcome leaves the
+// followEnded forwards the end of the followed answer. A not_run outcome leaves the
 // key free, so this attempt claims it again, unless the caller cancelled the request.
 func (t *task) followEnded(end answer.End) step {
 	if end.Outcome == domain.OutcomeNotRun && end.Code != answer.CodeCancelled {
@@ -102,9 +102,9 @@
 	}
 }
 
-// takeOver reads the rest of an answer whose request was dispatched by an incarnation
-// that no longer exists. It dispatches nothing. The response of a service call can't
-// be read again, so such a request ends as ran.
+// takeOver reads the remainder of an answer whose request was dispatched by an
+// incarnation that no longer exists. It dispatches nothing. The response of a service
+// call can't be read again, so such a request ends as ran.
 func (t *task) takeOver(claim ledger.Claim) step {
 	t.claimID.Store(uint64(claim.ID))
 	t.scheduler.deps.Answers.Open(t.request.Key, t.buffer)
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -1,8 +1,8 @@
 // Package scheduler runs requests: claim the key, check the organisation's limits,
 // acquire a slot at an endpoint, commit the claim, dispatch, and record the finish.
 // Each request is a task with its own goroutine, which keeps running when the
-// caller's connection breaks, so that the caller can read the whole answer later at
-// any node.
+// caller's connection breaks, so that the caller can read the complete answer later
+// at any node.
 //
 // The outcome reported to the caller depends on the step that failed:
 //
--- a/scheduler/schedulertest/capacity.go
+++ b/scheduler/schedulertest/capacity.go
@@ -61,9 +61,9 @@
 }
 
 // Acquire implements capacity.Client.
-func (c *Capacity) Acquire(ctx context.Context, ask capacity.Request) (capacity.Grant, error) {
+func (c *Capacity) Acquire(ctx context.Context, request capacity.Request) (capacity.Grant, error) {
 	c.mu.Lock()
-	c.requests = append(c.requests, ask)
+	c.requests = append(c.requests, request)
 	if c.blocked {
 		c.mu.Unlock()
 		<-ctx.Done()
--- a/scheduler/settle.go
+++ b/scheduler/settle.go
@@ -15,7 +15,7 @@
 // a key's home.
 const settleRetryDelay = 500 * time.Millisecond
 
-// settleContext outlives the task's cancellation, so that an exchange begun with the
+// settleContext outlives the task's cancellation, so that an exchange started with the
 // key's home can complete.
 func (t *task) settleContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.WithoutCancel(t.ctx), t.scheduler.options.SettleTimeout)
--- a/scheduler/task.go
+++ b/scheduler/task.go
@@ -103,7 +103,7 @@
 const followGrace = 2 * time.Second
 
 // grace is how long the caller may be disconnected. It is zero once the caller has
-// read the whole answer, or if it can't reconnect.
+// read the complete answer, or if it can't reconnect.
 func (t *task) grace() time.Duration {
 	switch {
 	case t.request.CancelOnDisconnect, t.buffer.EndDelivered():
