--- a/node/matrix_steps_test.go
+++ b/node/matrix_steps_test.go
@@ -71,7 +71,7 @@
 		return
 	}
 	x.setObserver(func(e event) {
-		if !x.step.matches(x, e) || x.faultBegun.Load() {
+		if !x.step.matches(x, e) || x.faultStarted.Load() {
 			return
 		}
 		if x.step.delay > 0 {
--- a/node/matrix_trial_test.go
+++ b/node/matrix_trial_test.go
@@ -41,7 +41,7 @@
 	key, prompt             string
 	fault                   *fault
 	step                    *step
-	faultBegun              atomic.Bool
+	faultStarted            atomic.Bool
 	// faultEnded is closed when the fault has ended.
 	faultEnded chan struct{}
 	crashed    chan *runningNode
@@ -176,7 +176,7 @@
 
 // beginFault begins the fault, at most once, and ends it after faultDuration.
 func (x *trial) beginFault() {
-	if !x.faultBegun.CompareAndSwap(false, true) {
+	if !x.faultStarted.CompareAndSwap(false, true) {
 		return
 	}
 	x.fault.begin(x)
--- a/node/members.go
+++ b/node/members.go
@@ -13,6 +13,6 @@
 	Run(ctx context.Context) error
 	// Leave announces to the peers that this node accepts no new work.
 	Leave(ctx context.Context) error
-	// Farewell announces to the peers that this incarnation has stopped.
+	// AnnounceStopped announces to the peers that this incarnation has stopped.
 	AnnounceStopped(ctx context.Context) error
 }
--- a/node/reports.go
+++ b/node/reports.go
@@ -84,7 +84,7 @@
 	r.setLastEvent(id, events[len(events)-1].Sequence)
 }
 
-// setLeaving passes on a change of the leaving state reported by the endpoint.
+// setLeaving forwards a change of the leaving state reported by the endpoint.
 func (r *reportPoller) setLeaving(id domain.EndpointID, leaving bool) {
 	r.mu.Lock()
 	_, wasLeaving := r.leaving[id]
