--- a/membership/delegation.go
+++ b/membership/delegation.go
@@ -18,7 +18,7 @@
 	hostListReaders []domain.NodeID
 	// nodeCount is the number of responsive nodes of the local data centre.
 	nodeCount int
-	// reachable tells for each remote data centre whether it can be reached.
+	// reachable says for each remote data centre whether it can be reached.
 	reachable map[domain.DataCentre]bool
 }
 
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -41,7 +41,7 @@
 	return &toRefute
 }
 
-// applyPayload merges a peer's own state and the changes that it passes on.
+// applyPayload merges a peer's own state and the changes that it forwards.
 func (s *Service) applyPayload(from domain.Member, payload gossipPayload) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/membership/messages.go
+++ b/membership/messages.go
@@ -14,12 +14,12 @@
 	methodPush peer.Method = "membership.push"
 	// methodPull fetches the parts of a table that differ.
 	methodPull peer.Method = "membership.pull"
-	// methodListed tells a node its state in the host list.
+	// methodListed notifies a node of its state in the host list.
 	methodListed peer.Method = "membership.listed"
 )
 
 // gossipPayload is part of most messages: the sender's own state and the changes
-// that it passes on.
+// that it forwards.
 type gossipPayload struct {
 	// Version and Intent are the sender's own.
 	Version uint64 `cbor:"1,keyasint,omitempty"`
@@ -93,7 +93,7 @@
 	Records    []record          `cbor:"2,keyasint,omitempty"`
 }
 
-// listedRequest tells a node its state in the host list.
+// listedRequest notifies a node of its state in the host list.
 type listedRequest struct {
 	Leaving bool `cbor:"1,keyasint,omitempty"`
 }
--- a/membership/pull.go
+++ b/membership/pull.go
@@ -71,7 +71,7 @@
 }
 
 // pullDataCentre fetches a data centre's table from one of its nodes if it has
-// changed, and passes the changes on.
+// changed, and forwards the changes.
 func (s *Service) pullDataCentre(ctx context.Context, from domain.Member) bool {
 	s.metrics.exchanges.Inc()
 	all := s.hashes()
--- a/membership/slope_test.go
+++ b/membership/slope_test.go
@@ -50,7 +50,7 @@
 }
 
 // BenchmarkSlopeRestart measures the traffic per node that one restart adds to
-// that at rest, and the time until all nodes know the new incarnation.
+// that of an idle cluster, and the time until all nodes know the new incarnation.
 func BenchmarkSlopeRestart(b *testing.B) {
 	for _, size := range slopeSizes {
 		b.Run(fmt.Sprintf("dcs=%d/nodes=%d", size[0], size[1]), func(b *testing.B) {
