--- a/follow/feed.go
+++ b/follow/feed.go
@@ -36,7 +36,7 @@
 
 	// mu serialises changes from the store and from peers.
 	mu sync.Mutex
-	// complete is true once the whole topic is known, until its history is lost. forwardBase is the revision to which the
+	// complete is true once the topic is fully known, until its history is lost. forwardBase is the revision to which the
 	// next forwarded change applies.
 	complete    bool
 	forwardBase Revision
@@ -55,7 +55,7 @@
 	return ctx.Err()
 }
 
-// load reads the whole topic and reports success.
+// load reads the topic in full and reports success.
 func (d *feed) load(ctx context.Context) bool {
 	f := d.follower
 	f.reloads.Inc()
@@ -159,7 +159,7 @@
 }
 
 // catchUp queries the store at once for a known later change. The configuration is read in full, since each of its changes
-// contains all of it: a watch by a node that is three changes behind would return three whole configurations.
+// contains all of it: a watch by a node that is three changes behind would return three complete configurations.
 func (d *feed) catchUp() {
 	if d.topic == Configuration {
 		d.reloadNext.Store(true)
--- a/follow/follower.go
+++ b/follow/follower.go
@@ -1,6 +1,6 @@
 // Package follow tracks the contents of the store for a node: the configuration, the endpoints and the other nodes.
 //
-// Guarantees. The configuration version never decreases during the life of the process. Age is an upper bound on the age
+// Guarantees. The configuration version never decreases while the process runs. Age is an upper bound on the age
 // of the configuration: it counts from the sending of the last call that confirmed it, not from the arrival of the
 // response, and continues while the process is suspended. A topic whose history is lost is read again in full.
 //
--- a/follow/source.go
+++ b/follow/source.go
@@ -36,7 +36,7 @@
 // again.
 var ErrResponseTooLarge = errors.New("follow: response contains too many changes")
 
-// Change holds the changes of a topic up to a revision, or the whole contents of the topic.
+// Change holds the changes of a topic up to a revision, or the complete contents of the topic.
 type Change struct {
 	// Revision is the store revision up to which everything is covered.
 	Revision Revision
@@ -73,7 +73,7 @@
 // Source reads the store. Load and Watch are linearizable: a response covers everything that the store had accepted when the
 // call was sent.
 type Source interface {
-	// Load reads the whole topic.
+	// Load reads the topic in full.
 	Load(ctx context.Context, topic Topic) (Change, error)
 	// Watch waits at most for wait until the topic changes after the revision, and returns an empty change if it did not. It
 	// returns ErrCompacted if the history is gone.
