--- a/gossip/fleet.go
+++ b/gossip/fleet.go
@@ -80,7 +80,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
-		fresh := now.Sub(p.heardAt) <= max(forwarderTimeout, forwarderTimeoutIntervals*p.interval)
+		fresh := now.Sub(p.lastReportAt) <= max(forwarderTimeout, forwarderTimeoutIntervals*p.interval)
 		if p.forwardsChanges && p.dataCentre == m.deps.DataCentre && !p.silent && !p.leaving && fresh {
 			return true
 		}
--- a/gossip/mesh.go
+++ b/gossip/mesh.go
@@ -86,13 +86,13 @@
 
 // peer is the known state of another node.
 type peer struct {
-	life       uint64
-	sentAt     boottime.Instant
-	heardAt    boottime.Instant
-	address    string
-	dataCentre domain.DataCentre
-	silent     bool
-	leaving    bool
+	incarnation  uint64
+	sentAt       boottime.Instant
+	lastReportAt boottime.Instant
+	address      string
+	dataCentre   domain.DataCentre
+	silent       bool
+	leaving      bool
 	// forwardsChanges is true if the peer forwards endpoint changes to its data centre.
 	forwardsChanges bool
 	// version is the peer's configuration version. behindSince is when it was first seen to be earlier than this node's, zero
@@ -187,13 +187,13 @@
 		p = &peer{silent: true}
 		m.peers[report.From] = p
 	}
-	if p.life == report.Life && report.SentAt <= p.sentAt {
+	if p.incarnation == report.Life && report.SentAt <= p.sentAt {
 		return false
 	}
-	if p.silent || p.life != report.Life {
+	if p.silent || p.incarnation != report.Life {
 		m.deps.Log.Info().Str("peer", string(report.From)).Uint64("life", report.Life).Msg("peer reachable")
 	}
-	p.life, p.sentAt, p.heardAt, p.address = report.Life, report.SentAt, m.deps.Clock(), from
+	p.incarnation, p.sentAt, p.lastReportAt, p.address = report.Life, report.SentAt, m.deps.Clock(), from
 	p.silent, p.leaving, p.dataCentre, p.forwardsChanges = false, report.Leaving, report.DataCentre, report.PassesOn
 	p.version, p.interval = report.Version, report.Every
 	return true
@@ -207,7 +207,7 @@
 	interval time.Duration
 }
 
-// dueTargets returns the peers to which a report is due, among those listed and those heard from recently.
+// dueTargets returns the peers to which a report is due, among those listed and those with a recent report.
 func (m *Mesh) dueTargets() map[domain.NodeID]target {
 	now := m.deps.Clock()
 	listed := m.deps.Peers()
@@ -244,7 +244,7 @@
 // expirePeers marks peers as silent and removes those that have been silent for long and are not listed.
 func (m *Mesh) expirePeers(now boottime.Instant, listed []Address) {
 	for id, p := range m.peers {
-		silence := now.Sub(p.heardAt)
+		silence := now.Sub(p.lastReportAt)
 		if silence > validity(p.interval) && !p.silent {
 			p.silent = true
 			m.deps.Log.Warn().Str("peer", string(id)).Dur("silence_ms", silence).Msg("no current report from peer")
@@ -307,7 +307,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p, ok := m.peers[id]; ok {
-		return p.sentAt, p.life
+		return p.sentAt, p.incarnation
 	}
 	return 0, 0
 }
