--- a/coordinator/conditions.go
+++ b/coordinator/conditions.go
@@ -41,8 +41,8 @@
 
 // persisted reports whether a condition has held for at least d.
 func persisted[K comparable](since map[K]time.Time, key K, now time.Time, d time.Duration) bool {
-	begun, ok := since[key]
-	return ok && now.Sub(begun) >= d
+	start, ok := since[key]
+	return ok && now.Sub(start) >= d
 }
 
 func trackSince[K comparable](since map[K]time.Time, key K, holds bool, now time.Time) {
--- a/coordinator/planner_test.go
+++ b/coordinator/planner_test.go
@@ -177,7 +177,7 @@
 }
 
 // TestPendingUnloadBlocksFurtherUnloads plans again before an unload is carried
-// out: the engine must not be told to unload a second model for the same request
+// out: the engine must not be ordered to unload a second model for the same request
 // for space.
 func TestPendingUnloadBlocksFurtherUnloads(t *testing.T) {
 	s := newSim(PlanOptions{ModelsPerEngine: 2}, testEngine("e1", "p", "a*", "b*", "c"), testEngine("e2", "p", "a*"), testEngine("e3", "p", "b*"))
--- a/coordinator/service.go
+++ b/coordinator/service.go
@@ -66,7 +66,7 @@
 }
 
 // refresh returns the state derived from the current configuration and members,
-// computing it anew if either has changed.
+// recomputed if either has changed.
 func (s *Service) refresh() *derivedState {
 	table, members := s.options.Config.Current(), s.options.Members.Current()
 	s.mu.Lock()
--- a/coordinator/target.go
+++ b/coordinator/target.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// dropFailedLoads removes the models that the engine has not begun to load within
+// dropFailedLoads removes the models that the engine has not started to load within
 // the timeout.
 func (t *target) dropFailedLoads(now time.Time, e *Engine, timeout time.Duration) {
 	for model, m := range t.models {
