--- a/entry/callbody.go
+++ b/entry/callbody.go
@@ -12,7 +12,7 @@
 )
 
 // callBufferBytes is the size of the start of a service call's body that is
-// buffered and covered by the fingerprint. The rest is streamed.
+// buffered and covered by the fingerprint. The remainder is streamed.
 const callBufferBytes = 256 << 10
 
 var errCallTooLarge = errors.New("entry: body of service call exceeds the size limit")
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -26,7 +26,7 @@
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Outcome tells whether the request was run.
+	// Outcome says whether the request was run.
 	Outcome domain.Outcome `json:"outcome"`
 	// Code is the last part of Type.
 	Code string `json:"code"`
