--- a/entrynode/callers.go
+++ b/entrynode/callers.go
@@ -167,8 +167,8 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite lets net/http close its sending side first, so that a caller can read an answer that is sent before the whole
-// request body has been received.
+// CloseWrite lets net/http close its sending side first, so that a caller can read an answer that is sent before the
+// request body has been received completely.
 func (c *callerConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -47,7 +47,7 @@
 	announcer *follow.Announcer
 	mesh      *gossip.Mesh
 	socket    *gossip.UDP
-	// endpointLimits are the limits that endpoints advertise.
+	// organisationLimits applies the organisations' limits, endpointLimits those that endpoints advertise.
 	organisationLimits *tokenlimit.Limiter
 	endpointLimits     *endpointlimit.Limiter
 	slots              *places.Allocator
