--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -32,10 +32,10 @@
 	// ends.
 	unpaused    chan struct{}
 	loopRunning bool
-	// down is true between a crash and the restart. reportedUp is the state last
-	// passed to Options.OnAvailabilityChange.
-	down, reportedUp bool
-	closed           bool
+	// down is true between a crash and the restart. reportedAvailable is the state
+	// last passed to Options.OnAvailabilityChange.
+	down, reportedAvailable bool
+	closed                  bool
 	// incarnationEnd is closed when the engine crashes.
 	incarnationEnd chan struct{}
 	// incarnation counts crashes; a step that began in an earlier incarnation is
@@ -49,14 +49,14 @@
 func New(options Options) *Engine {
 	options = options.withDefaults()
 	e := &Engine{
-		options:         options,
-		streams:         make(map[string]*stream),
-		loadHistory:     loadHistory{lag: options.LoadLag},
-		events:          newCacheEvents(options),
-		prefilledBlocks: make(map[uint64]struct{}),
-		models:          newModels(options.Models),
-		reportedUp:      true,
-		incarnationEnd:  make(chan struct{}),
+		options:           options,
+		streams:           make(map[string]*stream),
+		loadHistory:       loadHistory{lag: options.LoadLag},
+		events:            newCacheEvents(options),
+		prefilledBlocks:   make(map[uint64]struct{}),
+		models:            newModels(options.Models),
+		reportedAvailable: true,
+		incarnationEnd:    make(chan struct{}),
 	}
 	e.memory = e.newMemory()
 	e.recordLoad()
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -99,11 +99,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine(t, engine.Options{Speed: engine.GenerationA()})
 		request := chatRequest("k", "a", 100, 50)
-		begun := time.Now()
+		startTime := time.Now()
 		text, err := readAll(t.Context(), start(t, e, request))
 		assert.Assert(t, errors.Is(err, io.EOF), err)
 		assert.Equal(t, text, expectedText(t, request))
-		assert.Equal(t, time.Since(begun), 100*60*time.Microsecond+49*10*time.Millisecond)
+		assert.Equal(t, time.Since(startTime), 100*60*time.Microsecond+49*10*time.Millisecond)
 		runs := e.Runs()
 		assert.Equal(t, len(runs), 1)
 		assert.Equal(t, runs[0].State, engine.RunFinished)
--- a/standin/engine/fault_test.go
+++ b/standin/engine/fault_test.go
@@ -116,14 +116,14 @@
 				e.SetFaults(test.faults)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
-				begun := time.Now()
+				startTime := time.Now()
 				s, err := e.Start(ctx, request)
 				assert.ErrorIs(t, err, test.start)
 				if err == nil {
 					_, err = readAll(ctx, s)
 					assert.ErrorIs(t, err, test.read)
 				}
-				assert.Equal(t, time.Since(begun), test.takes)
+				assert.Equal(t, time.Since(startTime), test.takes)
 				assert.Equal(t, len(e.Runs()), test.runs)
 			})
 		})
@@ -137,10 +137,10 @@
 		time.Sleep(75 * time.Millisecond)
 		e.SetFaults(engine.Faults{Pause: true})
 		time.AfterFunc(time.Hour, func() { e.SetFaults(engine.Faults{}) })
-		begun := time.Now()
+		startTime := time.Now()
 		_, err := readAll(t.Context(), s)
 		assert.Assert(t, errors.Is(err, io.EOF), err)
-		assert.Equal(t, time.Since(begun), time.Hour+40*time.Millisecond)
+		assert.Equal(t, time.Since(startTime), time.Hour+40*time.Millisecond)
 	})
 }
 
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -54,7 +54,7 @@
 		s.setFaults(f)
 	}
 	e.recordLoad()
-	e.notifyUp()
+	e.updateAvailability()
 }
 
 func (e *Engine) setPaused(paused bool) {
--- a/standin/engine/lifecycle.go
+++ b/standin/engine/lifecycle.go
@@ -31,7 +31,7 @@
 	}
 	e.batch, e.waiting, e.endedStreams = nil, nil, nil
 	clear(e.streams)
-	e.notifyUp()
+	e.updateAvailability()
 	if e.options.RestartDelay >= 0 {
 		time.AfterFunc(e.options.RestartDelay, e.restart)
 	}
@@ -61,18 +61,19 @@
 	e.models = newModels(e.options.Models)
 	e.loadHistory = loadHistory{lag: e.options.LoadLag}
 	e.recordLoad()
-	e.notifyUp()
+	e.updateAvailability()
 }
 
-// notifyUp calls Options.OnAvailabilityChange if the engine has become reachable or unreachable.
-func (e *Engine) notifyUp() {
-	up := !e.unreachable()
-	if up == e.reportedUp {
+// updateAvailability calls Options.OnAvailabilityChange if the engine has become
+// reachable or unreachable.
+func (e *Engine) updateAvailability() {
+	available := !e.unreachable()
+	if available == e.reportedAvailable {
 		return
 	}
-	e.reportedUp = up
+	e.reportedAvailable = available
 	if e.options.OnAvailabilityChange != nil {
-		e.options.OnAvailabilityChange(up)
+		e.options.OnAvailabilityChange(available)
 	}
 }
 
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -41,9 +41,9 @@
 	// FetchWeights, if set, fetches weights before they are loaded, for example from
 	// the weight store. If it fails, the model or adapter is not loaded.
 	FetchWeights func(Weights) error
-	// OnAvailabilityChange, if set, is called when the engine starts or stops accepting
-	// connections. It must not call the engine.
-	OnAvailabilityChange func(up bool)
+	// OnAvailabilityChange, if set, is called when the engine starts or stops
+	// accepting connections. It must not call the engine.
+	OnAvailabilityChange func(available bool)
 	// OnPrefill, if set, is called for each prompt block that is computed. It must
 	// not call the engine.
 	OnPrefill func(block uint64)
--- a/standin/engine/speed.go
+++ b/standin/engine/speed.go
@@ -54,8 +54,8 @@
 func NoDelay() Speed { return Speed{PrefillChunk: defaultChunk} }
 
 // FixedInterval returns a speed that yields one token every interval, whatever the
-// batch and the prompt, so that delays added by other components can be told from
-// those of the engine.
+// batch and the prompt, so that delays added by other components can be
+// distinguished from those of the engine.
 func FixedInterval(interval time.Duration) Speed {
 	return Speed{DecodeStep: interval, PrefillChunk: 1 << 20}
 }
