--- a/cmd/hawthornrill-soak/proxy_test.go
+++ b/cmd/hawthornrill-soak/proxy_test.go
@@ -105,7 +105,7 @@
 }
 
 // copy forwards one direction of a connection. Data read in modeSilent or silentMode is dropped, and so is everything after
-// it, since the stream would have a gap. After such a loss, the end of the stream is passed on only in modePass or modeReset.
+// it, since the stream would have a gap. After such a loss, the end of the stream is forwarded only in modePass or modeReset.
 func (p *proxy) copy(to, from net.Conn, silentMode mode) {
 	defer to.Close()
 	defer from.Close()
