--- a/entrynode/node.go
+++ b/entrynode/node.go
@@ -47,7 +47,7 @@
 	announcer *follow.Announcer
 	mesh      *gossip.Mesh
 	socket    *gossip.UDP
-	// endpointLimits are the limits that endpoints advertise.
+	// organisationLimits applies the organisations' limits, endpointLimits those that endpoints advertise.
 	organisationLimits *tokenlimit.Limiter
 	endpointLimits     *endpointlimit.Limiter
 	slots              *places.Allocator
@@ -170,7 +170,7 @@
 	n.mesh = gossip.New(gossip.Dependencies{
 		Self:               n.settings.Node,
 		DataCentre:         n.settings.DataCentre,
-		Life:               rand.Uint64(),
+		Incarnation:        rand.Uint64(),
 		Transport:          socket,
 		Clock:              boottime.Now,
 		Peers:              n.peerAddresses,
--- a/gossip/mesh.go
+++ b/gossip/mesh.go
@@ -53,11 +53,11 @@
 
 // Dependencies are the collaborators and the identity of a Mesh.
 type Dependencies struct {
-	Self       domain.NodeID
-	DataCentre domain.DataCentre
-	Life       uint64
-	Transport  Transport
-	Clock      boottime.Clock
+	Self        domain.NodeID
+	DataCentre  domain.DataCentre
+	Incarnation uint64
+	Transport   Transport
+	Clock       boottime.Clock
 	// Peers returns the nodes to report to. An entry for this node is ignored.
 	Peers func() []Address
 	// Fill sets the contents of a report before it is sent.
@@ -86,13 +86,13 @@
 
 // peer is the known state of another node.
 type peer struct {
-	life       uint64
-	sentAt     boottime.Instant
-	heardAt    boottime.Instant
-	address    string
-	dataCentre domain.DataCentre
-	silent     bool
-	leaving    bool
+	incarnation  uint64
+	sentAt       boottime.Instant
+	lastReportAt boottime.Instant
+	address      string
+	dataCentre   domain.DataCentre
+	silent       bool
+	leaving      bool
 	// forwardsChanges is true if the peer forwards endpoint changes to its data centre.
 	forwardsChanges bool
 	// version is the peer's configuration version. behindSince is when it was first seen to be earlier than this node's, zero
@@ -172,7 +172,7 @@
 		return
 	}
 	var sent boottime.Instant
-	if report.EchoLife == m.deps.Life {
+	if report.EchoLife == m.deps.Incarnation {
 		sent = report.Echo
 	}
 	m.deps.OnReport(&report, sent)
@@ -187,13 +187,13 @@
 		p = &peer{silent: true}
 		m.peers[report.From] = p
 	}
-	if p.life == report.Life && report.SentAt <= p.sentAt {
+	if p.incarnation == report.Life && report.SentAt <= p.sentAt {
 		return false
 	}
-	if p.silent || p.life != report.Life {
+	if p.silent || p.incarnation != report.Life {
 		m.deps.Log.Info().Str("peer", string(report.From)).Uint64("life", report.Life).Msg("peer reachable")
 	}
-	p.life, p.sentAt, p.heardAt, p.address = report.Life, report.SentAt, m.deps.Clock(), from
+	p.incarnation, p.sentAt, p.lastReportAt, p.address = report.Life, report.SentAt, m.deps.Clock(), from
 	p.silent, p.leaving, p.dataCentre, p.forwardsChanges = false, report.Leaving, report.DataCentre, report.PassesOn
 	p.version, p.interval = report.Version, report.Every
 	return true
@@ -207,7 +207,7 @@
 	interval time.Duration
 }
 
-// dueTargets returns the peers to which a report is due, among those listed and those heard from recently.
+// dueTargets returns the peers to which a report is due, among those listed and those with a recent report.
 func (m *Mesh) dueTargets() map[domain.NodeID]target {
 	now := m.deps.Clock()
 	listed := m.deps.Peers()
@@ -244,7 +244,7 @@
 // expirePeers marks peers as silent and removes those that have been silent for long and are not listed.
 func (m *Mesh) expirePeers(now boottime.Instant, listed []Address) {
 	for id, p := range m.peers {
-		silence := now.Sub(p.heardAt)
+		silence := now.Sub(p.lastReportAt)
 		if silence > validity(p.interval) && !p.silent {
 			p.silent = true
 			m.deps.Log.Warn().Str("peer", string(id)).Dur("silence_ms", silence).Msg("no current report from peer")
@@ -270,7 +270,7 @@
 	if len(targets) == 0 {
 		return
 	}
-	report := Report{From: m.deps.Self, Life: m.deps.Life, DataCentre: m.deps.DataCentre}
+	report := Report{From: m.deps.Self, Life: m.deps.Incarnation, DataCentre: m.deps.DataCentre}
 	m.deps.Fill(&report)
 	changes := report.Changes
 	updates := configurationUpdates{configurationSince: m.deps.ConfigurationSince, cache: make(map[uint64]configurationUpdate)}
@@ -307,7 +307,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p, ok := m.peers[id]; ok {
-		return p.sentAt, p.life
+		return p.sentAt, p.incarnation
 	}
 	return 0, 0
 }
--- a/places/item.go
+++ b/places/item.go
@@ -26,7 +26,7 @@
 // rank is the request's queue rank, given the predicted time from dispatch to first byte.
 //
 // SubTier orders the requests of one tier. Without it the routes' tiers would have no effect where organisations share
-// a tier: with it, mean worth on overloaded days rose from 0.603 to 0.614 and from 0.603 to 0.608 (two small
+// a tier: with it, the mean value served on overloaded days rose from 0.603 to 0.614 and from 0.603 to 0.608 (two small
 // deployments), from 0.295 to 0.299 and from 0.261 to 0.268 (small copies of two large ones), where 1 is all that
 // callers requested, on time.
 func (r *Request) rank(now time.Time, start time.Duration) domain.Tier {
@@ -69,8 +69,8 @@
 	return min(max(r.FirstByteDue.Sub(now), 0)+maxLateWait, r.Due.Sub(now))
 }
 
-// retryAfter is the delay after which a refused caller is told to retry. It is up to a third of the remaining time, the
-// longest that callers wait when told to: a later retry is more likely to come after the overload, and an answer on
+// retryAfter is the delay after which a refused caller is asked to retry. It is up to a third of the remaining time, the
+// longest that callers wait when asked to: a later retry is more likely to come after the overload, and an answer on
 // time is no longer possible anyway.
 func (r *Request) retryAfter(now time.Time) time.Duration {
 	most := min(r.Due.Sub(now)/3, maxRetryAfter)
--- a/places/prediction.go
+++ b/places/prediction.go
@@ -20,7 +20,7 @@
 	eventGapFraction = 0.25
 	// prefillGapFraction is the fraction of the longest allowed event gap for which an endpoint may prefill prompts
 	// while it generates answers: it produces almost none of their tokens meanwhile. On twelve runs with overload and
-	// faults the share of the requested worth that callers got on time was 0.663 with this rule and 0.655 without.
+	// faults the share of the requested value that callers got on time was 0.663 with this rule and 0.655 without.
 	prefillGapFraction = 0.7
 )
 
@@ -54,7 +54,7 @@
 	maxMeanGap := time.Duration(eventGapFraction * float64(request.EventGap))
 	maxPrefill := time.Duration(prefillGapFraction * float64(request.EventGap))
 	return func(ep *trackedEndpoint) prediction {
-		f := p.router.Forecast(now, &ep.state, request.routerAsk)
+		f := p.router.Forecast(now, &ep.state, request.capacityRequest)
 		return prediction{
 			finishesInTime: request.AnswerTokens < longAnswerTokens || f.Total <= maxTotal,
 			startsOnTime:   late || f.FirstToken <= maxFirstByte,
